--- a/src/boragefold/policy/adapter_places.py
+++ b/src/boragefold/policy/adapter_places.py
@@ -1,4 +1,4 @@
-"""The places of adapters as an engine reports them."""
+"""The adapter slots of an engine, as its reports show them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Place:
-    """An adapter's place at an engine.
+    """An adapter slot of an engine and the adapter version in it.
 
-    ``confirmed`` once a report or an answer showed that the adapter is there,
-    ``warm`` while it is taken to come from the engine's own memory.
-    ``count`` is the engine's count of orders after the load. While it
-    ``replaces`` an older version, the engine may hold both.
+    ``confirmed`` is set once a report or an answer showed the adapter in the
+    slot. ``warm`` is set while the load is assumed to come from the engine's
+    own memory rather than the weight store. ``count`` is the engine's count
+    of accepted orders after the load. While ``replaces`` is set, the engine
+    may hold an older version of the adapter too.
     """
 
     version: int
@@ -37,13 +38,13 @@
     *,
     now_seconds: float,
 ) -> dict[AdapterKey, Place]:
-    """Make the places that a report shows.
+    """Build the slots from a report.
 
-    :param before: the places as they were taken to be
+    :param before: the slots as known before the report
     :param held: versions by adapter by model
-    :param coming: versions of the adapters on their way
+    :param coming: versions of the adapters that are being loaded
     :param now_seconds: reading of the process clock
-    :return: the places
+    :return: the slots by adapter
     """
     present = _flat(held)
     places = {}
@@ -63,9 +64,9 @@
     *,
     count: int,
 ) -> None:
-    """Confirm what a report shows that doesn't know of the last orders.
+    """Confirm adapters from a report that predates the latest orders.
 
-    :param places: the places
+    :param places: the known slots, changed in place
     :param held: versions by adapter by model
     :param count: how many orders the engine had accepted
     """
--- a/src/boragefold/policy/arrival_rates.py
+++ b/src/boragefold/policy/arrival_rates.py
@@ -1,8 +1,8 @@
-"""How often each adapter is asked for, of late.
+"""Arrival rate of each adapter's requests, with exponential decay.
 
-Load pattern: popularity is skewed and shifts; an adapter gets hot within
-seconds. Without a rate, an adapter's queue must have grown before it is
-noticed, and the one evicted may be the one needed next.
+Load pattern: popularity is skewed and shifts; an adapter becomes hot within
+seconds. Without a rate, the rise would only show as a long queue, and an
+eviction might remove the adapter that is needed next.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from boragefold.policy import work as works
 
 MEMORY_SECONDS = 20.0
-# Below this expected number of recent arrivals an adapter is forgotten.
+# Adapters with fewer expected recent arrivals are removed.
 FORGOTTEN_ARRIVALS = 0.05
 SWEEP_SECONDS = 10.0
-# The weight of the latest gap between two uses.
+# Weight of the latest interval in the moving average of the intervals.
 GAP_SMOOTHING = 0.3
 
 
@@ -31,7 +31,7 @@
 
 
 class ArrivalRates:
-    """Decaying counts of arrivals, only of adapters used of late."""
+    """Decaying arrival counts of the adapters used recently."""
 
     def __init__(self) -> None:
         self._arrivals: dict[works.AdapterVersion, Arrivals] = {}
@@ -50,9 +50,9 @@
     ) -> None:
         """Count arrivals.
 
-        :param adapter: what they need
-        :param workspace: whose they are
-        :param requests: how many
+        :param adapter: the adapter that the requests need
+        :param workspace: the workspace that sent them
+        :param requests: the number of requests
         :param now_seconds: reading of the process clock
         """
         self._sweep(now_seconds)
@@ -85,7 +85,7 @@
         return _decayed(known, now_seconds) / MEMORY_SECONDS
 
     def workspace(self, adapter: works.AdapterVersion) -> str:
-        """Tell who used an adapter last.
+        """Return the workspace that used an adapter last.
 
         :param adapter: the adapter version
         :return: the workspace; empty when unknown
@@ -96,10 +96,11 @@
     def next_use_seconds(
         self, adapter: works.AdapterVersion
     ) -> tuple[float, float]:
-        """Tell when an adapter was last used, and its usual gap.
+        """Return the last use of an adapter and its mean interval.
 
         :param adapter: the adapter version
-        :return: the moment and the gap; minus infinity and zero if unknown
+        :return: time of the last use and interval between uses in seconds;
+            minus infinity and zero when unknown
         """
         known = self._arrivals.get(adapter)
         if known is None:
@@ -109,7 +110,7 @@
     def hottest(
         self, *, now_seconds: float
     ) -> list[tuple[float, works.AdapterVersion]]:
-        """List what was used of late, the most used first.
+        """List the recently used adapters, the most used first.
 
         :param now_seconds: reading of the process clock
         :return: requests per second, and the adapter
--- a/src/boragefold/policy/assembly.py
+++ b/src/boragefold/policy/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a dispatcher and every decision in it."""
+"""Builds a dispatcher with all its policy components."""
 
 from __future__ import annotations
 
@@ -32,15 +32,16 @@
     rng: random.Random,
     counters: telemetry.Counters,
 ) -> dispatcher.Dispatcher:
-    """Put one instance's decisions together.
+    """Build the dispatcher of one instance.
 
-    :param endpoints: what is known of them; the owner calls ``put`` on it
+    :param endpoints: the known endpoints; the caller keeps them up to date
+        with ``put``
     :param stock: the tokens that this instance may spend
-    :param load_budget: the loads that this instance may begin
-    :param rights: the endpoints that this instance gives orders to
-    :param instances: how many instances send to the same endpoints
-    :param rng: where every random choice comes from
-    :param counters: where refusals, retries and loads are counted
+    :param load_budget: the loads that this instance may start
+    :param rights: the endpoints that this instance may send orders to
+    :param instances: returns how many instances use the same endpoints
+    :param rng: source of all random choices
+    :param counters: counters of refusals, retries and loads
     :return: the dispatcher
     """
     queue = fair_queue.FairQueue(counters=counters)
--- a/src/boragefold/policy/demand.py
+++ b/src/boragefold/policy/demand.py
@@ -1,7 +1,9 @@
-"""What waits for one adapter version, for placement and for estimates.
+"""Totals of the requests that wait for an adapter version.
 
-Load pattern: hundreds of adapters are waited for at once. Without a running
-sum, each look at the demand would count the whole queue.
+Placement and wait estimates read them.
+
+Load pattern: requests wait for hundreds of adapters at once. Without running
+totals, each read of the demand would iterate over the whole queue.
 """
 
 from __future__ import annotations
@@ -13,14 +15,14 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Demand:
-    """What waits for one adapter version."""
+    """Totals of the requests that wait for one adapter version."""
 
     requests: int = 0
     tokens: float = 0.0
     by_workspace: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def add(self, work: works.Work) -> None:
-        """Count a request that begins to wait.
+        """Count a request that was queued.
 
         :param work: the request
         """
@@ -31,9 +33,9 @@
         self.requests += 1
 
     def subtract(self, work: works.Work) -> None:
-        """Count a request that waits no longer.
+        """Remove a request that left the queue.
 
-        :param work: one that was added
+        :param work: a request that was added before
         """
         tokens = works.tokens_of(work)
         self.by_workspace[work.workspace] -= tokens
@@ -45,7 +47,7 @@
     def ahead_tokens(self, work: works.Work) -> float:
         """Estimate the tokens served before a new request for the adapter.
 
-        :param work: a request that isn't waiting yet
+        :param work: a request that isn't queued yet
         :return: tokens
         """
         own = self.by_workspace.get(work.workspace, 0.0)
--- a/src/boragefold/policy/drains.py
+++ b/src/boragefold/policy/drains.py
@@ -1,8 +1,8 @@
-"""Which adapter in use gives up its slot to one that waits too long.
+"""Drains the slot of an adapter in use for one that waits too long.
 
 Load pattern: more adapters are hot than there are slots, and none is ever
-idle. Without this, nothing can be evicted, and a cold adapter's callers wait
-until they give up.
+idle. Without drains nothing could be evicted, and the callers of a cold
+adapter would wait until they time out.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Drains:
-    """Stops new requests of an adapter, so that its slot becomes free."""
+    """Stops new requests for an adapter so that its slot becomes free."""
 
     def __init__(
         self,
@@ -41,14 +41,14 @@
         *,
         now_seconds: float,
     ) -> Iterator[loads_module.Drain]:
-        """Drain one slot for an adapter that found none for too long.
+        """Drain one slot for an adapter that has waited too long for one.
 
-        :param want: the adapter that found no slot
-        :param wants: all wanted adapters; no more slots are drained than
-            there are adapters waiting too long
-        :param states: endpoints that may be given orders
+        :param want: the adapter without a slot
+        :param wants: all adapters to load; at most as many slots are drained
+            as there are starving adapters
+        :param states: endpoints that may be sent orders
         :param now_seconds: reading of the process clock
-        :return: at most one order
+        :return: at most one drain
         """
         starving = sum(each.is_starving(now_seconds) for each in wants)
         draining = sum(len(self._loads.unclaimed(state)) for state in states)
--- a/src/boragefold/policy/homes.py
+++ b/src/boragefold/policy/homes.py
@@ -1,8 +1,11 @@
-"""Which endpoint's orderer decides on the loads of an adapter.
+"""Assignment of each adapter to a home endpoint.
 
-Load pattern: requests for a cold adapter come to many instances at once. Each
-picks the same home for it without asking anybody, so that its loads are
-joined; a home that is full, slow or out of reach could not take the load.
+The instance that controls the home endpoint decides on the adapter's loads.
+
+Load pattern: requests for a cold adapter arrive at many instances at once.
+Each instance computes the same home without communication, so that one load
+serves all of them; endpoints that are full, slow or whose controlling
+instance is unreachable are skipped because they could not take the load.
 """
 
 from __future__ import annotations
@@ -17,49 +20,54 @@
 from boragefold.policy import endpoints as fleet
 from boragefold.policy import work as works
 
-# Nearer data centres load an adapter once for all of them.
+# Data centres within this distance share the loads of an adapter.
 JOINED_SECONDS = 0.025
-# An endpoint with less of its share is no adapter's home.
+# An endpoint with a lower traffic weight counts as slow.
 LEAST_WEIGHT = 0.5
-# Nor is one whose batch is fuller.
+# An endpoint with a fuller batch counts as full.
 MOST_FILL = 0.8
-# Enough to find a fit one when most are unfit.
+# Enough to find an eligible endpoint when most are ineligible.
 TRIES = 16
 
 
 class OrderRights(abc.ABC):
-    """Which instance gives orders to which endpoint, now."""
+    """Tells which instance currently controls which endpoint.
+
+    At most one instance at a time has the right to send load and eviction
+    orders to an endpoint.
+    """
 
     @property
     @abc.abstractmethod
     def self_name(self) -> str:
-        """Tell who we are.
+        """Return the name of this instance's current process.
 
-        :return: our own incarnation
+        :return: the incarnation of this instance
         """
 
     @abc.abstractmethod
     def ordered(self) -> Collection[str]:
-        """List the endpoints whose order right we hold at this moment.
+        """List the endpoints that this instance controls at this moment.
 
-        :return: their names
+        :return: endpoint names
         """
 
     @abc.abstractmethod
     def orderer(self, endpoint: str) -> str | None:
-        """Tell who holds an endpoint's order right, as far as we know.
+        """Return the instance that controls an endpoint, as far as known.
 
-        :param endpoint: its name
-        :return: an incarnation; None when we can't reach its holder, so that
-            its adapters are decided on elsewhere
+        :param endpoint: the endpoint's name
+        :return: an incarnation; None when the controlling instance is
+            unreachable, so that another endpoint becomes the home of its
+            adapters
         """
 
 
 class Homes:
-    """Picks homes by hashing, passing over the endpoints that are unfit.
+    """Picks home endpoints by hashing and skips ineligible endpoints.
 
-    Views of fill and slowness differ between instances and change quickly, so
-    a home is kept for as long as requests of its adapter wait.
+    Instances see different values of fill and speed, and the values change
+    quickly. An adapter therefore keeps its home while requests wait for it.
     """
 
     def __init__(
@@ -71,9 +79,11 @@
         self._kept: dict[works.AdapterVersion, str] = {}
 
     def refresh(self, waiting: Container[works.AdapterVersion]) -> None:
-        """Look at the endpoints anew; call it before a series of questions.
+        """Discard cached states and the homes of adapters not waited for.
+
+        Call this before a series of look-ups.
 
-        :param waiting: the adapters that requests wait for here
+        :param waiting: the adapters that requests wait for at this instance
         """
         self._reachable.clear()
         self._kept = {
@@ -83,10 +93,11 @@
         }
 
     def of(self, adapter: works.AdapterVersion) -> str | None:
-        """Name an adapter's home.
+        """Return an adapter's home endpoint.
 
         :param adapter: the adapter version
-        :return: an endpoint; None when no orderer can be reached
+        :return: an endpoint name; None when no controlling instance can be
+            reached
         """
         reachable = self._reachable_of(adapter.model)
         kept = self._kept.get(adapter)
@@ -99,7 +110,8 @@
         return home
 
     def _reachable_of(self, model: str) -> dict[str, fleet.EndpointState]:
-        # While an orderer can't be reached, its adapters are loaded elsewhere.
+        # Adapters of an endpoint whose controlling instance is unreachable
+        # are loaded elsewhere.
         states = self._reachable.get(model)
         if states is None:
             states = {
@@ -120,7 +132,8 @@
     adapter: works.AdapterVersion,
     reachable: Mapping[str, fleet.EndpointState],
 ) -> str:
-    # An unfit endpoint moves only its own adapters.
+    # Hashing again with another seed moves only the adapters of ineligible
+    # endpoints.
     names = list(reachable)
     text = "\0".join(adapter).encode()
     tries = [
--- a/src/boragefold/policy/hot_adapters.py
+++ b/src/boragefold/policy/hot_adapters.py
@@ -1,8 +1,8 @@
-"""Which adapters will soon need another copy.
+"""Detection of adapters that will soon need another copy.
 
-Load pattern: an adapter's arrivals double within seconds. Without a look at
-the rate, a copy is ordered only when its queue has grown, and that queue then
-waits for the load.
+Load pattern: an adapter's arrival rate doubles within seconds. If only queues
+were examined, a copy would be loaded after the queue had grown, and the
+queued requests would wait for that load.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from boragefold.policy import endpoints as fleet
 from boragefold.policy import work as works
 
-# A new copy must be loaded before the rest is full.
+# Leaves time to load a new copy before the present holders are full.
 HOT_FILL = 0.7
-# Assumed before the first answer.
+# Used until the first answer was measured.
 DEFAULT_DURATION_SECONDS = 2.0
-# A sample: the cost of a sum grows with the holders.
+# Bounds the cost of the sums, which grows with the number of holders.
 EXAMINED_HOLDERS = 16
 
 
 class HotAdapters:
-    """Adapters whose arrival rate comes near their holders' capacity."""
+    """Adapters whose arrival rate approaches the capacity of their holders."""
 
     def __init__(
         self,
@@ -42,10 +42,10 @@
         workspace: str,
         now_seconds: float,
     ) -> None:
-        """Look at an adapter that has just been asked for.
+        """Check whether an adapter that was just requested is hot.
 
         :param adapter: the adapter version
-        :param workspace: who pays for a copy
+        :param workspace: the workspace charged for a copy
         :param now_seconds: reading of the process clock
         """
         if self._is_hot(adapter, now_seconds):
@@ -56,10 +56,10 @@
     def present(
         self, *, now_seconds: float
     ) -> Iterator[tuple[works.AdapterVersion, str]]:
-        """Go through those that are hot now.
+        """Iterate over the adapters that are hot now.
 
         :param now_seconds: reading of the process clock
-        :return: adapters and the workspaces that pay for their copies
+        :return: adapters and the workspaces charged for their copies
         """
         for adapter, workspace in list(self._hot.items()):
             if self._is_hot(adapter, now_seconds):
@@ -75,8 +75,8 @@
         if not holders:
             return False
         if all(state.is_poor() for state in holders):
-            # Its requests would wait at a slow endpoint instead of in our
-            # queue.
+            # Its requests would wait at a slow endpoint, where the queue of
+            # this instance doesn't show them.
             return True
         durations = [
             state.duration_seconds
@@ -89,7 +89,8 @@
             else DEFAULT_DURATION_SECONDS
         )
         per_second = self._rates.per_second(adapter, now_seconds=now_seconds)
-        # By Little's law, what will run at once; part of it runs already.
+        # By Little's law, the number of requests that will run concurrently;
+        # some of them are running already.
         needed = per_second * duration_seconds
         running = sum(state.estimated_running() for state in holders)
         batches = sum(state.spec.batch_size for state in holders)
@@ -104,7 +105,7 @@
 ) -> Sequence[fleet.EndpointState]:
     if len(holders) <= EXAMINED_HOLDERS:
         return holders
-    # Evenly spread over the distances.
+    # The holders are sorted by distance; the sample covers it evenly.
     step = len(holders) / EXAMINED_HOLDERS
     return [holders[int(turn * step)] for turn in range(EXAMINED_HOLDERS)]
 
--- a/src/boragefold/policy/load_wants.py
+++ b/src/boragefold/policy/load_wants.py
@@ -1,8 +1,8 @@
-"""Which adapters should be loaded, in fair order over workspaces.
+"""Adapters that should be loaded, in fair order across workspaces.
 
-Load pattern: one workspace touches hundreds of its rarely used adapters, each
-once. Without fair order its loads take the whole rate of the weight store,
-and another workspace's one adapter waits behind all of them.
+Load pattern: one workspace requests hundreds of its rarely used adapters, each
+once. Without fair order its loads would use the whole load rate of the weight
+store, and another workspace's single adapter would wait behind all of them.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from boragefold.policy import virtual_counter
 from boragefold.policy import work as works
 
-# How far a waiting request lets an adapter overtake, and the bound that keeps
-# the others from starving.
+# Each waiting request moves its adapter forward by this time; the upper bound
+# prevents starvation of the other adapters.
 OVERTAKE_SECONDS = 0.5
 MAX_OVERTAKE_SECONDS = 5.0
 
-# Slots that free themselves are used first.
+# Leaves time for slots to become free without a drain.
 DRAIN_AFTER_SECONDS = 3.0
 
 COLD = "cold"
@@ -35,7 +35,7 @@
 
 
 class Want(NamedTuple):
-    """An adapter to be loaded; the smallest rank goes first."""
+    """An adapter to be loaded; the smallest rank is loaded first."""
 
     rank_seconds: float
     adapter: works.AdapterVersion
@@ -44,17 +44,17 @@
     since_seconds: float
 
     def is_starving(self, now_seconds: float) -> bool:
-        """Tell whether a slot should be emptied for this adapter.
+        """Tell whether a slot should be drained for this adapter.
 
         :param now_seconds: reading of the process clock
-        :return: whether it has found none for too long
+        :return: whether a cold adapter has waited too long for a slot
         """
         waited_seconds = now_seconds - self.since_seconds
         return self.reason == COLD and waited_seconds >= DRAIN_AFTER_SECONDS
 
 
 class LoadWants:
-    """Wanted loads, and the load seconds spent by each workspace."""
+    """Ranks the adapters to load and accounts load time by workspace."""
 
     def __init__(self) -> None:
         self._spent = virtual_counter.VirtualCounter()
@@ -69,13 +69,14 @@
         *,
         now_seconds: float,
     ) -> list[Want]:
-        """Rank the wanted adapters.
+        """Rank the adapters to load.
 
-        :param adapters: adapters and the reason each is wanted for
-        :param demand: what waits for each
-        :param payer: the workspace charged where nothing waits
+        :param adapters: adapters and the reason for each load
+        :param demand: the waiting requests by adapter
+        :param payer: the workspace charged for an adapter without waiting
+            requests
         :param now_seconds: reading of the process clock
-        :return: wants in no order
+        :return: ranked adapters in no particular order
         """
         wants = [
             self._want(
@@ -87,13 +88,12 @@
         return wants
 
     def in_order(self, wants: Iterable[Want]) -> Iterator[Want]:
-        """Go through the wants, the workspace that spent least first.
+        """Iterate over the adapters, least charged workspace first.
 
-        A want that is charged while the iteration goes on moves its
-        workspace back.
+        A charge during the iteration moves the workspace back in the order.
 
         :param wants: from :meth:`make`
-        :return: each want once
+        :return: each adapter once
         """
         lines = collections.defaultdict(list)
         for want in wants:
@@ -110,18 +110,18 @@
                 heapq.heappush(heap, (self._spent.value(workspace), workspace))
 
     def charge(self, workspace: str, load_seconds: float) -> None:
-        """Count a load.
+        """Charge a load to a workspace.
 
-        :param workspace: on whose behalf; one of a present want
-        :param load_seconds: how long it is expected to take
+        :param workspace: the workspace; it must have an adapter to load
+        :param load_seconds: the expected duration
         """
         self._spent.charge(workspace, load_seconds)
 
     def correct(self, workspace: str, load_seconds: float) -> None:
-        """Correct the charge after the load.
+        """Correct a charge after the load.
 
-        :param workspace: who was charged
-        :param load_seconds: real duration less the expected one
+        :param workspace: the workspace that was charged
+        :param load_seconds: actual duration minus the expected one
         """
         self._spent.correct(workspace, load_seconds)
 
@@ -158,13 +158,14 @@
     endpoints: fleet.Endpoints,
     states: Iterable[fleet.EndpointState],
 ) -> Iterator[tuple[works.AdapterVersion, str]]:
-    """Go through the adapters whose waiting work can't start.
-
-    :param demand: what waits for which adapter
-    :param endpoints: who holds what
-    :param states: the endpoints that may be loaded; holders count where the
-        data centre is theirs
-    :return: adapters, and whether they lack a holder or one with room
+    """Iterate over the adapters whose waiting requests can't start.
+
+    :param demand: the waiting requests by adapter
+    :param endpoints: all known endpoints and the adapters they hold
+    :param states: the endpoints that may be sent orders; only holders in
+        their data centres count
+    :return: adapters and the reason for the load: no holder, or no holder
+        with room
     """
     data_centres = {state.spec.data_centre for state in states}
     for adapter in demand:
@@ -184,14 +185,14 @@
 def with_use_for(
     want: Want, states: Sequence[fleet.EndpointState]
 ) -> Sequence[fleet.EndpointState]:
-    """List the endpoints where a wanted load would serve somebody.
+    """List the endpoints where a load would let requests start.
 
-    :param want: the adapter and why it is wanted
-    :param states: endpoints that may be given orders
-    :return: some of them
+    :param want: the adapter and the reason for its load
+    :param states: endpoints that may be sent orders
+    :return: a subset of them
     """
-    # In an overload every adapter looks hot; a copy on a full endpoint would
-    # serve nobody.
+    # Under overload every adapter looks hot, but a copy on a full endpoint
+    # would start no request.
     if want.reason != HOT:
         return states
     return [state for state in states if state.fill() < hot_adapters.HOT_FILL]
--- a/src/boragefold/policy/loads.py
+++ b/src/boragefold/policy/loads.py
@@ -1,8 +1,11 @@
-"""The loads under way, and the orders that begin them.
+"""Adapter loads in progress, and the orders that start them.
+
+An order is a command that an instance sends to an endpoint.
 
 Load pattern: many requests for one adapter arrive while it is being loaded,
-and endpoints restart in the middle of a load. Without one record per load,
-the same adapter is ordered twice, or a lost load is waited for without end.
+and endpoints restart during a load. Without one record per load, the same
+adapter would be loaded twice, or requests would wait forever for a load that
+was lost.
 """
 
 from __future__ import annotations
@@ -19,7 +22,7 @@
 
 
 class Load(NamedTuple):
-    """An order to an endpoint; evict first where an adapter is named."""
+    """An order to an endpoint to load an adapter, after an eviction if set."""
 
     endpoint: str
     adapter: works.AdapterVersion
@@ -29,7 +32,10 @@
 
 
 class Drain(NamedTuple):
-    """An order to all instances: send this adapter no more requests there."""
+    """Tells all instances to send an endpoint no requests for an adapter.
+
+    The adapter's slot becomes free once its running requests have ended.
+    """
 
     endpoint: str
     adapter: works.AdapterVersion
@@ -37,19 +43,19 @@
 
 
 class LoadBudget(abc.ABC):
-    """This instance's part of the weight store's limits."""
+    """This instance's share of the weight store's load limits."""
 
     @abc.abstractmethod
     def try_take(self, *, now_seconds: float) -> bool:
-        """Take the right to begin one load.
+        """Take the permission to start one load, if there is one.
 
         :param now_seconds: reading of the process clock
-        :return: whether it was there
+        :return: whether the load may start
         """
 
     @abc.abstractmethod
     def ended(self, *, now_seconds: float) -> None:
-        """Give back the in-flight part of one load that has ended.
+        """Release the concurrency share of a load that has ended.
 
         :param now_seconds: reading of the process clock
         """
@@ -57,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Running:
-    """A load under way."""
+    """A load in progress."""
 
     load: Load
     incarnation: str
@@ -65,7 +71,7 @@
 
 
 class Loads:
-    """Loads under way, by endpoint and by adapter."""
+    """Loads in progress, by endpoint and by adapter."""
 
     def __init__(self) -> None:
         self._running: dict[str, dict[works.AdapterVersion, Running]] = {}
@@ -75,34 +81,36 @@
         return sum(len(running) for running in self._running.values())
 
     def of(self, adapter: works.AdapterVersion) -> int:
-        """Count the loads under way of an adapter.
+        """Count an adapter's loads in progress.
 
         :param adapter: the adapter version
-        :return: loads
+        :return: number of loads
         """
         return self._by_adapter.get(adapter, 0)
 
     def taken_slots(self, state: fleet.EndpointState) -> int:
-        """Count the slots that are in use or will be.
+        """Count the slots that are occupied or will be after the loads.
 
         :param state: an endpoint
-        :return: slots; one that is emptied for a load counts once
+        :return: number of slots; a slot that is evicted for a load counts
+            once
         """
         running = self._running.get(state.spec.name, {})
         replaced = sum(
             each.load.evict in state.blocked_at for each in running.values()
         )
-        # A report may list what is loaded before the order is answered.
+        # A report may list a loaded adapter before the order is answered.
         seen = sum(adapter in state.resident for adapter in running)
         return state.occupied_slots() + len(running) - replaced - seen
 
     def unclaimed(
         self, state: fleet.EndpointState
     ) -> list[works.AdapterVersion]:
-        """List what gets no requests any more and no load replaces yet.
+        """List the blocked adapters that no load in progress replaces.
 
         :param state: an endpoint
-        :return: adapters that were drained, or evicted by a failed load
+        :return: adapters that were drained, or whose eviction belonged to a
+            load that failed
         """
         running = self._running.get(state.spec.name, {})
         claimed = {each.load.evict for each in running.values()}
@@ -111,10 +119,10 @@
     def begin(
         self, load: Load, *, incarnation: str, now_seconds: float
     ) -> None:
-        """Record a load.
+        """Record the start of a load.
 
         :param load: the order
-        :param incarnation: of the endpoint
+        :param incarnation: the endpoint's incarnation
         :param now_seconds: reading of the process clock
         """
         self._running.setdefault(load.endpoint, {})[load.adapter] = Running(
@@ -123,13 +131,14 @@
         self._by_adapter[load.adapter] = self.of(load.adapter) + 1
 
     def end(self, load: Load) -> Running | None:
-        """Forget a load.
+        """Remove a load.
 
-        :param load: the very order that was given, not one equal to it
-        :return: its record; None when it was forgotten before
+        :param load: the same object as given to :meth:`begin`, not an equal
+            one
+        :return: its record; None when it was removed before
         """
-        # After a restart of the endpoint the same load is ordered again; the
-        # first order's late answer must not count for the second.
+        # After a restart of the endpoint an equal load is started; a late
+        # answer to the first order must not end the second load.
         at_endpoint = self._running.get(load.endpoint, {})
         running = at_endpoint.get(load.adapter)
         if running is None or running.load is not load:
@@ -145,12 +154,12 @@
     def lost(
         self, endpoints: fleet.Endpoints, *, now_seconds: float
     ) -> list[tuple[Load, bool]]:
-        """List the loads whose answer can't come any more.
+        """List the loads that can get no answer any more.
 
-        :param endpoints: tells restarts and endpoints that are gone
+        :param endpoints: shows restarted and removed endpoints
         :param now_seconds: reading of the process clock
-        :return: loads to be given to :meth:`end`, and whether each timed out
-            rather than ended with its endpoint
+        :return: loads to pass to :meth:`end`, and whether each timed out
+            (otherwise its endpoint restarted or was removed)
         """
         lost = []
         for running in itertools.chain.from_iterable(
--- a/src/boragefold/policy/placement.py
+++ b/src/boragefold/policy/placement.py
@@ -1,8 +1,9 @@
-"""Which adapter is loaded where, and which one makes room.
+"""Decides which adapter is loaded at which endpoint and what is evicted.
 
-Load pattern: most adapters are idle, a few are hot, and every hour some wake
-up. Without this, loads are ordered twice, hot adapters queue on one endpoint,
-and cold ones wait without end while every slot is in use.
+Load pattern: most adapters are idle, a few are hot, and every hour some idle
+ones are requested again. Without these decisions, adapters would be loaded
+twice, requests for hot adapters would queue at one endpoint, and cold ones
+would wait forever while every slot is in use.
 """
 
 from __future__ import annotations
@@ -32,16 +33,17 @@
 LoadBudget = loads_module.LoadBudget
 Drain = loads_module.Drain
 
-# Of one load while few are in flight.
+# Duration of one load while few are in flight.
 EXPECTED_LOAD_SECONDS = 0.25
-# Where so many found no slot, the next won't either.
+# After this many failed searches for a slot, by model and reason, the next
+# would fail too.
 MAX_UNPLACED = 2
-# Bounds the memory.
+# Bounds the memory of the backoff.
 MAX_FAILURES = 256
 
 
 class Placement:
-    """Decides on loads for the endpoints that this instance gives orders."""
+    """Decides on loads at the endpoints that this instance controls."""
 
     def __init__(
         self,
@@ -78,9 +80,9 @@
         )
 
     def arrived(self, work: works.Work, *, now_seconds: float) -> None:
-        """Note an arrival, for the rate of its adapter.
+        """Count an admitted request in the arrival rate of its adapter.
 
-        :param work: an admitted request
+        :param work: the request
         :param now_seconds: reading of the process clock
         """
         self.arrived_elsewhere(
@@ -98,11 +100,11 @@
         requests: float,
         now_seconds: float,
     ) -> None:
-        """Note arrivals that another instance told of.
+        """Count arrivals that another instance reported.
 
-        :param adapter: what they need
-        :param workspace: whose most of them are
-        :param requests: how many
+        :param adapter: the adapter that the requests need
+        :param workspace: the workspace that sent most of them
+        :param requests: the number of requests
         :param now_seconds: reading of the process clock
         """
         if not adapter.adapter:
@@ -125,19 +127,19 @@
         now_seconds: float,
         warm_up: bool = True,
     ) -> list[Load | Drain]:
-        """Decide on the loads to begin now.
+        """Decide which loads to start now.
 
-        Adapters that an order evicts or drains are taken from the holders
-        at once; an order to evict still has to wait until no instance has a
-        request of that adapter in flight there.
+        An adapter that an order evicts or drains is removed from the holders
+        at once. The caller must delay an eviction order until no instance
+        has a request for that adapter in flight at the endpoint.
 
-        :param demand: what waits for which adapter, of all instances known,
+        :param demand: waiting requests of all known instances, by adapter,
             for the adapters that this instance decides on
-        :param ordered: the endpoints that this instance may give orders
+        :param ordered: the endpoints that this instance may send orders to
         :param now_seconds: reading of the process clock
-        :param warm_up: whether to load also what nobody waits for yet
-        :return: orders; each load must be answered by one of the two calls
-            below
+        :param warm_up: whether to load adapters without waiting requests too
+        :return: orders; the caller must report the end of each load with
+            :meth:`load_ended` or :meth:`load_failed`
         """
         self._forget_lost(now_seconds)
         states = self._usable(ordered)
@@ -173,7 +175,7 @@
         return orders
 
     def load_ended(self, load: Load, *, now_seconds: float) -> None:
-        """Note that a load succeeded; the endpoint becomes a holder.
+        """Record that a load succeeded and the endpoint holds the adapter.
 
         :param load: from :meth:`decide`
         :param now_seconds: reading of the process clock
@@ -196,7 +198,7 @@
         )
 
     def load_failed(self, load: Load, *, now_seconds: float) -> None:
-        """Note that a load failed, timed out or could not be ordered.
+        """Record that a load failed, timed out or could not be sent.
 
         :param load: from :meth:`decide`
         :param now_seconds: reading of the process clock
--- a/src/boragefold/policy/places.py
+++ b/src/boragefold/policy/places.py
@@ -1,7 +1,7 @@
-"""Where among the ordered endpoints an adapter finds a slot.
+"""Search for a slot for an adapter among the controlled endpoints.
 
-Load pattern: many wanted adapters and hundreds of endpoints. Without a bound
-on the endpoints examined, a decision's time would grow with the fleet.
+Load pattern: many adapters to load and hundreds of endpoints. Without a bound
+on the endpoints examined, the time of a decision would grow with the fleet.
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 from boragefold.policy import slots as slots_module
 from boragefold.policy import work as works
 
-# Power of a few random choices; bounds the time of a decision.
+# Size of a random sample, which bounds the time of a decision (the "power of
+# two choices" argument).
 EXAMINED_ENDPOINTS = 8
 
 
 class Places:
-    """Finds slots at endpoints that may take an adapter."""
+    """Finds slots at the endpoints that may load an adapter."""
 
     def __init__(
         self,
@@ -38,13 +39,13 @@
         kept: Container[works.AdapterVersion],
         now_seconds: float,
     ) -> slots_module.Place | None:
-        """Find an empty slot, or one that can be emptied.
+        """Find an empty slot or one whose adapter can be evicted.
 
-        :param adapter: the adapter version to be loaded
-        :param states: endpoints that may be given orders
-        :param kept: adapters that must stay
+        :param adapter: the adapter version to load
+        :param states: endpoints that may be sent orders
+        :param kept: adapters that must not be evicted
         :param now_seconds: reading of the process clock
-        :return: the place, or None
+        :return: the slot, or None
         """
         place = self.free(adapter, states)
         if place is not None:
@@ -60,9 +61,9 @@
     ) -> slots_module.Place | None:
         """Find an empty slot.
 
-        :param adapter: the adapter version to be loaded
-        :param states: endpoints that may be given orders
-        :return: the place, or None
+        :param adapter: the adapter version to load
+        :param states: endpoints that may be sent orders
+        :return: the slot, or None
         """
         return self._slots.free(_fitting(adapter, states))
 
@@ -73,12 +74,12 @@
         *,
         now_seconds: float,
     ) -> slots_module.Place | None:
-        """Find an adapter in use whose slot should become free.
+        """Find an adapter in use whose slot should be drained.
 
-        :param adapter: the adapter version to be loaded there
-        :param states: endpoints that may be given orders
+        :param adapter: the adapter version to load afterwards
+        :param states: endpoints that may be sent orders
         :param now_seconds: reading of the process clock
-        :return: the place, or None
+        :return: the slot, or None
         """
         return self._slots.to_drain(
             self._examined(adapter, states), now_seconds=now_seconds
--- a/src/boragefold/policy/placing.py
+++ b/src/boragefold/policy/placing.py
@@ -1,8 +1,12 @@
-"""Placement among instances: who decides on which adapter's loads.
+"""Adapter placement across instances.
 
-Load pattern: a cold adapter is asked for at several instances, each of which
-may give orders to other endpoints. Without one decider per adapter, it is
-loaded several times, and the store's few loads a second go to copies.
+For each adapter, one instance decides on the loads; the others send it their
+demand.
+
+Load pattern: a cold adapter is requested at several instances, each of which
+controls other endpoints. If each of them decided for itself, the adapter
+would be loaded several times, and the weight store's few loads a second would
+be spent on copies.
 """
 
 from __future__ import annotations
@@ -26,7 +30,7 @@
 
 
 class Placing:
-    """Feeds placement with the demand of all instances we hear from."""
+    """Passes the demand of all reachable instances to the placement."""
 
     def __init__(
         self,
@@ -44,7 +48,7 @@
         self._told: Set[str] = frozenset()
 
     def arrived(self, work: works.Work, *, now_seconds: float) -> None:
-        """Note an admitted request.
+        """Count an admitted request.
 
         :param work: the request
         :param now_seconds: reading of the process clock
@@ -63,11 +67,12 @@
     def digests_by_peer(
         self, own: Mapping[works.AdapterVersion, demands.Demand]
     ) -> dict[str, digests.Digest]:
-        """Sum up for each peer what it decides on; arrivals begin anew.
+        """Summarise for each peer the demand that the peer decides on.
+
+        The arrival counts are reset.
 
-        :param own: what waits here
-        :return: digests by incarnation; peers with nothing to hear are left
-            out
+        :param own: the requests that wait at this instance, by adapter
+        :return: digests by incarnation, without peers that need none
         """
         self._homes.refresh(own)
         waiting = _by_peer(
@@ -84,7 +89,7 @@
             ),
             lambda each: self._rights.orderer(each.endpoint),
         )
-        # Whoever heard from us last time hears that it is over.
+        # A peer that was sent a digest before gets an empty one at the end.
         present = waiting.keys() | arrived.keys() | in_use.keys()
         told, self._told = self._told, present
         return {
@@ -99,10 +104,10 @@
     def peer(
         self, peer: str, digest: digests.Digest, *, now_seconds: float
     ) -> None:
-        """Take in another instance's digest.
+        """Process the digest of another instance.
 
-        :param peer: its incarnation
-        :param digest: what it sent
+        :param peer: the incarnation of that instance
+        :param digest: the digest
         :param now_seconds: reading of the process clock
         """
         self._peers.put(peer, digest, now_seconds=now_seconds)
@@ -121,10 +126,10 @@
         warm_up: bool,
         now_seconds: float,
     ) -> Iterator[actions.Order | actions.Drain]:
-        """Decide on the loads to begin now.
+        """Decide which loads to start now.
 
-        :param own: what waits here
-        :param warm_up: whether to load also what nobody waits for yet
+        :param own: the requests that wait at this instance, by adapter
+        :param warm_up: whether to load adapters without waiting requests too
         :param now_seconds: reading of the process clock
         :return: orders to carry out
         """
@@ -150,7 +155,7 @@
                 yield actions.Drain(order)
 
     def load_ended(self, load: placements.Load, *, now_seconds: float) -> None:
-        """Note that a load succeeded.
+        """Record that a load succeeded.
 
         :param load: from an :class:`actions.Order`
         :param now_seconds: reading of the process clock
@@ -160,7 +165,7 @@
     def load_failed(
         self, load: placements.Load, *, now_seconds: float
     ) -> None:
-        """Note that a load failed, timed out or could not be ordered.
+        """Record that a load failed, timed out or could not be sent.
 
         :param load: from an :class:`actions.Order`
         :param now_seconds: reading of the process clock
--- a/src/boragefold/policy/popularity.py
+++ b/src/boragefold/policy/popularity.py
@@ -1,4 +1,4 @@
-"""How often each adapter was asked for lately."""
+"""Request counts by adapter with exponential decay."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from boragefold.state import deployment
 
 HALF_LIFE_SECONDS = 8.0
-# Many times the places of an engine.
+# Many times the adapter slots of an engine.
 MAX_KEYS = 256
 NEGLIGIBLE = 0.05
 
 
 class Score(NamedTuple):
-    """Requests, each halved with its age."""
+    """An exponentially decaying count of requests."""
 
     amount: float
     at_seconds: float
 
     def now(self, now_seconds: float) -> float:
-        """Read the score.
+        """Return the decayed count.
 
         :param now_seconds: reading of the process clock
-        :return: the requests that still count
+        :return: requests, each weighted by its age
         """
         age_seconds = now_seconds - self.at_seconds
         return float(self.amount * 0.5 ** (age_seconds / HALF_LIFE_SECONDS))
 
 
 class Popularity:
-    """Decaying counts of requests by adapter."""
+    """Decaying request counts by adapter."""
 
     def __init__(self) -> None:
         self._scores: dict[deployment.AdapterKey, Score] = {}
@@ -46,11 +46,11 @@
             self._forget(now_seconds)
 
     def of(self, key: deployment.AdapterKey, *, now_seconds: float) -> float:
-        """Tell how popular an adapter is.
+        """Return the recent requests for an adapter.
 
         :param key: the adapter
         :param now_seconds: reading of the process clock
-        :return: requests lately
+        :return: requests, each weighted by its age
         """
         score = self._scores.get(key)
         return 0.0 if score is None else score.now(now_seconds)
--- a/src/boragefold/policy/roles.py
+++ b/src/boragefold/policy/roles.py
@@ -1,8 +1,9 @@
-"""Which endpoints change their model or role.
+"""Moves endpoints between pools, by a change of their model or role.
 
-Load pattern: the demand moves between models, or between roles, over the
-day. Without this, one pool refuses while another idles; without the
-hysteresis an endpoint wanders between two pools and serves neither.
+Load pattern: over the day, demand shifts between models or between roles.
+Without moves, one pool would refuse requests while another idles. Without the
+hysteresis, an endpoint would move back and forth between two pools and serve
+neither.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 from boragefold.policy import endpoints as fleet
 from boragefold.telemetry import counters as telemetry
 
-# Below the fill at which requests begin to queue.
+# Below the fill at which requests start to queue.
 HIGH_FILL = 0.9
 TARGET_FILL = 0.75
-# The gap up to the high fill is the hysteresis.
+# The difference to the high fill is the hysteresis.
 GIVER_FILL = 0.6
-# Longer than a burst.
+# Longer than a burst of requests.
 CONFIRM_SECONDS = 3.0
-# Several times as long as a model takes to load.
+# Several times the load time of a model.
 MIN_STAY_SECONDS = 600.0
 # A move that isn't published within this time has failed.
 MOVE_TIMEOUT_SECONDS = 300.0
-# The pool's estimate may be wrong.
+# Limits the damage when the estimate of the pool's demand is wrong.
 MAX_GIVEN_SHARE = 0.25
-# A pool that once had demand must be able to answer.
+# A pool that once had demand must stay able to answer.
 MIN_KEPT = 1
 
 
@@ -41,21 +42,21 @@
 
 
 class RoleOrder(NamedTuple):
-    """An order to an endpoint to join another pool, once it is drained."""
+    """An order to an endpoint to join another pool after it is drained."""
 
     endpoint: str
     pool: Pool
 
 
 class Move(NamedTuple):
-    """An order given, and when."""
+    """The target pool of an order, and the time it was sent."""
 
     pool: Pool
     at_seconds: float
 
 
 class Roles:
-    """Moves endpoints from pools with little work to pools with much."""
+    """Moves endpoints from pools with low load to pools with high load."""
 
     def __init__(
         self,
@@ -75,10 +76,10 @@
         ordered: Collection[str],
         now_seconds: float,
     ) -> list[RoleOrder]:
-        """Decide on the moves to begin now; call it about once a second.
+        """Decide which moves to start now; call about once a second.
 
-        :param busy: requests running and waiting, by pool
-        :param ordered: the endpoints that this instance may give orders
+        :param busy: running and waiting requests by pool
+        :param ordered: the endpoints that this instance may send orders to
         :param now_seconds: reading of the process clock
         :return: the orders
         """
@@ -96,7 +97,7 @@
         return orders
 
     def failed(self, order: RoleOrder) -> None:
-        """Note that an endpoint refused an order or didn't get it.
+        """Record that an endpoint refused or did not receive an order.
 
         :param order: from :meth:`decide`
         """
@@ -104,8 +105,8 @@
         self._counters.add("role_changes_failed", order.pool.role)
 
     def _members(self) -> dict[Pool, list[fleet.EndpointState]]:
-        # An endpoint that moves counts where it goes to, or each decision
-        # would move one more.
+        # A moving endpoint counts in its target pool; otherwise each decision
+        # would move another one.
         members = collections.defaultdict(list)
         for state in self._endpoints:
             if not state.spec.leaving:
--- a/src/boragefold/policy/slots.py
+++ b/src/boragefold/policy/slots.py
@@ -1,8 +1,8 @@
-"""In which slot of which endpoint an adapter is loaded.
+"""Choice of the slot into which an adapter is loaded.
 
-Load pattern: more adapters are in use than there are slots. Without a
-protected time of residence, two adapters that are asked for in turns evict
-each other, and every request waits for a load.
+Load pattern: more adapters are in use than there are slots. Without a minimum
+residency, two adapters that are requested alternately would evict each other,
+and every request would wait for a load.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from boragefold.policy import loads
 from boragefold.policy import work as works
 
-# Bounds the part of a slot's time that goes to loading.
+# Bounds the share of a slot's time that is spent on loading.
 MIN_RESIDENCY_SECONDS = 2.0
-# Callers of other adapters wait meanwhile.
+# Bounds the wait of requests for other adapters.
 MAX_RESIDENCY_SECONDS = 10.0
 PROTECTED_GAPS = 2.0
 
 
 class Place(NamedTuple):
-    """An endpoint, and what makes room there."""
+    """A slot at an endpoint, and the adapter to evict from it, if any."""
 
     endpoint: fleet.EndpointState
     evict: works.AdapterVersion | None
 
 
 class Slots:
-    """Looks for the slot whose use for another adapter costs least."""
+    """Finds the slot whose reuse costs least."""
 
     def __init__(
         self, *, rates: arrival_rates.ArrivalRates, loads: loads.Loads
@@ -42,8 +42,8 @@
     def free(self, states: Iterable[fleet.EndpointState]) -> Place | None:
         """Find an endpoint with an empty slot.
 
-        :param states: endpoints that may take the adapter
-        :return: the place, or None
+        :param states: endpoints that may load the adapter
+        :return: the slot, or None
         """
         empty = [
             (state.is_poor(), state.fill(), state.spec.name, state)
@@ -59,12 +59,13 @@
         *,
         now_seconds: float,
     ) -> Place | None:
-        """Find the adapter that is missed least.
+        """Find the adapter whose eviction costs least.
 
-        :param states: endpoints that may take the adapter
-        :param kept: adapters that must stay, such as those waited for
+        :param states: endpoints that may load the new adapter
+        :param kept: adapters that must stay, such as those with waiting
+            requests
         :param now_seconds: reading of the process clock
-        :return: the place, or None
+        :return: the slot, or None
         """
         found = [
             (*self._worth(state, adapter, now_seconds), adapter, state)
@@ -84,11 +85,12 @@
         *,
         now_seconds: float,
     ) -> Place | None:
-        """Find the adapter in use that should get no further requests.
+        """Find the adapter in use whose new requests should be stopped.
 
-        :param states: endpoints where nothing is being emptied yet
+        :param states: endpoints; those with a drained or otherwise blocked
+            slot that no load has claimed yet are skipped
         :param now_seconds: reading of the process clock
-        :return: the place, or None
+        :return: the slot, or None
         """
         found = [
             (*self._worth(state, adapter, now_seconds), adapter, state)
@@ -131,7 +133,7 @@
         per_second = self._rates.per_second(adapter, now_seconds=now_seconds)
         used_at, _gap = self._rates.next_use_seconds(adapter)
         kept = adapter not in state.blocked_at
-        # What is loaded where there is no room can't start.
+        # An adapter can't serve requests where there is no room for them.
         unfit = state.is_poor() or not state.has_room()
         return kept, unfit, per_second, used_at
 
--- a/src/boragefold/policy/stock.py
+++ b/src/boragefold/policy/stock.py
@@ -1,4 +1,4 @@
-"""What admission needs of the fleet-wide rate."""
+"""Interface to the tokens that admission may spend."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Reservation:
-    """Tokens set aside for one request; settled exactly once."""
+    """Tokens reserved for one request; settled exactly once."""
 
     workspace: str
     tokens: float
@@ -18,12 +18,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Shortfall:
-    """There are too few tokens now.
+    """The result of a reservation for which there are too few tokens.
 
     ``ready_in_seconds`` estimates when there will be enough; None means that
-    the request is larger than the workspace's burst and will never fit.
-    ``no_holder`` tells that nobody can be asked for tokens now, which says
-    nothing about the workspace's rate.
+    the request exceeds the workspace's burst size and can never be admitted.
+    ``no_holder`` is set when the instance that holds the workspace's rate is
+    unknown or unreachable, which says nothing about the rate itself.
     """
 
     ready_in_seconds: float | None
@@ -37,30 +37,31 @@
     def reserve(
         self, *, workspace: str, tokens: float
     ) -> Reservation | Shortfall:
-        """Set tokens aside, or say why not and when to come back.
+        """Reserve tokens for a request if there are enough.
 
-        A shortfall also asks the holder of the workspace's rate for more.
+        A shortfall also requests more tokens from the instance that holds
+        the workspace's rate.
 
-        :param workspace: whose rate is charged
-        :param tokens: prompt tokens plus the most that may be generated
+        :param workspace: the workspace whose rate is charged
+        :param tokens: prompt tokens plus the maximum of generated tokens
         :return: a reservation, or the shortfall
         """
 
     @abc.abstractmethod
     def settle(self, reservation: Reservation, *, used_tokens: float) -> None:
-        """Give back what a finished, failed or abandoned request left over.
+        """Return the unused tokens of a finished, failed or cancelled request.
 
-        A second settlement of the same reservation changes nothing.
+        A second settlement of the same reservation has no effect.
 
         :param reservation: from :meth:`reserve`
-        :param used_tokens: prompt and generated tokens really spent
+        :param used_tokens: prompt and generated tokens actually used
         """
 
     @abc.abstractmethod
     def subscribe(self, callback: Callable[[str], None]) -> None:
-        """Be told when a workspace has got more tokens.
+        """Register a callback for the arrival of more tokens.
 
-        :param callback: called with the workspace
+        :param callback: called with the workspace that received tokens
         """
 
 
--- a/src/boragefold/policy/warm_up.py
+++ b/src/boragefold/policy/warm_up.py
@@ -1,8 +1,8 @@
-"""Which adapters are loaded before anybody waits for them.
+"""Loads of recently used adapters into empty slots, ahead of requests.
 
-Load pattern: an engine restarts empty, and what it held is asked for again
-within seconds. Without this, each of those adapters costs a caller a load
-stall although slots and load rate are idle.
+Load pattern: an engine restarts empty, and the adapters that it held are
+requested again within seconds. Without these loads, a caller would wait for
+the load of each, although slots and load rate were idle before.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from boragefold.policy import slots as slots_module
 from boragefold.policy import work as works
 
-# Leaves part of the store's rate to a sudden need.
+# Leaves part of the weight store's load rate for sudden demand.
 PERIOD_SECONDS = 0.5
-# Asked for at least twice in that time.
+# At least two requests within the averaging time.
 MIN_PER_SECOND = 2 / arrival_rates.MEMORY_SECONDS
 
 
 class Early(NamedTuple):
-    """An adapter to be loaded early, and where."""
+    """An adapter to load ahead of requests, and the slot for it."""
 
     want: load_wants.Want
     place: slots_module.Place
 
 
 class WarmUp:
-    """Fills empty slots with what was used of late."""
+    """Fills empty slots with recently used adapters."""
 
     def __init__(
         self,
@@ -49,11 +49,12 @@
     def find(
         self, states: Sequence[fleet.EndpointState], *, now_seconds: float
     ) -> Early | None:
-        """Find the most used adapter that nobody holds, and an empty slot.
+        """Find the most used adapter that no endpoint holds, and a slot.
 
-        :param states: endpoints that may be given orders
+        :param states: endpoints that may be sent orders
         :param now_seconds: reading of the process clock
-        :return: the adapter and its place; None most of the time
+        :return: the adapter and its slot; None when there is nothing to load
+            or the last search was less than a period ago
         """
         if now_seconds < self._next_at_seconds:
             return None
--- a/tests/policy/test_homes.py
+++ b/tests/policy/test_homes.py
@@ -40,9 +40,9 @@
 
 
 def test_a_full_or_slow_endpoint_is_no_home_and_others_stay() -> None:
-    # At five replicas each instance orders one of them. An adapter whose home
-    # is the slow or full one could be loaded only there, and its callers wait
-    # until they give up.
+    # With five replicas each instance controls one of the endpoints. An
+    # adapter whose home is slow or full could be loaded only there, and its
+    # callers would wait until they time out.
     known, each = build()
     before = homes_of(each)
     slow, full = known.get("e0"), known.get("e1")
@@ -60,8 +60,8 @@
 
 
 def test_a_home_is_kept_while_requests_wait() -> None:
-    # An endpoint's fill goes to and fro around the limit. With a home that
-    # followed it, each change would order the same load once more.
+    # An endpoint's fill fluctuates around the limit. If the home changed with
+    # it, each change would start another load of the same adapter.
     known, each = build()
     adapter = ADAPTERS[0]
     before = each.of(adapter)
--- a/tests/policy/test_loads.py
+++ b/tests/policy/test_loads.py
@@ -6,8 +6,9 @@
 
 
 def test_a_slot_that_is_emptied_for_a_load_counts_once() -> None:
-    # A load evicts A for B while two slots are in use. Counted twice, its
-    # slot would keep others from loading; not at all, two would share it.
+    # A load evicts A for B while two slots are in use. If its slot counted
+    # twice, other loads would find no room; if it didn't count, two loads
+    # would use the same slot.
     endpoints = fleet.Endpoints()
     endpoints.put(workloads.spec("e"))
     endpoints.report(workloads.report("e", 0, 0.0))
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -18,7 +18,7 @@
 
 
 class Placer:
-    """A placement over a few endpoints, and the engines' answers."""
+    """A placement over a few endpoints, with simulated load answers."""
 
     def __init__(
         self, *specs: fleet.EndpointSpec, loads: int = 100, seed: int = 1
@@ -78,9 +78,9 @@
 
 
 def test_one_workspaces_cold_tail_leaves_the_store_to_others() -> None:
-    # One workspace touches two hundred idle adapters in one second; another
-    # needs two. The store loads two at a time. First come first served, the
-    # second workspace would stand behind a hundred loads.
+    # One workspace requests two hundred idle adapters within one second while
+    # another requests two; the weight store loads two at a time. In order of
+    # arrival the second workspace would wait for a hundred loads.
     spec = workloads.spec("e", slots=300)
     placer = Placer(spec, loads=2)
     tail = wait_for(*(f"t{number}" for number in range(200)), workspace="a")
@@ -105,8 +105,8 @@
 
 
 def test_an_adapter_in_use_or_waited_for_is_never_evicted() -> None:
-    # Slots are full. One adapter serves a request here, one serves another
-    # instance's, one has a request waiting. None of them may go.
+    # All slots are full: one adapter serves a request of this instance, one
+    # a request of another instance, one has a waiting request.
     placer = Placer(workloads.spec("e", slots=3))
     placer.load(*wait_for("A", "B", "C"))
     here = workloads.work(needs="A")
@@ -121,8 +121,8 @@
 
 
 def test_two_adapters_dont_evict_each_other_without_end() -> None:
-    # One slot, two adapters asked for in turns, ten times a second. Evicted
-    # on each request, the slot would do nothing but load.
+    # One slot and two adapters that are requested alternately, ten times a
+    # second. With an eviction on each request the slot would only load.
     placer = Placer(workloads.spec("e", slots=1))
     loads = 0
     for step in range(200):
@@ -145,9 +145,10 @@
 
 
 def test_one_slot_isnt_emptied_for_two_adapters() -> None:
-    # Two cold adapters find the same idle ones to evict. Ordered with one
-    # victim, the second load would find no slot; a third has none to find,
-    # also when a report shows the victims gone before the loads have ended.
+    # Two cold adapters find the same idle adapters to evict. If both loads
+    # evicted the same one, the second would find no slot. A third load must
+    # not start, not even when a report shows the evictions done before the
+    # loads have ended.
     placer = Placer(workloads.spec("e", slots=2))
     placer.load(*wait_for("A", "B"))
     waiting = wait_for("C", "D", "E")
@@ -164,9 +165,10 @@
 
 
 def test_with_every_slot_in_use_one_is_drained() -> None:
-    # Both slots serve without a pause, so neither can ever be evicted, and a
-    # cold adapter's callers would wait until they give up. After a while one
-    # adapter gets no new requests, and its slot comes free.
+    # Both slots serve requests without a pause, so neither adapter can be
+    # evicted, and the callers of a cold adapter would wait until they time
+    # out. After a while one adapter gets no new requests, and its slot
+    # becomes free.
     placer = Placer(workloads.spec("e", slots=2))
     placer.load(*wait_for("A", "B"))
     busy = {name: workloads.work(needs=name) for name in "AB"}
@@ -201,8 +203,8 @@
 
 
 def test_a_hot_adapter_is_copied_before_its_queue_grows() -> None:
-    # An adapter's rate grows until one engine's batch is nearly full. Nobody
-    # waits yet; when somebody does, it is too late by a load.
+    # An adapter's rate grows until one engine's batch is nearly full. No
+    # request waits yet; a copy loaded only then would come one load too late.
     spec = {"batch_size": 10, "slots": 4}
     placer = Placer(workloads.spec("e", **spec), workloads.spec("f", **spec))
     placer.load(*wait_for("A"))
@@ -219,8 +221,9 @@
 
 
 def test_what_only_a_slow_endpoint_holds_is_copied_elsewhere() -> None:
-    # An engine gets slow. An adapter that nobody else holds goes on being
-    # sent there, and its callers wait although no queue of ours grows.
+    # An engine becomes slow. Requests for an adapter that no other engine
+    # holds would still be sent there and wait, although the queue of this
+    # instance doesn't grow.
     placer = Placer(*(workloads.spec(name) for name in "efg"))
     placer.endpoints.loaded("e", A, now_seconds=0.0)
     slow = placer.state("e")
@@ -232,15 +235,16 @@
     placer.placement.load_ended(load, now_seconds=1.3)
     placer.use(A, 2.0)
     assert not placer.decide(at=2.0)
-    # Nor is a cold adapter loaded there while others have a slot.
+    # Nor is a cold adapter loaded at the slow engine while others have a slot.
     (cold,) = placer.decide(*wait_for("B"), at=2.0)
     assert cold.endpoint != "e"
 
 
 def test_a_full_fleet_isnt_filled_with_copies() -> None:
-    # In an overload every endpoint is full, so every adapter that is waited
-    # for looks hot. Copies would evict others and serve nobody; and two that
-    # find no place must not stop a cold adapter's load.
+    # Under overload every endpoint is full, so every adapter with waiting
+    # requests looks hot. Copies would evict other adapters and start no
+    # request. Two adapters without a slot must not prevent a cold adapter's
+    # load.
     placer = Placer(*(workloads.spec(name) for name in "efg"))
     for name, held in (("e", A), ("f", B), ("g", C)):
         placer.endpoints.loaded(name, held, now_seconds=0.0)
@@ -254,8 +258,8 @@
 
 
 def test_a_failed_load_is_tried_later_and_later() -> None:
-    # An adapter's weights are damaged. Tried again at once, it would take
-    # the whole load rate from those that can be loaded.
+    # An adapter's weights are damaged. Immediate retries would use the whole
+    # load rate and delay intact adapters.
     placer = Placer(workloads.spec("e"))
     attempts = []
     for step in range(600):
@@ -269,7 +273,7 @@
 
 
 def test_a_load_whose_engine_restarted_is_ordered_again_at_once() -> None:
-    # The engine restarts in the middle of a load: its answer never comes.
+    # The engine restarts during a load, so its answer never arrives.
     placer = Placer(workloads.spec("e"), loads=1)
     (load,) = placer.decide(*wait_for("A"))
     placer.endpoints.report(workloads.report("e", 0, 0.1, "i2"))
@@ -289,8 +293,8 @@
 
 
 def test_an_empty_engine_is_warmed_up_with_what_was_used() -> None:
-    # An engine restarts empty. What it held is asked for again in a moment;
-    # loaded then, each of its adapters costs a caller a stall.
+    # An engine restarts empty. The adapters that it held are requested again
+    # soon; if each were loaded only then, its caller would have to wait.
     placer = Placer(workloads.spec("e"))
     placer.load(*wait_for("A", "B"))
     for step in range(10):
@@ -300,7 +304,7 @@
     (load,) = placer.decide(at=10.0, warm_up=True)
     assert (load.adapter, load.reason) == (A, "warm_up")
     placer.placement.load_ended(load, now_seconds=10.3)
-    # Asked for once, B isn't worth a load that nobody waits for.
+    # B had a single request, too few for a load without a waiting request.
     assert not placer.decide(at=11.0, warm_up=True)
 
 
@@ -333,9 +337,9 @@
 def test_slots_and_pins_hold_whatever_happens(
     steps: list[tuple[str, int, str, float]],
 ) -> None:
-    # Invariants: no order evicts what serves a request or is waited for, no
-    # endpoint is ordered more than its slots hold, no adapter is ordered
-    # twice to one endpoint, and the budget is given back exactly once.
+    # Invariants: no order evicts an adapter that serves a request or has one
+    # waiting, no endpoint is sent more loads than it has slots, no adapter is
+    # loaded twice at one endpoint, and the budget is released exactly once.
     names = [f"a{number}" for number in range(8)]
     specs = [workloads.spec(name, slots=2) for name in ("e", "f")]
     placer = Placer(*specs, loads=3)
--- a/tests/policy/test_roles.py
+++ b/tests/policy/test_roles.py
@@ -10,7 +10,7 @@
 
 
 class Mover:
-    """Two pools of engines with a batch of ten, which obey."""
+    """Two pools of engines with a batch size of ten that follow orders."""
 
     def __init__(self, *, x: int, y: int) -> None:
         self.endpoints = fleet.Endpoints()
@@ -44,8 +44,8 @@
 
 
 def test_a_shift_of_demand_moves_enough_endpoints_at_once() -> None:
-    # Late in the day the demand moves from one model to the other. Without
-    # a move one pool refuses while the other idles.
+    # Late in the day the demand shifts from one model to the other. Without
+    # a move one pool would refuse requests while the other idles.
     mover = Mover(x=10, y=10)
     assert not mover.run(50, 50, start=0, seconds=60, obey=True)
     moves = mover.run(20, 95, start=60, seconds=60, obey=True)
@@ -62,7 +62,7 @@
 
 
 def test_endpoints_dont_wander_between_two_full_pools() -> None:
-    # Both pools are nearly full, and each is a little fuller in turns.
+    # Both pools are nearly full, and the fuller one alternates.
     mover = Mover(x=10, y=10)
     moves = []
     for start in range(0, 600, 20):
@@ -81,12 +81,12 @@
 
 
 def test_an_order_that_takes_long_is_not_given_twice() -> None:
-    # Loading a model takes minutes, in which nothing published changes. One
-    # more endpoint ordered every second would empty the giving pool.
+    # Loading a model takes minutes, during which the published model doesn't
+    # change. Another endpoint moved every second would empty the source pool.
     mover = Mover(x=10, y=10)
     moves = mover.run(20, 95, start=0, seconds=120, obey=False)
     assert len(moves) <= 3
-    # After the timeout the orders count as failed, and are given again.
+    # After the timeout the moves count as failed and are ordered again.
     assert mover.run(20, 95, start=310, seconds=10, obey=False)
 
 
