--- a/src/boragefold/policy/adapter_places.py
+++ b/src/boragefold/policy/adapter_places.py
@@ -46,12 +46,12 @@
     :param now_seconds: reading of the process clock
     :return: the slots by adapter
     """
-    present = _flat(held)
+    present = _flatten(held)
     places = {}
     for key, version in {**present, **coming}.items():
         place = before.get(key)
         if place is None or place.version not in (0, version):
-            place = _learned(place, version, now_seconds)
+            place = _new_place(place, version, now_seconds)
         place.confirmed = key not in coming
         place.replaces = key in coming and key in present
         places[key] = place
@@ -70,7 +70,7 @@
     :param held: versions by adapter by model
     :param count: how many orders the engine had accepted
     """
-    present = _flat(held)
+    present = _flatten(held)
     for key, place in places.items():
         seen = place.version in (0, present.get(key, -1))
         if place.count <= count and key in present and seen:
@@ -78,7 +78,7 @@
             place.replaces = False
 
 
-def _learned(
+def _new_place(
     before: Place | None, version: int, ready_at_seconds: float
 ) -> Place:
     return Place(
@@ -88,7 +88,7 @@
     )
 
 
-def _flat(
+def _flatten(
     held: Mapping[str, Mapping[str, int]],
 ) -> dict[AdapterKey, int]:
     return {
--- a/src/boragefold/policy/arrival_rates.py
+++ b/src/boragefold/policy/arrival_rates.py
@@ -14,7 +14,7 @@
 
 MEMORY_SECONDS = 20.0
 # Adapters with fewer expected recent arrivals are removed.
-FORGOTTEN_ARRIVALS = 0.05
+MIN_ARRIVALS = 0.05
 SWEEP_SECONDS = 10.0
 # Weight of the latest interval in the moving average of the intervals.
 GAP_SMOOTHING = 0.3
@@ -130,7 +130,7 @@
         self._arrivals = {
             adapter: known
             for adapter, known in self._arrivals.items()
-            if _decayed(known, now_seconds) >= FORGOTTEN_ARRIVALS
+            if _decayed(known, now_seconds) >= MIN_ARRIVALS
         }
 
 
--- a/src/boragefold/policy/assembly.py
+++ b/src/boragefold/policy/assembly.py
@@ -45,7 +45,7 @@
     :return: the dispatcher
     """
     queue = fair_queue.FairQueue(counters=counters)
-    queue_to_endpoint = sending.Sending(
+    sender = sending.Sending(
         queue=queue,
         choice=choice.Choice(
             endpoints=endpoints,
@@ -57,7 +57,7 @@
         overload=overload.Overload(counters=counters),
         share=fair_share.FairShare(),
     )
-    loads = placing.Placing(
+    fleet_placement = placing.Placing(
         placement=placement.Placement(
             endpoints=endpoints,
             budget=load_budget,
@@ -70,13 +70,13 @@
     return dispatcher.Dispatcher(
         admission=admission.Admission(stock=stock, counters=counters),
         queue=queue,
-        sending=queue_to_endpoint,
+        sending=sender,
         endpoints=endpoints,
         fleet=fleet_events.FleetEvents(
             queue=queue,
-            sending=queue_to_endpoint,
+            sending=sender,
             endpoints=endpoints,
-            placing=loads,
+            placing=fleet_placement,
         ),
         retry_budget=retry_budget.RetryBudget(counters=counters),
         stock=stock,
--- a/src/boragefold/policy/homes.py
+++ b/src/boragefold/policy/homes.py
@@ -21,13 +21,13 @@
 from boragefold.policy import work as works
 
 # Data centres within this distance share the loads of an adapter.
-JOINED_SECONDS = 0.025
+MAX_DISTANCE_SECONDS = 0.025
 # An endpoint with a lower traffic weight counts as slow.
-LEAST_WEIGHT = 0.5
+MIN_WEIGHT = 0.5
 # An endpoint with a fuller batch counts as full.
-MOST_FILL = 0.8
+MAX_FILL = 0.8
 # Enough to find an eligible endpoint when most are ineligible.
-TRIES = 16
+MAX_PROBES = 16
 
 
 class OrderRights(abc.ABC):
@@ -76,7 +76,7 @@
         self._endpoints = endpoints
         self._rights = rights
         self._reachable: dict[str, dict[str, fleet.EndpointState]] = {}
-        self._kept: dict[works.AdapterVersion, str] = {}
+        self._assigned: dict[works.AdapterVersion, str] = {}
 
     def refresh(self, waiting: Container[works.AdapterVersion]) -> None:
         """Discard cached states and the homes of adapters not waited for.
@@ -86,9 +86,9 @@
         :param waiting: the adapters that requests wait for at this instance
         """
         self._reachable.clear()
-        self._kept = {
+        self._assigned = {
             adapter: home
-            for adapter, home in self._kept.items()
+            for adapter, home in self._assigned.items()
             if adapter in waiting
         }
 
@@ -100,13 +100,13 @@
             reached
         """
         reachable = self._reachable_of(adapter.model)
-        kept = self._kept.get(adapter)
-        if kept in reachable:
-            return kept
+        assigned = self._assigned.get(adapter)
+        if assigned in reachable:
+            return assigned
         if not reachable:
             return None
-        home = _first_fit(adapter, reachable)
-        self._kept[adapter] = home
+        home = _pick_home(adapter, reachable)
+        self._assigned[adapter] = home
         return home
 
     def _reachable_of(self, model: str) -> dict[str, fleet.EndpointState]:
@@ -121,14 +121,14 @@
                 )
                 if state.spec.model == model
                 and not state.spec.leaving
-                and state.spec.distance_seconds <= JOINED_SECONDS
+                and state.spec.distance_seconds <= MAX_DISTANCE_SECONDS
                 and self._rights.orderer(state.spec.name) is not None
             }
             self._reachable[model] = states
         return states
 
 
-def _first_fit(
+def _pick_home(
     adapter: works.AdapterVersion,
     reachable: Mapping[str, fleet.EndpointState],
 ) -> str:
@@ -136,15 +136,18 @@
     # endpoints.
     names = list(reachable)
     text = "\0".join(adapter).encode()
-    tries = [
+    candidates = [
         names[xxhash.xxh3_64_intdigest(text, seed=seed) % len(names)]
-        for seed in range(TRIES)
+        for seed in range(MAX_PROBES)
     ]
-    return next((name for name in tries if _is_fit(reachable[name])), tries[0])
+    return next(
+        (name for name in candidates if _is_eligible(reachable[name])),
+        candidates[0],
+    )
 
 
-def _is_fit(state: fleet.EndpointState) -> bool:
-    return state.weight >= LEAST_WEIGHT and state.fill() < MOST_FILL
+def _is_eligible(state: fleet.EndpointState) -> bool:
+    return state.weight >= MIN_WEIGHT and state.fill() < MAX_FILL
 
 
 __all__ = [
--- a/src/boragefold/policy/hot_adapters.py
+++ b/src/boragefold/policy/hot_adapters.py
@@ -19,7 +19,7 @@
 # Used until the first answer was measured.
 DEFAULT_DURATION_SECONDS = 2.0
 # Bounds the cost of the sums, which grows with the number of holders.
-EXAMINED_HOLDERS = 16
+SAMPLED_HOLDERS = 16
 
 
 class HotAdapters:
@@ -70,8 +70,8 @@
     def _is_hot(
         self, adapter: works.AdapterVersion, now_seconds: float
     ) -> bool:
-        everyone = self._endpoints.holders(adapter)
-        holders = _some(everyone)
+        all_holders = self._endpoints.holders(adapter)
+        holders = _sample(all_holders)
         if not holders:
             return False
         if all(state.is_poor() for state in holders):
@@ -94,20 +94,20 @@
         needed = per_second * duration_seconds
         running = sum(state.estimated_running() for state in holders)
         batches = sum(state.spec.batch_size for state in holders)
-        scale = len(everyone) / len(holders)
+        scale = len(all_holders) / len(holders)
         available = max(batches - running, 0) * scale
         available += min(needed, running * scale)
         return needed > HOT_FILL * available
 
 
-def _some(
+def _sample(
     holders: Sequence[fleet.EndpointState],
 ) -> Sequence[fleet.EndpointState]:
-    if len(holders) <= EXAMINED_HOLDERS:
+    if len(holders) <= SAMPLED_HOLDERS:
         return holders
     # The holders are sorted by distance; the sample covers it evenly.
-    step = len(holders) / EXAMINED_HOLDERS
-    return [holders[int(turn * step)] for turn in range(EXAMINED_HOLDERS)]
+    step = len(holders) / SAMPLED_HOLDERS
+    return [holders[int(index * step)] for index in range(SAMPLED_HOLDERS)]
 
 
 __all__ = [
--- a/src/boragefold/policy/load_wants.py
+++ b/src/boragefold/policy/load_wants.py
@@ -95,18 +95,18 @@
         :param wants: from :meth:`make`
         :return: each adapter once
         """
-        lines = collections.defaultdict(list)
+        queues = collections.defaultdict(list)
         for want in wants:
-            lines[want.workspace].append(want)
-        self._follow(set(lines))
-        for line in lines.values():
-            heapq.heapify(line)
-        heap = [(self._spent.value(name), name) for name in lines]
+            queues[want.workspace].append(want)
+        self._update_active(set(queues))
+        for queue in queues.values():
+            heapq.heapify(queue)
+        heap = [(self._spent.value(name), name) for name in queues]
         heapq.heapify(heap)
         while heap:
             _spent, workspace = heapq.heappop(heap)
-            yield heapq.heappop(lines[workspace])
-            if lines[workspace]:
+            yield heapq.heappop(queues[workspace])
+            if queues[workspace]:
                 heapq.heappush(heap, (self._spent.value(workspace), workspace))
 
     def charge(self, workspace: str, load_seconds: float) -> None:
@@ -125,7 +125,7 @@
         """
         self._spent.correct(workspace, load_seconds)
 
-    def _follow(self, present: set[str]) -> None:
+    def _update_active(self, present: set[str]) -> None:
         for workspace in sorted(present - self._active):
             self._spent.join(workspace)
         for workspace in self._active - present:
--- a/src/boragefold/policy/loads.py
+++ b/src/boragefold/policy/loads.py
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Running:
+class ActiveLoad:
     """A load in progress."""
 
     load: Load
@@ -74,7 +74,7 @@
     """Loads in progress, by endpoint and by adapter."""
 
     def __init__(self) -> None:
-        self._running: dict[str, dict[works.AdapterVersion, Running]] = {}
+        self._running: dict[str, dict[works.AdapterVersion, ActiveLoad]] = {}
         self._by_adapter: dict[works.AdapterVersion, int] = {}
 
     def __len__(self) -> int:
@@ -125,12 +125,12 @@
         :param incarnation: the endpoint's incarnation
         :param now_seconds: reading of the process clock
         """
-        self._running.setdefault(load.endpoint, {})[load.adapter] = Running(
+        self._running.setdefault(load.endpoint, {})[load.adapter] = ActiveLoad(
             load=load, incarnation=incarnation, began_at_seconds=now_seconds
         )
         self._by_adapter[load.adapter] = self.of(load.adapter) + 1
 
-    def end(self, load: Load) -> Running | None:
+    def end(self, load: Load) -> ActiveLoad | None:
         """Remove a load.
 
         :param load: the same object as given to :meth:`begin`, not an equal
--- a/src/boragefold/policy/places.py
+++ b/src/boragefold/policy/places.py
@@ -16,7 +16,7 @@
 
 # Size of a random sample, which bounds the time of a decision (the "power of
 # two choices" argument).
-EXAMINED_ENDPOINTS = 8
+SAMPLED_ENDPOINTS = 8
 
 
 class Places:
@@ -51,7 +51,7 @@
         if place is not None:
             return place
         return self._slots.by_eviction(
-            self._examined(adapter, states), kept, now_seconds=now_seconds
+            self._sample(adapter, states), kept, now_seconds=now_seconds
         )
 
     def free(
@@ -65,7 +65,7 @@
         :param states: endpoints that may be sent orders
         :return: the slot, or None
         """
-        return self._slots.free(_fitting(adapter, states))
+        return self._slots.free(_eligible(adapter, states))
 
     def to_drain(
         self,
@@ -82,19 +82,21 @@
         :return: the slot, or None
         """
         return self._slots.to_drain(
-            self._examined(adapter, states), now_seconds=now_seconds
+            self._sample(adapter, states), now_seconds=now_seconds
         )
 
-    def _examined(
+    def _sample(
         self,
         adapter: works.AdapterVersion,
         states: Sequence[fleet.EndpointState],
     ) -> list[fleet.EndpointState]:
-        fitting = _fitting(adapter, states)
-        return self._rng.sample(fitting, min(EXAMINED_ENDPOINTS, len(fitting)))
+        eligible = _eligible(adapter, states)
+        return self._rng.sample(
+            eligible, min(SAMPLED_ENDPOINTS, len(eligible))
+        )
 
 
-def _fitting(
+def _eligible(
     adapter: works.AdapterVersion, states: Sequence[fleet.EndpointState]
 ) -> list[fleet.EndpointState]:
     return [
--- a/src/boragefold/policy/placing.py
+++ b/src/boragefold/policy/placing.py
@@ -45,7 +45,7 @@
         self._peers = digests.Peers()
         self._arrivals = digests.Arrivals()
         self._homes = homes.Homes(endpoints=endpoints, rights=rights)
-        self._told: Set[str] = frozenset()
+        self._notified: Set[str] = frozenset()
 
     def arrived(self, work: works.Work, *, now_seconds: float) -> None:
         """Count an admitted request.
@@ -91,14 +91,14 @@
         )
         # A peer that was sent a digest before gets an empty one at the end.
         present = waiting.keys() | arrived.keys() | in_use.keys()
-        told, self._told = self._told, present
+        notified, self._notified = self._notified, present
         return {
             peer: digests.Digest(
                 waiting=tuple(waiting.get(peer, ())),
                 arrived=tuple(arrived.get(peer, ())),
                 in_use=tuple(in_use.get(peer, ())),
             )
-            for peer in sorted((present | told) - {self._rights.self_name})
+            for peer in sorted((present | notified) - {self._rights.self_name})
         }
 
     def peer(
--- a/src/boragefold/policy/popularity.py
+++ b/src/boragefold/policy/popularity.py
@@ -9,23 +9,23 @@
 HALF_LIFE_SECONDS = 8.0
 # Many times the adapter slots of an engine.
 MAX_KEYS = 256
-NEGLIGIBLE = 0.05
+MIN_SCORE = 0.05
 
 
 class Score(NamedTuple):
     """An exponentially decaying count of requests."""
 
-    amount: float
+    requests: float
     at_seconds: float
 
-    def now(self, now_seconds: float) -> float:
+    def value(self, now_seconds: float) -> float:
         """Return the decayed count.
 
         :param now_seconds: reading of the process clock
         :return: requests, each weighted by its age
         """
         age_seconds = now_seconds - self.at_seconds
-        return float(self.amount * 0.5 ** (age_seconds / HALF_LIFE_SECONDS))
+        return float(self.requests * 0.5 ** (age_seconds / HALF_LIFE_SECONDS))
 
 
 class Popularity:
@@ -40,10 +40,10 @@
         :param key: the adapter
         :param now_seconds: reading of the process clock
         """
-        amount = self.of(key, now_seconds=now_seconds) + 1
-        self._scores[key] = Score(amount, now_seconds)
+        requests = self.of(key, now_seconds=now_seconds) + 1
+        self._scores[key] = Score(requests, now_seconds)
         if len(self._scores) > MAX_KEYS:
-            self._forget(now_seconds)
+            self._prune(now_seconds)
 
     def of(self, key: deployment.AdapterKey, *, now_seconds: float) -> float:
         """Return the recent requests for an adapter.
@@ -53,18 +53,18 @@
         :return: requests, each weighted by its age
         """
         score = self._scores.get(key)
-        return 0.0 if score is None else score.now(now_seconds)
+        return 0.0 if score is None else score.value(now_seconds)
 
-    def _forget(self, now_seconds: float) -> None:
+    def _prune(self, now_seconds: float) -> None:
         kept = sorted(
             self._scores.items(),
-            key=lambda item: item[1].now(now_seconds),
+            key=lambda item: item[1].value(now_seconds),
             reverse=True,
         )
         self._scores = {
             key: score
             for key, score in kept[: MAX_KEYS // 2]
-            if score.now(now_seconds) > NEGLIGIBLE
+            if score.value(now_seconds) > MIN_SCORE
         }
 
 
--- a/src/boragefold/policy/roles.py
+++ b/src/boragefold/policy/roles.py
@@ -21,7 +21,7 @@
 HIGH_FILL = 0.9
 TARGET_FILL = 0.75
 # The difference to the high fill is the hysteresis.
-GIVER_FILL = 0.6
+DONOR_FILL = 0.6
 # Longer than a burst of requests.
 CONFIRM_SECONDS = 3.0
 # Several times the load time of a model.
@@ -29,9 +29,9 @@
 # A move that isn't published within this time has failed.
 MOVE_TIMEOUT_SECONDS = 300.0
 # Limits the damage when the estimate of the pool's demand is wrong.
-MAX_GIVEN_SHARE = 0.25
+MAX_DONATED_SHARE = 0.25
 # A pool that once had demand must stay able to answer.
-MIN_KEPT = 1
+MIN_ENDPOINTS = 1
 
 
 class Pool(NamedTuple):
@@ -67,7 +67,7 @@
         self._endpoints = endpoints
         self._counters = counters
         self._moves: dict[str, Move] = {}
-        self._short_since: dict[Pool, float] = {}
+        self._overloaded_since: dict[Pool, float] = {}
 
     def decide(
         self,
@@ -83,13 +83,13 @@
         :param now_seconds: reading of the process clock
         :return: the orders
         """
-        self._forget_old(now_seconds)
+        self._expire_moves(now_seconds)
         members = self._members()
         orders: list[RoleOrder] = []
-        for pool in self._short_pools(busy, members, now_seconds):
-            missing = _missing(busy[pool], members[pool])
-            givers = self._givers(pool, busy, members, ordered, now_seconds)
-            for state in givers[:missing]:
+        for pool in self._overloaded_pools(busy, members, now_seconds):
+            shortage = _shortage(busy[pool], members[pool])
+            donors = self._donors(pool, busy, members, ordered, now_seconds)
+            for state in donors[:shortage]:
                 self._moves[state.spec.name] = Move(pool, now_seconds)
                 orders.append(RoleOrder(state.spec.name, pool))
                 self._counters.add("role_changes", pool.role)
@@ -118,23 +118,24 @@
         published = Pool(state.spec.model, state.spec.role)
         return published if move is None else move.pool
 
-    def _short_pools(
+    def _overloaded_pools(
         self,
         busy: Mapping[Pool, float],
         members: Mapping[Pool, list[fleet.EndpointState]],
         now_seconds: float,
     ) -> list[Pool]:
-        short = {
+        overloaded = {
             pool
             for pool, requests in busy.items()
             if requests > HIGH_FILL * _capacity(members[pool])
         }
-        self._short_since = {
-            pool: self._short_since.get(pool, now_seconds) for pool in short
+        self._overloaded_since = {
+            pool: self._overloaded_since.get(pool, now_seconds)
+            for pool in overloaded
         }
         confirmed = (
             pool
-            for pool, since_seconds in self._short_since.items()
+            for pool, since_seconds in self._overloaded_since.items()
             if now_seconds - since_seconds >= CONFIRM_SECONDS
         )
         return sorted(
@@ -142,32 +143,32 @@
             key=lambda pool: -busy[pool] / max(_capacity(members[pool]), 1),
         )
 
-    def _givers(
+    def _donors(
         self,
-        taker: Pool,
+        recipient: Pool,
         busy: Mapping[Pool, float],
         members: Mapping[Pool, list[fleet.EndpointState]],
         ordered: Collection[str],
         now_seconds: float,
     ) -> list[fleet.EndpointState]:
-        given: list[fleet.EndpointState] = []
+        donors: list[fleet.EndpointState] = []
         for pool, states in members.items():
-            if pool == taker or not states:
+            if pool == recipient or not states:
                 continue
             movable = [
                 state
                 for state in states
-                if state.spec.name in ordered and self._has_stayed(state)
+                if state.spec.name in ordered and self._is_settled(state)
             ]
             movable.sort(key=lambda state: (state.fill(), state.spec.name))
-            given.extend(movable[: _spare(busy.get(pool, 0.0), states)])
-        return sorted(given, key=lambda state: state.fill())
+            donors.extend(movable[: _surplus(busy.get(pool, 0.0), states)])
+        return sorted(donors, key=lambda state: state.fill())
 
-    def _has_stayed(self, state: fleet.EndpointState) -> bool:
+    def _is_settled(self, state: fleet.EndpointState) -> bool:
         return state.spec.name not in self._moves
 
-    def _forget_old(self, now_seconds: float) -> None:
-        kept = {}
+    def _expire_moves(self, now_seconds: float) -> None:
+        remaining = {}
         for name, move in self._moves.items():
             state = self._endpoints.get(name)
             age_seconds = now_seconds - move.at_seconds
@@ -178,15 +179,15 @@
                 MIN_STAY_SECONDS if arrived else MOVE_TIMEOUT_SECONDS
             )
             if age_seconds < limit_seconds:
-                kept[name] = move
-        self._moves = kept
+                remaining[name] = move
+        self._moves = remaining
 
 
 def _capacity(states: Collection[fleet.EndpointState]) -> int:
     return sum(state.spec.batch_size for state in states)
 
 
-def _missing(requests: float, states: Collection[fleet.EndpointState]) -> int:
+def _shortage(requests: float, states: Collection[fleet.EndpointState]) -> int:
     if not states:
         return 1
     batch_size = _capacity(states) / len(states)
@@ -194,11 +195,11 @@
     return max(needed - len(states), 0)
 
 
-def _spare(requests: float, states: Collection[fleet.EndpointState]) -> int:
+def _surplus(requests: float, states: Collection[fleet.EndpointState]) -> int:
     batch_size = _capacity(states) / len(states)
-    needed = math.ceil(requests / (GIVER_FILL * batch_size))
-    most = math.ceil(MAX_GIVEN_SHARE * len(states))
-    return max(min(len(states) - max(needed, MIN_KEPT), most), 0)
+    needed = math.ceil(requests / (DONOR_FILL * batch_size))
+    limit = math.ceil(MAX_DONATED_SHARE * len(states))
+    return max(min(len(states) - max(needed, MIN_ENDPOINTS), limit), 0)
 
 
 __all__ = [
--- a/src/boragefold/policy/slots.py
+++ b/src/boragefold/policy/slots.py
@@ -68,15 +68,19 @@
         :return: the slot, or None
         """
         found = [
-            (*self._worth(state, adapter, now_seconds), adapter, state)
+            (
+                *self._retention_value(state, adapter, now_seconds),
+                adapter,
+                state,
+            )
             for state in states
             for adapter in (*self._loads.unclaimed(state), *state.resident)
             if not state.is_pinned(adapter)
-            and self._may_go(state, adapter, kept, now_seconds)
+            and self._is_evictable(state, adapter, kept, now_seconds)
         ]
         if not found:
             return None
-        *_worth, adapter, state = min(found, key=lambda each: each[:-1])
+        *_value, adapter, state = min(found, key=lambda each: each[:-1])
         return Place(state, adapter)
 
     def to_drain(
@@ -93,7 +97,11 @@
         :return: the slot, or None
         """
         found = [
-            (*self._worth(state, adapter, now_seconds), adapter, state)
+            (
+                *self._retention_value(state, adapter, now_seconds),
+                adapter,
+                state,
+            )
             for state in states
             if not self._loads.unclaimed(state)
             for adapter in state.resident
@@ -102,10 +110,10 @@
         ]
         if not found:
             return None
-        *_worth, adapter, state = min(found, key=lambda each: each[:-1])
+        *_value, adapter, state = min(found, key=lambda each: each[:-1])
         return Place(state, adapter)
 
-    def _may_go(
+    def _is_evictable(
         self,
         state: fleet.EndpointState,
         adapter: works.AdapterVersion,
@@ -124,7 +132,7 @@
             and now_seconds >= used_at + stay_seconds
         )
 
-    def _worth(
+    def _retention_value(
         self,
         state: fleet.EndpointState,
         adapter: works.AdapterVersion,
@@ -132,10 +140,10 @@
     ) -> tuple[bool, bool, float, float]:
         per_second = self._rates.per_second(adapter, now_seconds=now_seconds)
         used_at, _gap = self._rates.next_use_seconds(adapter)
-        kept = adapter not in state.blocked_at
+        routable = adapter not in state.blocked_at
         # An adapter can't serve requests where there is no room for them.
-        unfit = state.is_poor() or not state.has_room()
-        return kept, unfit, per_second, used_at
+        unusable = state.is_poor() or not state.has_room()
+        return routable, unusable, per_second, used_at
 
 
 def _loaded_at(
--- a/src/boragefold/policy/warm_up.py
+++ b/src/boragefold/policy/warm_up.py
@@ -24,7 +24,7 @@
 MIN_PER_SECOND = 2 / arrival_rates.MEMORY_SECONDS
 
 
-class Early(NamedTuple):
+class EarlyLoad(NamedTuple):
     """An adapter to load ahead of requests, and the slot for it."""
 
     want: load_wants.Want
@@ -48,7 +48,7 @@
 
     def find(
         self, states: Sequence[fleet.EndpointState], *, now_seconds: float
-    ) -> Early | None:
+    ) -> EarlyLoad | None:
         """Find the most used adapter that no endpoint holds, and a slot.
 
         :param states: endpoints that may be sent orders
@@ -63,7 +63,7 @@
             return None
         return next(
             (
-                Early(self._want(adapter, now_seconds), place)
+                EarlyLoad(self._want(adapter, now_seconds), place)
                 for per_second, adapter in self._rates.hottest(
                     now_seconds=now_seconds
                 )
@@ -87,6 +87,6 @@
 
 
 __all__ = [
-    "Early",
+    "EarlyLoad",
     "WarmUp",
 ]
--- a/tests/policy/test_homes.py
+++ b/tests/policy/test_homes.py
@@ -9,7 +9,7 @@
 ADAPTERS = [workloads.adapter(f"x{number}") for number in range(40)]
 
 
-class Everywhere(homes.OrderRights):
+class AllReachable(homes.OrderRights):
     @property
     def self_name(self) -> str:
         return "i1"
@@ -25,7 +25,7 @@
     known = endpoints.Endpoints()
     for number in range(4):
         known.put(workloads.spec(f"e{number}"))
-    return known, homes.Homes(endpoints=known, rights=Everywhere())
+    return known, homes.Homes(endpoints=known, rights=AllReachable())
 
 
 def homes_of(each: homes.Homes) -> dict[str, str | None]:
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -77,7 +77,7 @@
     assert not placer.decide(*wait_for("A"), at=0.3)
 
 
-def test_one_workspaces_cold_tail_leaves_the_store_to_others() -> None:
+def test_cold_loads_of_one_workspace_dont_delay_others() -> None:
     # One workspace requests two hundred idle adapters within one second while
     # another requests two; the weight store loads two at a time. In order of
     # arrival the second workspace would wait for a hundred loads.
@@ -240,7 +240,7 @@
     assert cold.endpoint != "e"
 
 
-def test_a_full_fleet_isnt_filled_with_copies() -> None:
+def test_overload_adds_no_copies_on_full_endpoints() -> None:
     # Under overload every endpoint is full, so every adapter with waiting
     # requests looks hot. Copies would evict other adapters and start no
     # request. Two adapters without a slot must not prevent a cold adapter's
@@ -257,7 +257,7 @@
     assert {(each.endpoint, each.reason) for each in loads} == {("g", "hot")}
 
 
-def test_a_failed_load_is_tried_later_and_later() -> None:
+def test_a_failed_load_backs_off() -> None:
     # An adapter's weights are damaged. Immediate retries would use the whole
     # load rate and delay intact adapters.
     placer = Placer(workloads.spec("e"))
@@ -284,7 +284,7 @@
     assert placer.budget.left == 1
 
 
-def test_a_load_without_an_answer_gives_back_its_place() -> None:
+def test_a_load_without_an_answer_releases_its_budget() -> None:
     placer = Placer(workloads.spec("e"), loads=1)
     placer.decide(*wait_for("A"))
     assert not placer.decide(*wait_for("B"), at=5.0)
@@ -334,7 +334,7 @@
         max_size=60,
     )
 )
-def test_slots_and_pins_hold_whatever_happens(
+def test_slot_and_budget_invariants_hold(
     steps: list[tuple[str, int, str, float]],
 ) -> None:
     # Invariants: no order evicts an adapter that serves a request or has one
