--- a/src/boragefold/policy/homes.py
+++ b/src/boragefold/policy/homes.py
@@ -1,8 +1,11 @@
-"""Which endpoint's orderer decides on the loads of an adapter.
+"""Assignment of each adapter to a home endpoint.
 
-Load pattern: requests for a cold adapter come to many instances at once. Each
-picks the same home for it without asking anybody, so that its loads are
-joined; a home that is full, slow or out of reach could not take the load.
+The instance that controls the home endpoint decides on the adapter's loads.
+
+Load pattern: requests for a cold adapter arrive at many instances at once.
+Each instance computes the same home without communication, so that one load
+serves all of them; endpoints that are full, slow or whose controlling
+instance is unreachable are skipped because they could not take the load.
 """
 
 from __future__ import annotations
@@ -17,49 +20,54 @@
 from boragefold.policy import endpoints as fleet
 from boragefold.policy import work as works
 
-# Nearer data centres load an adapter once for all of them.
-JOINED_SECONDS = 0.025
-# An endpoint with less of its share is no adapter's home.
-LEAST_WEIGHT = 0.5
-# Nor is one whose batch is fuller.
-MOST_FILL = 0.8
-# Enough to find a fit one when most are unfit.
-TRIES = 16
+# Data centres within this distance share the loads of an adapter.
+MAX_DISTANCE_SECONDS = 0.025
+# An endpoint with a lower traffic weight counts as slow.
+MIN_WEIGHT = 0.5
+# An endpoint with a fuller batch counts as full.
+MAX_FILL = 0.8
+# Enough to find an eligible endpoint when most are ineligible.
+MAX_PROBES = 16
 
 
 class OrderRights(abc.ABC):
-    """Which instance gives orders to which endpoint, now."""
+    """Tells which instance currently controls which endpoint.
+
+    At most one instance at a time has the right to send load and eviction
+    orders to an endpoint.
+    """
 
     @property
     @abc.abstractmethod
     def self_name(self) -> str:
-        """Tell who we are.
+        """Return the name of this instance's current process.
 
-        :return: our own incarnation
+        :return: the incarnation of this instance
         """
 
     @abc.abstractmethod
     def ordered(self) -> Collection[str]:
-        """List the endpoints whose order right we hold at this moment.
+        """List the endpoints that this instance controls at this moment.
 
-        :return: their names
+        :return: endpoint names
         """
 
     @abc.abstractmethod
     def orderer(self, endpoint: str) -> str | None:
-        """Tell who holds an endpoint's order right, as far as we know.
+        """Return the instance that controls an endpoint, as far as known.
 
-        :param endpoint: its name
-        :return: an incarnation; None when we can't reach its holder, so that
-            its adapters are decided on elsewhere
+        :param endpoint: the endpoint's name
+        :return: an incarnation; None when the controlling instance is
+            unreachable, so that another endpoint becomes the home of its
+            adapters
         """
 
 
 class Homes:
-    """Picks homes by hashing, passing over the endpoints that are unfit.
+    """Picks home endpoints by hashing and skips ineligible endpoints.
 
-    Views of fill and slowness differ between instances and change quickly, so
-    a home is kept for as long as requests of its adapter wait.
+    Instances see different values of fill and speed, and the values change
+    quickly. An adapter therefore keeps its home while requests wait for it.
     """
 
     def __init__(
@@ -68,38 +76,42 @@
         self._endpoints = endpoints
         self._rights = rights
         self._reachable: dict[str, dict[str, fleet.EndpointState]] = {}
-        self._kept: dict[works.AdapterVersion, str] = {}
+        self._assigned: dict[works.AdapterVersion, str] = {}
 
     def refresh(self, waiting: Container[works.AdapterVersion]) -> None:
-        """Look at the endpoints anew; call it before a series of questions.
+        """Discard cached states and the homes of adapters not waited for.
+
+        Call this before a series of look-ups.
 
-        :param waiting: the adapters that requests wait for here
+        :param waiting: the adapters that requests wait for at this instance
         """
         self._reachable.clear()
-        self._kept = {
+        self._assigned = {
             adapter: home
-            for adapter, home in self._kept.items()
+            for adapter, home in self._assigned.items()
             if adapter in waiting
         }
 
     def of(self, adapter: works.AdapterVersion) -> str | None:
-        """Name an adapter's home.
+        """Return an adapter's home endpoint.
 
         :param adapter: the adapter version
-        :return: an endpoint; None when no orderer can be reached
+        :return: an endpoint name; None when no controlling instance can be
+            reached
         """
         reachable = self._reachable_of(adapter.model)
-        kept = self._kept.get(adapter)
-        if kept in reachable:
-            return kept
+        assigned = self._assigned.get(adapter)
+        if assigned in reachable:
+            return assigned
         if not reachable:
             return None
-        home = _first_fit(adapter, reachable)
-        self._kept[adapter] = home
+        home = _pick_home(adapter, reachable)
+        self._assigned[adapter] = home
         return home
 
     def _reachable_of(self, model: str) -> dict[str, fleet.EndpointState]:
-        # While an orderer can't be reached, its adapters are loaded elsewhere.
+        # Adapters of an endpoint whose controlling instance is unreachable
+        # are loaded elsewhere.
         states = self._reachable.get(model)
         if states is None:
             states = {
@@ -109,29 +121,33 @@
                 )
                 if state.spec.model == model
                 and not state.spec.leaving
-                and state.spec.distance_seconds <= JOINED_SECONDS
+                and state.spec.distance_seconds <= MAX_DISTANCE_SECONDS
                 and self._rights.orderer(state.spec.name) is not None
             }
             self._reachable[model] = states
         return states
 
 
-def _first_fit(
+def _pick_home(
     adapter: works.AdapterVersion,
     reachable: Mapping[str, fleet.EndpointState],
 ) -> str:
-    # An unfit endpoint moves only its own adapters.
+    # Hashing again with another seed moves only the adapters of ineligible
+    # endpoints.
     names = list(reachable)
     text = "\0".join(adapter).encode()
-    tries = [
+    candidates = [
         names[xxhash.xxh3_64_intdigest(text, seed=seed) % len(names)]
-        for seed in range(TRIES)
+        for seed in range(MAX_PROBES)
     ]
-    return next((name for name in tries if _is_fit(reachable[name])), tries[0])
+    return next(
+        (name for name in candidates if _is_eligible(reachable[name])),
+        candidates[0],
+    )
 
 
-def _is_fit(state: fleet.EndpointState) -> bool:
-    return state.weight >= LEAST_WEIGHT and state.fill() < MOST_FILL
+def _is_eligible(state: fleet.EndpointState) -> bool:
+    return state.weight >= MIN_WEIGHT and state.fill() < MAX_FILL
 
 
 __all__ = [
--- a/src/boragefold/policy/places.py
+++ b/src/boragefold/policy/places.py
@@ -1,7 +1,7 @@
-"""Where among the ordered endpoints an adapter finds a slot.
+"""Search for a slot for an adapter among the controlled endpoints.
 
-Load pattern: many wanted adapters and hundreds of endpoints. Without a bound
-on the endpoints examined, a decision's time would grow with the fleet.
+Load pattern: many adapters to load and hundreds of endpoints. Without a bound
+on the endpoints examined, the time of a decision would grow with the fleet.
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 from boragefold.policy import slots as slots_module
 from boragefold.policy import work as works
 
-# Power of a few random choices; bounds the time of a decision.
-EXAMINED_ENDPOINTS = 8
+# Size of a random sample, which bounds the time of a decision (the "power of
+# two choices" argument).
+SAMPLED_ENDPOINTS = 8
 
 
 class Places:
-    """Finds slots at endpoints that may take an adapter."""
+    """Finds slots at the endpoints that may load an adapter."""
 
     def __init__(
         self,
@@ -38,19 +39,19 @@
         kept: Container[works.AdapterVersion],
         now_seconds: float,
     ) -> slots_module.Place | None:
-        """Find an empty slot, or one that can be emptied.
+        """Find an empty slot or one whose adapter can be evicted.
 
-        :param adapter: the adapter version to be loaded
-        :param states: endpoints that may be given orders
-        :param kept: adapters that must stay
+        :param adapter: the adapter version to load
+        :param states: endpoints that may be sent orders
+        :param kept: adapters that must not be evicted
         :param now_seconds: reading of the process clock
-        :return: the place, or None
+        :return: the slot, or None
         """
         place = self.free(adapter, states)
         if place is not None:
             return place
         return self._slots.by_eviction(
-            self._examined(adapter, states), kept, now_seconds=now_seconds
+            self._sample(adapter, states), kept, now_seconds=now_seconds
         )
 
     def free(
@@ -60,11 +61,11 @@
     ) -> slots_module.Place | None:
         """Find an empty slot.
 
-        :param adapter: the adapter version to be loaded
-        :param states: endpoints that may be given orders
-        :return: the place, or None
+        :param adapter: the adapter version to load
+        :param states: endpoints that may be sent orders
+        :return: the slot, or None
         """
-        return self._slots.free(_fitting(adapter, states))
+        return self._slots.free(_eligible(adapter, states))
 
     def to_drain(
         self,
@@ -73,27 +74,29 @@
         *,
         now_seconds: float,
     ) -> slots_module.Place | None:
-        """Find an adapter in use whose slot should become free.
+        """Find an adapter in use whose slot should be drained.
 
-        :param adapter: the adapter version to be loaded there
-        :param states: endpoints that may be given orders
+        :param adapter: the adapter version to load afterwards
+        :param states: endpoints that may be sent orders
         :param now_seconds: reading of the process clock
-        :return: the place, or None
+        :return: the slot, or None
         """
         return self._slots.to_drain(
-            self._examined(adapter, states), now_seconds=now_seconds
+            self._sample(adapter, states), now_seconds=now_seconds
         )
 
-    def _examined(
+    def _sample(
         self,
         adapter: works.AdapterVersion,
         states: Sequence[fleet.EndpointState],
     ) -> list[fleet.EndpointState]:
-        fitting = _fitting(adapter, states)
-        return self._rng.sample(fitting, min(EXAMINED_ENDPOINTS, len(fitting)))
+        eligible = _eligible(adapter, states)
+        return self._rng.sample(
+            eligible, min(SAMPLED_ENDPOINTS, len(eligible))
+        )
 
 
-def _fitting(
+def _eligible(
     adapter: works.AdapterVersion, states: Sequence[fleet.EndpointState]
 ) -> list[fleet.EndpointState]:
     return [
