--- a/src/boragefold/policy/actions.py
+++ b/src/boragefold/policy/actions.py
@@ -1,4 +1,4 @@
-"""What the dispatcher asks its owner to do, and the interface for doing it."""
+"""The dispatcher's actions, and the interface that performs them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Send(NamedTuple):
-    """Send a request to an endpoint; attempts count from one."""
+    """Send a request to an endpoint; ``attempt`` counts from one."""
 
     work: works.Work
     endpoint: str
@@ -27,11 +27,11 @@
 
 
 class GiveUp(NamedTuple):
-    """Answer that the request failed and is not tried again.
+    """Answer that the request failed and is not retried.
 
-    ``reason`` is one of a small fixed set. ``may_have_run`` tells an outcome
-    that is unknown from one that is known: a byte of the request may have
-    reached an endpoint.
+    ``reason`` is one of a small fixed set. ``may_have_run`` is true when a
+    byte of the request may have reached an endpoint, so that its outcome is
+    unknown.
     """
 
     work: works.Work
@@ -40,10 +40,10 @@
 
 
 class Order(NamedTuple):
-    """Carry out a load; answer with ``load_ended`` or ``load_failed``.
+    """Have an adapter loaded; ``load_ended`` or ``load_failed`` must follow.
 
-    Where it evicts, every instance has to stop using the evicted adapter at
-    that endpoint first, and nothing that uses it may still be in flight.
+    If the load evicts an adapter, every instance must first stop using that
+    one at the endpoint, and no request that uses it may still be in flight.
     """
 
     load: placement.Load
@@ -56,7 +56,7 @@
 
 
 class Tell(NamedTuple):
-    """Send a digest to the instance that decides on what is in it."""
+    """Send a digest to the instance that decides on its adapters."""
 
     peer: str
     digest: digests.Digest
@@ -66,55 +66,55 @@
 
 
 class Performer(abc.ABC):
-    """Does what the dispatcher decides.
+    """Performs the dispatcher's actions.
 
-    No method may call the dispatcher back before it returns.
+    No method may call the dispatcher before it returns.
     """
 
     @abc.abstractmethod
     def send(self, send: Send) -> None:
         """Send a request.
 
-        :param send: what, where to, and which attempt it is
+        :param send: the request, the endpoint and the number of the attempt
         """
 
     @abc.abstractmethod
     def refuse(self, refuse: Refuse) -> None:
-        """Answer a request with "not run".
+        """Answer that a request was not run.
 
-        :param refuse: which one, and why
+        :param refuse: the request, and the refusal
         """
 
     @abc.abstractmethod
     def give_up(self, give_up: GiveUp) -> None:
         """Answer a request whose last attempt failed.
 
-        :param give_up: which one, and whether it may have run
+        :param give_up: the request, and whether it may have run
         """
 
     @abc.abstractmethod
     def order(self, order: Order) -> None:
         """Order an endpoint to load an adapter.
 
-        :param order: what, where, and what it evicts
+        :param order: the adapter, the endpoint, and what the load evicts
         """
 
     @abc.abstractmethod
     def drain(self, drain: Drain) -> None:
         """Tell all instances to stop using an adapter at an endpoint.
 
-        :param drain: which one
+        :param drain: the adapter and the endpoint
         """
 
     @abc.abstractmethod
     def tell(self, tell: Tell) -> None:
         """Send a digest to another instance; it may be lost.
 
-        :param tell: to whom, and what
+        :param tell: the receiver and the digest
         """
 
     def perform(self, action: Action) -> None:
-        """Do one action.
+        """Perform one action.
 
         :param action: from :meth:`Dispatcher.next_actions`
         """
--- a/src/boragefold/policy/attempts.py
+++ b/src/boragefold/policy/attempts.py
@@ -1,8 +1,8 @@
-"""Attempts at endpoints: begun, ended, and retried where that is safe.
+"""Starts and ends attempts at endpoints, and retries them where it is safe.
 
 Load pattern: an endpoint fails with many requests in flight. Without the
-budget and the rule for non-idempotent requests, each of them comes back at
-once, and some of them run twice.
+retry budget and the rule for non-idempotent requests, all of them are retried
+at once, and some of them run twice.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from boragefold.policy import sending as sending_module
 from boragefold.telemetry import counters as telemetry
 
-# Beyond so many the views of the fleet don't agree.
+# More refusals show that the instances' views of the fleet don't agree.
 MAX_NOT_HELD = 32
 NOT_HELD_RETRY_AFTER_SECONDS = 2.0
 
 
 class Attempts:
-    """Sends requests to endpoints and takes them back."""
+    """Sends requests to endpoints, and queues failed ones again."""
 
     def __init__(
         self,
@@ -44,10 +44,10 @@
         self._counters = counters
 
     def begin(self, *, now_seconds: float) -> Iterator[actions.Send]:
-        """Send what can start now.
+        """Send the requests that can start now.
 
         :param now_seconds: reading of the process clock
-        :return: requests and where they go
+        :return: requests and the endpoints to send them to
         """
         for work, endpoint in self._sending.matches(
             self._requests.excluded, now_seconds=now_seconds
@@ -67,10 +67,10 @@
         used_tokens: float,
         now_seconds: float,
     ) -> None:
-        """Note that a request is no longer at its endpoint, if it was.
+        """Record that a request has left its endpoint, if it was at one.
 
         :param request: the request
-        :param used_tokens: prompt and generated tokens really spent
+        :param used_tokens: prompt and generated tokens actually used
         :param now_seconds: reading of the process clock
         """
         if not request.endpoint:
@@ -90,13 +90,13 @@
         used_tokens: float,
         now_seconds: float,
     ) -> actions.GiveUp | None:
-        """Note that an attempt failed, and retry it where that is safe.
+        """Record a failed attempt, and retry the request where that is safe.
 
         :param request: a request that was sent
         :param bytes_sent: whether a byte of it may have reached the endpoint
-        :param used_tokens: tokens that the caller has got
+        :param used_tokens: tokens of the answer that the caller has received
         :param now_seconds: reading of the process clock
-        :return: what the caller is told, or None when it is repeated
+        :return: the answer to the caller, or None when it is retried
         """
         endpoint = request.endpoint
         request.may_have_run |= bytes_sent
@@ -119,13 +119,13 @@
     def not_held(
         self, request: requests_module.Request, *, now_seconds: float
     ) -> actions.Action | None:
-        """Note that an endpoint refused for want of the adapter.
+        """Record that an endpoint refused because it lacks the adapter.
 
-        Nothing ran, so the request may be repeated, whatever it is.
+        Nothing ran, so the request may be retried even if not idempotent.
 
         :param request: a request that was sent
         :param now_seconds: reading of the process clock
-        :return: what the caller is told, or None when it is repeated
+        :return: the answer to the caller, or None when it is retried
         """
         endpoint = request.endpoint
         self._endpoints.evicted(
@@ -154,8 +154,9 @@
         endpoint: str,
         now_seconds: float,
     ) -> None:
-        # The only holder may fail its requests again and again; counted as no
-        # holder, it makes placement load another.
+        # The only holder may fail the adapter's requests again and again.
+        # When it no longer counts as a holder, placement loads the adapter on
+        # another endpoint.
         if endpoint in self._requests.excluded.get(
             request.work.request_id, frozenset()
         ):
@@ -170,7 +171,8 @@
         now_seconds: float,
     ) -> None:
         if request.answered:
-            # Counted from the arrival, a long answer could never be resumed.
+            # Restarts the timeout: counted from the arrival, a long answer
+            # could never be resumed.
             work = request.work
             patience = work.give_up_at_seconds - work.arrived_at_seconds
             request.work = work._replace(
@@ -183,13 +185,13 @@
 def ended_unserved(
     request: requests_module.Request, refused: refusal.Refused
 ) -> actions.Action:
-    """Word the end of a request that waited in vain, truthfully.
+    """Choose the answer to a request that ended while it was queued.
 
-    A request that failed at an endpoint and waited to be repeated may have
+    A request that failed at an endpoint and was queued for a retry may have
     run there: refusing it as "not run" would have its caller send it again.
 
     :param request: the request
-    :param refused: what to say if no attempt was ever made
+    :param refused: the answer if no attempt was made
     :return: the refusal, or that the outcome is unknown
     """
     if request.may_have_run:
--- a/src/boragefold/policy/backoff.py
+++ b/src/boragefold/policy/backoff.py
@@ -1,8 +1,8 @@
 """When something that failed may be tried again.
 
 Load pattern: an adapter's weights are damaged, or the store fails for a
-while. Without this, each failure is followed by the next attempt at once, and
-the load rate is spent on what can't succeed.
+while. Without backoff, each failure is followed by another attempt at once,
+and the load rate is spent on attempts that can't succeed.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 Key = TypeVar("Key")
 
-# A single failure costs little.
+# Short, so that a single failure costs little.
 FIRST_SECONDS = 0.5
 # Often enough to notice that a damaged adapter was repaired.
 MAX_SECONDS = 60.0
-# Attempts that failed together must not come back together.
+# Spreads the retries of attempts that failed together.
 JITTER = 0.5
 MAX_DOUBLINGS = 8
 
 
 class Failures(NamedTuple):
-    """The failures in a row, and when the next attempt may be made."""
+    """Consecutive failures, and when the next attempt may be made."""
 
     in_a_row: int
     not_before_seconds: float
 
 
 class Backoff(Generic[Key]):
-    """Doubles the pause after each failure in a row."""
+    """Doubles the pause after each consecutive failure."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
@@ -41,17 +41,17 @@
         return len(self._failures)
 
     def allows(self, key: Key, *, now_seconds: float) -> bool:
-        """Tell whether an attempt may be made.
+        """Return whether an attempt may be made now.
 
         :param key: what is attempted
         :param now_seconds: reading of the process clock
-        :return: whether no pause is left
+        :return: whether the pause is over
         """
         failures = self._failures.get(key)
         return failures is None or failures.not_before_seconds <= now_seconds
 
     def failed(self, key: Key, *, now_seconds: float) -> None:
-        """Note a failure.
+        """Record a failure.
 
         :param key: what was attempted
         :param now_seconds: reading of the process clock
@@ -64,14 +64,14 @@
         self._failures[key] = Failures(before + 1, now_seconds + pause_seconds)
 
     def succeeded(self, key: Key) -> None:
-        """Forget the failures.
+        """Reset the failures after a success.
 
         :param key: what was attempted
         """
         self._failures.pop(key, None)
 
     def forget_old(self, *, now_seconds: float) -> None:
-        """Drop what was not tried again for long, to bound the memory.
+        """Drop keys that were not retried for long, to bound the memory.
 
         :param now_seconds: reading of the process clock
         """
--- a/src/boragefold/policy/choice.py
+++ b/src/boragefold/policy/choice.py
@@ -1,9 +1,9 @@
-"""To which endpoint a request is sent.
+"""Chooses the endpoint that a request is sent to.
 
-Load pattern: a hot adapter, an endpoint that gets slow, a full data centre.
-Without this, instances with the same lagged report herd onto one endpoint, a
-slow one goes on getting its share until it fails, and an adapter's requests
-are spread so thinly that no batch fills.
+Load pattern: a hot adapter, an endpoint that becomes slow, a full data
+centre. Without this choice, all instances that see the same outdated report
+send to one endpoint, a slow endpoint keeps its share until it fails, and an
+adapter's requests are spread so thinly that no batch fills.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 from boragefold.policy import work as works
 from boragefold.telemetry import counters as telemetry
 
-# Half a batch costs little more than one request.
+# A half-full batch costs little more than a single request.
 CONCENTRATE_FILL = 0.5
-# With a chance that reaches one at this fill: at a sharp limit all instances
-# would move on together.
+# The chance to move on grows to one at this fill: at a sharp limit all
+# instances would switch endpoints at the same time.
 SPREAD_FILL = 1.0
 ORDERED_HOLDERS = 8
-# Two choices remove most imbalance; two more replace full or slow ones.
+# Two choices remove most imbalance; two more make up for full or slow ones.
 RANDOM_CHOICES = 4
-# Bounds the time of a decision.
+# Bounds the time of one decision.
 SCANNED_HOLDERS = 32
 # Assumed before the first answer.
 DEFAULT_LATENCY_SECONDS = 0.4
-# A farther data centre's reports are older.
+# Reports from a farther data centre are older, so the gain must be larger.
 FAR_MARGIN_SECONDS = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Chosen:
-    """Send it there; call :meth:`endpoints.Endpoints.sent` first."""
+    """The endpoint; call :meth:`endpoints.Endpoints.sent` before sending."""
 
     endpoint: str
     wait_seconds: float
@@ -59,7 +59,7 @@
 
 
 class Choice:
-    """Chooses among the holders of an adapter."""
+    """Chooses among the endpoints that hold a request's adapter."""
 
     def __init__(
         self,
@@ -69,12 +69,12 @@
         counters: telemetry.Counters,
         instances: Callable[[], int] = lambda: 1,
     ) -> None:
-        """Choose for one of several instances.
+        """Create the choice of one of several instances.
 
-        :param endpoints: what is known of the endpoints
-        :param rng: the source of chance
-        :param counters: count where requests are sent to, and why
-        :param instances: how many instances send to the same endpoints
+        :param endpoints: the known endpoints and their state
+        :param rng: source of randomness
+        :param counters: count the choices by reason
+        :param instances: number of instances that use the same endpoints
         """
         self._endpoints = endpoints
         self._rng = rng
@@ -117,10 +117,10 @@
         )
 
     def has_room(self, adapter: works.AdapterVersion) -> bool:
-        """Tell whether an adapter's next request could start at once.
+        """Return whether a request for an adapter could start at once.
 
         :param adapter: the adapter version
-        :return: whether a near holder has room
+        :return: whether a holder in the nearest data centre has room
         """
         holders = self._endpoints.holders(adapter)
         if not holders:
@@ -134,8 +134,8 @@
         work: works.Work,
         excluded: frozenset[str],
     ) -> fleet.EndpointState | None:
-        # In the same order everywhere, so that instances fill one batch
-        # together.
+        # All instances try the holders in the same order, so that together
+        # they fill one batch.
         cached = self._cached(near, work)
         if cached is not None and self._accepts(cached, excluded):
             self._counters.add("requests_chosen", "prefix")
@@ -168,7 +168,8 @@
     ) -> bool:
         if state.spec.name in excluded:
             return False
-        # The other instances see the same report and send as much as we do.
+        # The other instances see the same report, and are assumed to have
+        # sent as much since as this one.
         unseen = (self._instances() - 1) * state.sent_since
         fill = state.fill() + unseen / max(state.spec.batch_size, 1)
         over = fill - CONCENTRATE_FILL
@@ -195,7 +196,7 @@
                 ),
                 None,
             )
-        # A slow endpoint comes up as often as its weight says.
+        # A slow endpoint stays a candidate with a chance of its weight.
         healthy = [
             state for state in usable if self._rng.random() < state.weight
         ]
@@ -252,7 +253,7 @@
 def _split(
     holders: Sequence[fleet.EndpointState],
 ) -> tuple[Sequence[fleet.EndpointState], Sequence[fleet.EndpointState]]:
-    # Holders come in order of distance.
+    # Holders are sorted by distance.
     distance = holders[0].spec.distance_seconds
     if holders[-1].spec.distance_seconds == distance:
         return holders, ()
@@ -270,7 +271,7 @@
 
 
 def _slot_seconds(holders: Sequence[fleet.EndpointState]) -> float:
-    # Full holders get room as often as one of their requests ends.
+    # A full pool gets room each time that one of its requests ends.
     first = holders[0]
     duration_seconds = first.duration_seconds or 0.0
     running = first.estimated_running() * len(holders)
--- a/src/boragefold/policy/digest.py
+++ b/src/boragefold/policy/digest.py
@@ -1,8 +1,8 @@
 """What instances tell each other, so that one decides for all.
 
 Load pattern: requests for one adapter arrive at several instances at once.
-Without this, each instance has the adapter loaded on endpoints of its own,
-and evicts what the others are using.
+Without these digests, each instance has the adapter loaded on other
+endpoints, and evicts adapters that other instances use.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Waiting(NamedTuple):
-    """What of one workspace waits for one adapter."""
+    """Tokens of one workspace that are queued for one adapter."""
 
     adapter: works.AdapterVersion
     workspace: str
@@ -27,7 +27,7 @@
 
 
 class Arrived(NamedTuple):
-    """How many requests for an adapter came since the last digest."""
+    """Requests for an adapter that arrived since the last digest."""
 
     adapter: works.AdapterVersion
     workspace: str
@@ -35,17 +35,17 @@
 
 
 class InUse(NamedTuple):
-    """The adapters that serve requests of ours at one endpoint."""
+    """The adapters that the sender's requests use at one endpoint."""
 
     endpoint: str
     adapters: tuple[works.AdapterVersion, ...]
 
 
 class Digest(NamedTuple):
-    """What one instance tells the one that decides on these adapters.
+    """What one instance sends to the one that decides on these adapters.
 
-    ``waiting`` and ``arrived`` are of adapters that the receiver decides on,
-    ``in_use`` of endpoints that it gives orders to.
+    ``waiting`` and ``arrived`` are limited to the adapters whose loads the
+    receiver decides on, ``in_use`` to the endpoints that it commands.
     """
 
     waiting: tuple[Waiting, ...]
@@ -54,22 +54,22 @@
 
 
 class Peers:
-    """The latest digest of each other instance."""
+    """Keeps the latest digest of each other instance."""
 
     def __init__(self) -> None:
         self._latest: dict[str, tuple[float, Digest]] = {}
 
     def put(self, peer: str, digest: Digest, *, now_seconds: float) -> None:
-        """Take in a digest.
+        """Store a digest.
 
-        :param peer: the incarnation that it came from
-        :param digest: replaces the peer's last
+        :param peer: the incarnation that sent it
+        :param digest: replaces the previous one of this peer
         :param now_seconds: reading of the process clock
         """
         self._latest[peer] = (now_seconds, digest)
 
     def expire(self, *, now_seconds: float) -> None:
-        """Forget the digests that are too old.
+        """Drop the digests that are too old.
 
         :param now_seconds: reading of the process clock
         """
@@ -85,14 +85,15 @@
         *,
         decides: Callable[[works.AdapterVersion], bool],
     ) -> dict[works.AdapterVersion, demands.Demand]:
-        """Add the peers' waiting work to our own.
+        """Add the peers' queued work to that of this instance.
 
-        Whatever a peer tells us is ours to decide on, also where we think
-        otherwise: two loads while views differ are better than none.
+        Adapters that a peer reports are always included, also where this
+        instance believes that another one decides on them: two loads while
+        the views of the fleet differ are better than none.
 
-        :param own: what waits here
-        :param decides: whether we decide on an adapter's loads
-        :return: what waits for the adapters that we decide on
+        :param own: what is queued at this instance
+        :param decides: whether this instance decides on an adapter's loads
+        :return: what is queued for the adapters that it decides on
         """
         total = {
             adapter: demands.Demand(
@@ -109,7 +110,7 @@
         return total
 
     def in_use(self, endpoint: str) -> frozenset[works.AdapterVersion]:
-        """Tell what the peers use at an endpoint.
+        """Return the adapters that the peers use at an endpoint.
 
         :param endpoint: its name
         :return: adapters that must not be evicted there
@@ -124,7 +125,7 @@
 
 
 class Arrivals:
-    """Counts our own arrivals between two digests."""
+    """Counts the requests that arrive at this instance between two digests."""
 
     def __init__(self) -> None:
         self._counts: collections.Counter[tuple[works.AdapterVersion, str]] = (
@@ -132,15 +133,15 @@
         )
 
     def add(self, work: works.Work) -> None:
-        """Count an arrival.
+        """Count an admitted request.
 
-        :param work: an admitted request
+        :param work: the request
         """
         if work.needs.adapter:
             self._counts[work.needs, work.workspace] += 1
 
     def take(self) -> tuple[Arrived, ...]:
-        """Hand over the counts and begin anew.
+        """Return the counts and reset them.
 
         :return: one entry per adapter and workspace
         """
@@ -154,9 +155,9 @@
 def waiting_of(
     own: Mapping[works.AdapterVersion, demands.Demand],
 ) -> tuple[Waiting, ...]:
-    """Write waiting work down for a digest.
+    """Convert the queued work to entries of a digest.
 
-    :param own: what waits here
+    :param own: what is queued at this instance
     :return: one entry per adapter and workspace
     """
     return tuple(
--- a/src/boragefold/policy/dispatcher.py
+++ b/src/boragefold/policy/dispatcher.py
@@ -1,9 +1,9 @@
-"""The decisions put together: events in, actions out.
+"""Composes the decisions about requests: events in, actions out.
 
-Load pattern: all of them at once. A request passes admission, overload and
-the fair queue, is sent when an endpoint that holds its adapter has room, and
-comes back when its attempt fails. Whatever waits for tokens, for an adapter
-or for room holds up nothing else.
+Load pattern: all of the patterns at once. A request passes admission, load
+shedding and the fair queue, is sent when an endpoint that holds its adapter
+has room, and is queued again when its attempt fails. A request that waits for
+tokens, for an adapter or for room blocks no other.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 class Dispatcher:
     """Composes the decisions of one entry instance.
 
-    What happens to requests is told here, what happens in the fleet to
+    Request events are reported to this class, fleet events to
     :attr:`fleet`. Call :meth:`run` after each event, and when it is due.
     """
 
@@ -81,7 +81,7 @@
         return self._queue_up(request, now_seconds)
 
     def first_token(self, request_id: str, *, now_seconds: float) -> None:
-        """Note the first byte of an answer.
+        """Record the first byte of an answer.
 
         :param request_id: the request
         :param now_seconds: reading of the process clock
@@ -96,10 +96,10 @@
     def finished(
         self, request_id: str, *, used_tokens: float, now_seconds: float
     ) -> None:
-        """Note that an answer is whole.
+        """Record that an answer is complete.
 
         :param request_id: the request
-        :param used_tokens: prompt and generated tokens really spent
+        :param used_tokens: prompt and generated tokens actually used
         :param now_seconds: reading of the process clock
         """
         request = self._requests.get(request_id)
@@ -114,11 +114,11 @@
         used_tokens: float = 0.0,
         now_seconds: float,
     ) -> None:
-        """Note that an attempt failed; it is retried where that is safe.
+        """Record a failed attempt, and retry the request where that is safe.
 
         :param request_id: the request
         :param bytes_sent: whether a byte of it may have reached the endpoint
-        :param used_tokens: tokens of the answer that the caller has got
+        :param used_tokens: tokens of the answer that the caller has received
         :param now_seconds: reading of the process clock
         """
         request = self._sent(request_id)
@@ -134,9 +134,9 @@
             self._endings.append(ending)
 
     def not_held(self, request_id: str, *, now_seconds: float) -> None:
-        """Note that an endpoint refused for want of the adapter.
+        """Record that an endpoint refused because it lacks the adapter.
 
-        :param request_id: the request, of which nothing ran
+        :param request_id: the request, which has not run
         :param now_seconds: reading of the process clock
         """
         request = self._sent(request_id)
@@ -153,10 +153,10 @@
         used_tokens: float = 0.0,
         now_seconds: float,
     ) -> None:
-        """Forget a request whose caller has gone.
+        """Forget a request whose caller has disconnected.
 
         :param request_id: the request
-        :param used_tokens: prompt and generated tokens really spent
+        :param used_tokens: prompt and generated tokens actually used
         :param now_seconds: reading of the process clock
         """
         request = self._requests.get(request_id)
@@ -167,7 +167,7 @@
         self._end(request, used_tokens, now_seconds)
 
     def next_due_seconds(self) -> float:
-        """Tell when :meth:`next_actions` has something to do, at the latest.
+        """Return when :meth:`next_actions` has to be called at the latest.
 
         :return: reading of the process clock
         """
@@ -182,7 +182,7 @@
         """Decide what to do now; call it after events and when it is due.
 
         :param now_seconds: reading of the process clock
-        :return: actions, to be done in this order
+        :return: actions, to be performed in this order
         """
         self._advance_admission(now_seconds)
         self._expire(now_seconds)
@@ -192,9 +192,9 @@
         return [*endings, *due]
 
     def run(self, performer: actions.Performer, *, now_seconds: float) -> None:
-        """Do what is to be done now.
+        """Perform the actions that are due now.
 
-        :param performer: does it
+        :param performer: performs each action
         :param now_seconds: reading of the process clock
         """
         for action in self.next_actions(now_seconds=now_seconds):
--- a/src/boragefold/policy/endpoint_requests.py
+++ b/src/boragefold/policy/endpoint_requests.py
@@ -1,7 +1,7 @@
-"""Our own requests at an endpoint, under way and just ended.
+"""This instance's requests at an endpoint, in flight and recently ended.
 
 Load pattern: reports lag, so a request may have begun or ended after the
-last one was measured. Without its moments it would count twice or not at all.
+last one was measured. Without its times it would count twice or not at all.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Sent(NamedTuple):
-    """A request of ours that an endpoint works on."""
+    """A request of this instance that is in flight at an endpoint."""
 
     adapter: works.AdapterVersion
     prompt_tokens: int
@@ -20,16 +20,16 @@
 
 
 class Ended(NamedTuple):
-    """A request of ours that a report may still count as running."""
+    """An ended request that a later report may still count as running."""
 
     sent_at_seconds: float
     ended_at_seconds: float
 
     def counted_by(self, measured_at_seconds: float) -> bool:
-        """Tell whether a report counts this request as running.
+        """Return whether a report counts this request as running.
 
         :param measured_at_seconds: when the report was measured
-        :return: whether the request began before and ended after
+        :return: whether the request began before that and ended after it
         """
         began = self.sent_at_seconds <= measured_at_seconds
         return began and measured_at_seconds < self.ended_at_seconds
--- a/src/boragefold/policy/endpoint_spec.py
+++ b/src/boragefold/policy/endpoint_spec.py
@@ -1,4 +1,4 @@
-"""What is published of an endpoint, and what it reports of itself."""
+"""The published properties of an endpoint, and its load reports."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class EndpointSpec(NamedTuple):
-    """What is published of an endpoint, and how far away it is.
+    """The published properties of an endpoint, and its distance.
 
-    ``distance_seconds`` is the round trip from this instance.
+    ``distance_seconds`` is the round-trip time from this instance.
     """
 
     name: str
@@ -24,10 +24,11 @@
 
 
 class LoadReport(NamedTuple):
-    """What an endpoint said of itself.
+    """The load that an endpoint reports.
 
-    ``measured_at_seconds`` is on our own clock: the arrival of the report
-    less its age. ``resident`` is None when the report doesn't list adapters.
+    ``measured_at_seconds`` is on this instance's clock: the arrival of the
+    report less its age. ``resident`` is None when the report doesn't list
+    adapters.
     """
 
     endpoint: str
--- a/src/boragefold/policy/endpoint_state.py
+++ b/src/boragefold/policy/endpoint_state.py
@@ -1,8 +1,8 @@
-"""One endpoint as this instance sees it.
+"""The state of one endpoint as this instance knows it.
 
-Load pattern: load reports lag by a second or so. Without adding what was sent
-since the report, an instance goes on sending to the endpoint that looked idle
-in it until the next report shows it as the fullest of all.
+Load pattern: load reports lag by a second or so. Without adding the requests
+sent since the report, an instance keeps sending to the endpoint that looked
+idle in it, until the next report shows that one as the fullest of all.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from boragefold.policy import endpoint_spec
 from boragefold.policy import work as works
 
-# Single slow answers don't matter, ten in a row do. Rare answers count for the
-# time since the last.
+# One slow answer hardly matters, ten in a row do. Where answers are rare, each
+# weighs more, by the time since the last one.
 LATENCY_SMOOTHING = 0.1
 LATENCY_MEMORY_SECONDS = 10.0
-# The fixed part of a first token, in prompt tokens.
+# The fixed part of the time to the first token, in prompt tokens.
 FIXED_COST_TOKENS = 256
-# An endpoint must not be held full by an old report.
+# An old report must not keep an endpoint marked as full.
 REPORT_STALE_SECONDS = 5.0
-# Reports lag, so a batch may be overfilled a little to keep it full.
+# Reports lag, so a slight overfill keeps the batch full.
 ROOM_FILL = 1.1
-# A slower endpoint's adapters are copied away.
+# Adapters of an endpoint with less weight are also loaded elsewhere.
 POOR_WEIGHT = 0.5
-# Late reports of former incarnations are recognised.
+# How many former incarnations are kept to recognise their late reports.
 FORMER_INCARNATIONS = 4
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class EndpointState:
-    """What was reported of an endpoint, and what we did there since."""
+    """The reported load of an endpoint, and its use by this instance."""
 
     spec: endpoint_spec.EndpointSpec
     incarnation: str = ""
@@ -74,41 +74,41 @@
     weight: float = 1.0
 
     def estimated_running(self) -> int:
-        """Estimate what runs and waits there.
+        """Estimate the number of requests that run or wait there.
 
-        :return: requests: reported, plus sent, less finished since
+        :return: those reported, plus those sent, less those ended since
         """
         estimate = self.reported + self.sent_since - self.gone_since
         return max(estimate, len(self.in_flight))
 
     def fill(self) -> float:
-        """Tell how full the endpoint's batch is estimated to be.
+        """Return how full the endpoint's batch is estimated to be.
 
         :return: 1.0 when it is full, more when requests wait there
         """
         return self.estimated_running() / max(self.spec.batch_size, 1)
 
     def has_room(self) -> bool:
-        """Tell whether another request may be sent.
+        """Return whether another request may be sent.
 
-        :return: whether it would start about at once
+        :return: whether it would start almost at once
         """
         batch_size = self.spec.batch_size
         limit = max(batch_size, int(ROOM_FILL * batch_size))
         return self.estimated_running() < limit
 
     def is_poor(self) -> bool:
-        """Tell whether the endpoint is too slow to be relied on.
+        """Return whether the endpoint is too slow to rely on.
 
-        :return: whether requests should rather go elsewhere
+        :return: whether requests should preferably go elsewhere
         """
         return self.weight < POOR_WEIGHT
 
     def serves(self, adapter: works.AdapterVersion) -> bool:
-        """Tell whether an adapter's requests may be sent.
+        """Return whether an adapter's requests may be sent there.
 
-        :param adapter: the adapter version; an empty one is the bare model
-        :return: whether it is there and the endpoint isn't leaving
+        :param adapter: the adapter version; an empty one is the base model
+        :return: whether it is loaded and the endpoint isn't leaving
         """
         if self.spec.leaving or adapter.model != self.spec.model:
             return False
@@ -117,12 +117,12 @@
     def occupied_slots(self) -> int:
         """Count the slots that hold an adapter.
 
-        :return: slots, those included that are being emptied
+        :return: number of slots, including those being emptied
         """
         return len(self.resident) + len(self.blocked_at)
 
     def is_pinned(self, adapter: works.AdapterVersion) -> bool:
-        """Tell whether an adapter serves a request there.
+        """Return whether an adapter is in use at the endpoint.
 
         :param adapter: the adapter version
         :return: whether it must not be evicted
@@ -130,9 +130,9 @@
         return adapter in self.in_use or adapter in self.pinned_elsewhere
 
     def take_report(self, report: endpoint_spec.LoadReport) -> None:
-        """Replace the reported load; what was sent since is added to it.
+        """Replace the reported load, and recount what was sent since.
 
-        :param report: of the present incarnation, later than the last
+        :param report: from the present incarnation, newer than the last one
         """
         self.reported = report.running + report.waiting
         self.measured_at_seconds = report.measured_at_seconds
@@ -151,7 +151,7 @@
         )
 
     def restart(self, incarnation: str) -> None:
-        """Forget everything that ended with the former incarnation.
+        """Reset everything that ended with the previous incarnation.
 
         :param incarnation: the new one
         """
@@ -171,7 +171,7 @@
         self.latency = None
 
     def begin(self, work: works.Work, *, now_seconds: float) -> None:
-        """Count a request that goes out.
+        """Count a request that is about to be sent.
 
         :param work: the request
         :param now_seconds: reading of the process clock
@@ -185,7 +185,7 @@
         self.sent_since += now_seconds > self.measured_at_seconds
 
     def answer(self, request_id: str, *, now_seconds: float) -> None:
-        """Measure the latency of the first byte.
+        """Measure the latency of an answer's first byte.
 
         :param request_id: the request
         :param now_seconds: reading of the process clock
@@ -203,7 +203,7 @@
         self.answered_at_seconds = now_seconds
 
     def end(self, request_id: str, *, now_seconds: float) -> None:
-        """Count a request that has ended.
+        """Count a request as ended.
 
         :param request_id: the request
         :param now_seconds: reading of the process clock
@@ -221,7 +221,7 @@
         self.duration_seconds += LATENCY_SMOOTHING * (
             elapsed_seconds - self.duration_seconds
         )
-        # The next report may have been measured before this moment.
+        # The next report may have been measured before the request ended.
         self.ended.append(
             endpoint_requests.Ended(sent.sent_at_seconds, now_seconds)
         )
@@ -231,13 +231,13 @@
             self.gone_since += 1
 
     def present_latency(self, *, now_seconds: float) -> float | None:
-        """Tell the latency, with the age of what was never answered.
+        """Return the latency, including the age of unanswered requests.
 
-        An endpoint that has gone silent gives no samples; the age of its
-        oldest unanswered request stands for them.
+        An endpoint that stopped answering yields no samples, so the age of
+        its oldest unanswered request is used instead.
 
         :param now_seconds: reading of the process clock
-        :return: seconds per prompt of the fixed cost, None when unknown
+        :return: seconds, scaled to a prompt of the fixed cost; None if unknown
         """
         oldest = next(iter(self.unanswered.values()), None)
         if oldest is None:
@@ -246,7 +246,7 @@
         return age if self.latency is None else max(age, self.latency)
 
     def forget_stale_report(self, *, now_seconds: float) -> None:
-        """Count only our own requests when reports have stopped.
+        """Count only this instance's requests once reports have stopped.
 
         :param now_seconds: reading of the process clock
         """
@@ -260,10 +260,10 @@
     def unblocked(
         self, report: endpoint_spec.LoadReport
     ) -> Iterator[works.AdapterVersion]:
-        """Go through the reported adapters that may be used.
+        """Iterate over the reported adapters that may be used.
 
         :param report: a report that lists adapters
-        :return: those that were not evicted by our own order
+        :return: those without a pending eviction
         """
         return (
             adapter
--- a/src/boragefold/policy/endpoints.py
+++ b/src/boragefold/policy/endpoints.py
@@ -1,7 +1,7 @@
-"""What this instance knows of the endpoints it may send to.
+"""What this instance knows of the endpoints that it may send to.
 
-Load pattern: adapters come and go by the second among hundreds of endpoints.
-Without an index by adapter, each decision would scan the fleet.
+Load pattern: adapters are loaded and evicted every second at hundreds of
+endpoints. Without an index by adapter, each decision would scan all of them.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 LoadReport = endpoint_spec.LoadReport
 
 
-# An eviction is over by then. An adapter that is still listed was kept, and
-# can be used again.
+# An eviction ends within this time. An adapter that is still listed after it
+# was not evicted, and can be used again.
 BLOCKED_SECONDS = 10.0
 
 
@@ -50,9 +50,9 @@
         return self._by_name.get(name)
 
     def put(self, spec: EndpointSpec) -> None:
-        """Add an endpoint or change what is published of it.
+        """Add an endpoint, or update its published properties.
 
-        :param spec: as published; a change of model empties it
+        :param spec: as published; a change of model removes its adapters
         """
         state = self._by_name.get(spec.name)
         if state is None:
@@ -74,10 +74,10 @@
             self._unindex(state)
 
     def report(self, report: LoadReport) -> bool:
-        """Take in a load report.
+        """Process a load report.
 
-        :param report: of a known endpoint; others are ignored
-        :return: whether the endpoint is a new incarnation, thus empty
+        :param report: from a known endpoint; others are ignored
+        :return: whether the endpoint restarted, so that it holds no adapter
         """
         state = self._by_name.get(report.endpoint)
         if state is None or report.incarnation in state.former:
@@ -97,7 +97,7 @@
     def loaded(
         self, name: str, adapter: works.AdapterVersion, *, now_seconds: float
     ) -> None:
-        """Note that an endpoint holds an adapter now.
+        """Record that an endpoint now holds an adapter.
 
         :param name: the endpoint
         :param adapter: the adapter version
@@ -112,7 +112,7 @@
     def evicted(
         self, name: str, adapter: works.AdapterVersion, *, now_seconds: float
     ) -> None:
-        """Note that an endpoint must not be sent an adapter's requests.
+        """Record that an adapter's requests must not go to an endpoint.
 
         :param name: the endpoint
         :param adapter: the adapter version
@@ -125,7 +125,7 @@
         self._remove(state, adapter)
 
     def gone(self, name: str, adapter: works.AdapterVersion) -> None:
-        """Note that an evicted adapter has left its slot.
+        """Record that an evicted adapter has left its slot.
 
         :param name: the endpoint
         :param adapter: the adapter version
@@ -136,16 +136,16 @@
     def pin_elsewhere(
         self, name: str, adapters: Iterable[works.AdapterVersion]
     ) -> None:
-        """Note which adapters other instances use at an endpoint.
+        """Record which adapters other instances use at an endpoint.
 
         :param name: the endpoint
-        :param adapters: replaces what was noted before
+        :param adapters: replaces the adapters recorded before
         """
         if (state := self._by_name.get(name)) is not None:
             state.pinned_elsewhere = frozenset(adapters)
 
     def sent(self, name: str, work: works.Work, *, now_seconds: float) -> None:
-        """Note that a request goes out, before its first byte does.
+        """Record that a request is about to be sent.
 
         :param name: the endpoint
         :param work: the request
@@ -157,7 +157,7 @@
     def answered(
         self, name: str, request_id: str, *, now_seconds: float
     ) -> None:
-        """Note the first byte of an answer; its latency is measured.
+        """Record the first byte of an answer, and measure its latency.
 
         :param name: the endpoint
         :param request_id: the request
@@ -169,7 +169,7 @@
     def finished(
         self, name: str, request_id: str, *, now_seconds: float
     ) -> None:
-        """Note the end of a request, good or bad.
+        """Record the end of a request, whether it succeeded or failed.
 
         :param name: the endpoint
         :param request_id: the request
@@ -179,7 +179,7 @@
             state.end(request_id, now_seconds=now_seconds)
 
     def failed(self, name: str) -> None:
-        """Note that an endpoint failed a request; it loses traffic.
+        """Record that an endpoint failed a request, and lower its weight.
 
         :param name: the endpoint
         """
@@ -198,9 +198,9 @@
     def holders(
         self, adapter: works.AdapterVersion
     ) -> Sequence[EndpointState]:
-        """Look up who holds an adapter and isn't leaving.
+        """Return the endpoints that hold an adapter and aren't leaving.
 
-        :param adapter: the adapter version; an empty one is the bare model
+        :param adapter: the adapter version; an empty one is the base model
         :return: a live view, nearest first, in an order that all instances
             of a data centre share
         """
@@ -216,7 +216,7 @@
             self._delist(state, adapter)
 
     def _restart(self, state: EndpointState, incarnation: str) -> None:
-        # An engine that restarted holds nothing.
+        # A restarted engine holds no adapters.
         self._unindex(state)
         state.restart(incarnation)
         self._index(state)
@@ -224,7 +224,7 @@
     def _reconcile(self, state: EndpointState, report: LoadReport) -> None:
         listed = frozenset(report.resident or ())
         measured_at = report.measured_at_seconds
-        # An older report shows what was before our order.
+        # A report measured before an order of this instance may not show it.
         for adapter, blocked_at in list(state.blocked_at.items()):
             gone = adapter not in listed and blocked_at < measured_at
             if gone or measured_at - blocked_at > BLOCKED_SECONDS:
--- a/src/boragefold/policy/fair_queue.py
+++ b/src/boragefold/policy/fair_queue.py
@@ -1,9 +1,9 @@
-"""Who of those waiting is served next.
+"""The queue of admitted requests, and which of them is served next.
 
 Load pattern: one workspace, or a few long requests, fill the queue while
-others send little. Without this, everybody waits behind the largest sender,
-short requests wait behind long ones, and a request whose adapter is still
-being loaded blocks those whose adapter is there.
+others send little. Without fair queueing, all workspaces wait behind the
+largest sender, short requests wait behind long ones, and a request whose
+adapter is still being loaded blocks those whose adapter is loaded already.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from boragefold.policy import work as works
 from boragefold.telemetry import counters as telemetry
 
-# Ordinary work still moves beside late-sensitive work.
+# Keeps ordinary requests moving while late-sensitive ones are queued.
 ORDINARY_SHARE = 0.2
 LATE_SENSITIVE_SHARE = 1 - ORDINARY_SHARE
-# The rest of the caller's patience is for the answer.
+# The rest of the caller's timeout is left for the answer.
 START_PATIENCE_SHARE = 0.7
-# A caller that is back earlier would be refused again.
+# A caller that retries earlier would be refused again.
 MIN_RETRY_AFTER_SECONDS = 0.5
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Queued:
-    """The request is in the queue; its start is estimated."""
+    """The request was queued; its start is estimated."""
 
     start_in_seconds: float
     tag: str = "queued"
@@ -40,7 +40,7 @@
 
 
 class FairQueue:
-    """Waiting requests, fair over workspaces by the tokens they received."""
+    """Queues requests fairly over workspaces, by the tokens they received."""
 
     def __init__(self, *, counters: telemetry.Counters) -> None:
         self._counters = counters
@@ -64,13 +64,13 @@
         service_tokens_per_second: float,
         adapter_tokens_per_second: float | None = None,
     ) -> Queued | refusal.Refused:
-        """Push a request unless its caller would give up before its start.
+        """Queue a request unless its caller would time out before its start.
 
         :param work: the request
         :param now_seconds: reading of the process clock
-        :param service_tokens_per_second: what this queue is served with
-        :param adapter_tokens_per_second: what its adapter is served with
-        :return: queued, or refused with the time to come back after
+        :param service_tokens_per_second: rate at which this queue is served
+        :param adapter_tokens_per_second: rate at which its adapter is served
+        :return: queued, or refused with the time to retry after
         """
         start_in_seconds = self.estimate_start_seconds(
             work,
@@ -85,13 +85,13 @@
         return Queued(start_in_seconds=start_in_seconds)
 
     def push(self, work: works.Work, *, now_seconds: float) -> None:
-        """Append a request without a look at its caller's patience.
+        """Queue a request regardless of its caller's timeout.
 
-        :param work: the request; its id must not be waiting already
+        :param work: the request; its id must not be queued already
         :param now_seconds: reading of the process clock
         """
         if work.request_id in self._works:
-            raise ValueError(f"{work.request_id} waits already; push it once")
+            raise ValueError(f"{work.request_id} is already queued")
         self._works[work.request_id] = work
         self._expiry.push(work.request_id, work.give_up_at_seconds)
         self._class_of(work).push(work)
@@ -103,14 +103,14 @@
         candidates: Iterable[works.AdapterVersion],
         now_seconds: float,
     ) -> works.Work | None:
-        """Take the next request among those that need one of the adapters.
+        """Remove and return the next request that needs one of the adapters.
 
         Its workspace is charged with prompt_tokens + max_tokens.
 
         :param candidates: adapters that some endpoint can serve right now,
-            such as the residents of the endpoint that has just got room
+            such as those loaded on an endpoint that has just become free
         :param now_seconds: reading of the process clock
-        :return: the request, or None when none of them is waited for
+        :return: the request, or None when no queued request needs them
         """
         wanted = [each for each in candidates if each in self._demand]
         late = self._late.first(wanted)
@@ -127,15 +127,15 @@
         """Correct the charge of a request that has ended.
 
         :param work: a request that :meth:`pop` returned
-        :param used_tokens: prompt and generated tokens really spent
+        :param used_tokens: prompt and generated tokens actually used
         """
         self._class_of(work).settle(work, used_tokens=used_tokens)
 
     def remove(self, request_id: str) -> works.Work | None:
-        """Take out a request whose caller has gone.
+        """Remove a request whose caller has disconnected.
 
         :param request_id: the request
-        :return: the request, or None if it doesn't wait
+        :return: the request, or None if it isn't queued
         """
         work = self._works.get(request_id)
         if work is not None:
@@ -143,10 +143,10 @@
         return work
 
     def expire(self, *, now_seconds: float) -> list[works.Work]:
-        """Take out the requests whose callers stopped waiting.
+        """Remove the requests whose callers have timed out.
 
         :param now_seconds: reading of the process clock
-        :return: the requests
+        :return: the removed requests
         """
         expired = []
         while (first := self._expiry.first()) is not None:
@@ -160,24 +160,24 @@
         return expired
 
     def next_expiry_seconds(self) -> float | None:
-        """Tell when the next caller stops waiting.
+        """Return when the next caller times out.
 
-        :return: reading of the process clock, or None when nobody waits
+        :return: reading of the process clock, or None when the queue is empty
         """
         first = self._expiry.first()
         return first[0] if first is not None else None
 
     def waiting_by_adapter(self) -> Mapping[works.AdapterVersion, Demand]:
-        """Tell what waits for which adapter, for placement.
+        """Return the queued requests and tokens by adapter, for placement.
 
-        :return: a live view; don't change it
+        :return: a live view that must not be changed
         """
         return self._demand
 
     def delay_seconds(self, *, service_tokens_per_second: float) -> float:
-        """Tell how long serving all that waits would take.
+        """Return how long serving the whole queue would take.
 
-        :param service_tokens_per_second: what this queue is served with
+        :param service_tokens_per_second: rate at which this queue is served
         :return: seconds, for :meth:`overload.Overload.observe`
         """
         tokens = self._late.tokens + self._ordinary.tokens
@@ -193,9 +193,9 @@
         """Estimate how long a request would wait if it were pushed now.
 
         :param work: the request
-        :param service_tokens_per_second: what this queue is served with
-        :param adapter_tokens_per_second: what its adapter is served with
-        :return: seconds, at most; short requests start sooner
+        :param service_tokens_per_second: rate at which this queue is served
+        :param adapter_tokens_per_second: rate at which its adapter is served
+        :return: an upper bound in seconds; short requests start sooner
         """
         seconds = max(
             _divide(self._ahead_tokens(work), service_tokens_per_second),
--- a/src/boragefold/policy/fair_share.py
+++ b/src/boragefold/policy/fair_share.py
@@ -1,12 +1,13 @@
-"""Which requests are more than their workspace's fair share of the fleet.
+"""Which requests exceed their workspace's fair share of the fleet.
 
-Load pattern: several workspaces inside their rates ask together for more than
-the endpoints can serve. A look at who waits is not enough: a modest sender is
-served at once and never waits, so the one that fills the queue is alone in
-it, and a refusal by queue length would hit the modest ones too.
+Load pattern: several workspaces within their rate limits together ask for
+more than the endpoints can serve. The queue alone doesn't show who asks for
+too much: the requests of a moderate sender start at once and never wait, so
+the queue holds only those of the largest sender, and refusing by queue length
+would hit the moderate ones too.
 
-The share is max-min fair: demands below an equal part are met whole, and what
-they leave is divided among the others.
+The share is max-min fair: demands below an equal part are met in full, and
+what they leave is divided among the others.
 """
 
 from __future__ import annotations
@@ -14,19 +15,19 @@
 import dataclasses
 import math
 
-# Longer than a burst that the queue takes in.
+# Longer than a burst that the queue can absorb.
 MEMORY_SECONDS = 5.0
-# The cost grows with the workspaces.
+# The cost of an update grows with the number of workspaces.
 UPDATE_SECONDS = 0.5
-# A workspace may send the share of this time at once.
+# A workspace may send its share of this time as one burst.
 BURST_SECONDS = 1.0
-# Accounts below this many recent tokens are dropped.
+# Accounts with less recent demand are dropped.
 FORGOTTEN_TOKENS = 1.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class Account:
-    """The recent demand of a workspace, and what is left of its share."""
+    """The recent demand of a workspace, and the unused part of its share."""
 
     demand: float
     credit: float
@@ -34,7 +35,7 @@
 
 
 class FairShare:
-    """Divides the service among the workspaces that ask for it."""
+    """Divides the fleet's throughput among the workspaces that use it."""
 
     def __init__(self) -> None:
         self._accounts: dict[str, Account] = {}
@@ -52,11 +53,11 @@
         service_tokens_per_second: float,
         now_seconds: float,
     ) -> bool:
-        """Count a request, and tell whether it is more than the share.
+        """Count a request, and return whether it exceeds the fair share.
 
-        :param workspace: whose request it is
+        :param workspace: the workspace that sent the request
         :param tokens: prompt tokens and the most that may be generated
-        :param service_tokens_per_second: what the endpoints serve, times
+        :param service_tokens_per_second: the endpoints' throughput, times
             :attr:`overload.Overload.given_part`
         :param now_seconds: reading of the process clock
         :return: whether it is shed first, see :class:`overload.Overload`
--- a/src/boragefold/policy/fleet_events.py
+++ b/src/boragefold/policy/fleet_events.py
@@ -1,8 +1,8 @@
-"""What an instance learns of endpoints, loads and its peers.
+"""Processes events of endpoints, adapter loads and other instances.
 
 Load pattern: adapters come and go at every endpoint while requests wait for
-them. Without a second look at the queue after each such event, requests wait
-on beside an endpoint that could have started them.
+them. Without checking the queue again after each such event, requests stay
+queued although an endpoint could start them.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from boragefold.policy import sending as sending_module
 from boragefold.policy import work as works
 
-# Less than half of a load. A cold adapter brings the next look on, but not
-# closer than the least time.
+# Less than half of a load's duration. A request for a cold adapter makes the
+# next tick earlier, but never closer to the last one than the minimum.
 TICK_SECONDS = 0.1
 LEAST_TICK_SECONDS = 0.02
-# How often latencies are compared and stale reports forgotten.
+# How often latencies are compared and stale reports dropped.
 REFRESH_SECONDS = 1.0
-# A cold adapter is told at once, the rest this often.
+# Requests for cold adapters are sent to peers at once, the rest this often.
 TELL_SECONDS = 0.25
 
 
 class FleetEvents:
-    """Takes in what happens in the fleet, and decides on loads."""
+    """Processes fleet events, and decides on adapter loads."""
 
     def __init__(
         self,
@@ -50,9 +50,9 @@
         self._tell_at_seconds = float("-inf")
 
     def report(self, report: fleet.LoadReport) -> None:
-        """Take in an endpoint's load report.
+        """Process an endpoint's load report.
 
-        :param report: what the endpoint said of itself
+        :param report: the load that the endpoint reported
         """
         self._endpoints.report(report)
         self._sending.stir_endpoint(report.endpoint)
@@ -60,7 +60,7 @@
     def endpoint_gone(self, name: str) -> None:
         """Forget an endpoint that is no longer listed.
 
-        Its requests go on until each is reported as finished or failed.
+        Its requests continue until each is reported as finished or failed.
 
         :param name: the endpoint
         """
@@ -73,7 +73,7 @@
         *,
         now_seconds: float,
     ) -> None:
-        """Note that an endpoint holds an adapter now, whoever ordered it.
+        """Record that an endpoint now holds an adapter, whoever ordered it.
 
         :param endpoint: its name
         :param adapter: the adapter version
@@ -89,19 +89,19 @@
         *,
         now_seconds: float,
     ) -> bool:
-        """Send no more requests of an adapter to an endpoint.
+        """Stop sending an adapter's requests to an endpoint.
 
         :param endpoint: its name
         :param adapter: the adapter version
         :param now_seconds: reading of the process clock
-        :return: whether a request of ours still uses it there
+        :return: whether a request of this instance still uses it there
         """
         self._endpoints.evicted(endpoint, adapter, now_seconds=now_seconds)
         state = self._endpoints.get(endpoint)
         return state is not None and adapter in state.in_use
 
     def load_ended(self, load: placements.Load, *, now_seconds: float) -> None:
-        """Note that a load that we ordered succeeded.
+        """Record that a load that this instance ordered succeeded.
 
         :param load: from an :class:`actions.Order`
         :param now_seconds: reading of the process clock
@@ -112,7 +112,7 @@
     def load_failed(
         self, load: placements.Load, *, now_seconds: float
     ) -> None:
-        """Note that a load that we ordered failed or was not carried out.
+        """Record that a load of this instance failed or was not carried out.
 
         :param load: from an :class:`actions.Order`
         :param now_seconds: reading of the process clock
@@ -122,10 +122,10 @@
     def peer(
         self, peer: str, digest: digests.Digest, *, now_seconds: float
     ) -> None:
-        """Take in another instance's digest.
+        """Process another instance's digest.
 
-        :param peer: its incarnation
-        :param digest: what it sent
+        :param peer: the incarnation that sent it
+        :param digest: the digest
         :param now_seconds: reading of the process clock
         """
         self._placing.peer(peer, digest, now_seconds=now_seconds)
@@ -133,7 +133,7 @@
             self.hurry(now_seconds=now_seconds)
 
     def waits(self, work: works.Work, *, now_seconds: float) -> None:
-        """Note that a request was queued; a cold one brings the tick on.
+        """Record a queued request; one for a cold adapter advances the tick.
 
         :param work: the request
         :param now_seconds: reading of the process clock
@@ -144,7 +144,7 @@
             self._tell_at_seconds = now_seconds
 
     def hurry(self, *, now_seconds: float) -> None:
-        """Bring the next look at loads on, as after a grant of a load.
+        """Advance the next decision on loads, as after a load was granted.
 
         :param now_seconds: reading of the process clock
         """
@@ -154,10 +154,10 @@
         )
 
     def tick(self, *, now_seconds: float) -> Iterator[actions.Action]:
-        """Decide on loads, if it is time to.
+        """Decide on loads if the tick is due.
 
         :param now_seconds: reading of the process clock
-        :return: orders to carry out
+        :return: digests to send, and orders to carry out
         """
         if now_seconds < self.tick_at_seconds:
             return
--- a/src/boragefold/policy/overload.py
+++ b/src/boragefold/policy/overload.py
@@ -1,8 +1,8 @@
-"""What is refused first when the queue's delay grows.
+"""Which requests are refused first when the queue's delay grows.
 
-Load pattern: more work inside the rates than the endpoints can serve.
-Without this, every queue grows until callers give up, and the endpoints work
-for callers that are no longer there.
+Load pattern: requests within the rate limits exceed what the endpoints can
+serve. Without load shedding, every queue grows until callers time out, and
+the endpoints work for callers that have already disconnected.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Level(enum.IntEnum):
-    """What is shed; each level includes those before it."""
+    """What is shed; each level includes the lower ones."""
 
     NORMAL = 0
     NO_EXTRAS = 1
@@ -25,17 +25,17 @@
     ORDINARY = 4
 
 
-# Relative to the callers' patience. Extras stop first, then requests are shed
-# in equal steps, before the queue itself refuses.
+# Queue delay as a part of the callers' timeout. Optional work stops first,
+# then requests are shed in equal steps, before the queue itself refuses.
 DELAY_PATIENCE_SHARE = {
     Level.NO_EXTRAS: 0.02,
     Level.ABOVE_SHARE: 0.1,
     Level.ORDINARY_COLD: 0.2,
     Level.ORDINARY: 0.3,
 }
-# A mean over recent requests.
+# Smooths the mean timeout over recent requests.
 PATIENCE_SMOOTHING = 0.02
-# The rest empties the queue.
+# What isn't given out drains the queue.
 GIVEN_PART = {
     Level.NORMAL: 1.0,
     Level.NO_EXTRAS: 1.0,
@@ -43,22 +43,22 @@
     Level.ORDINARY_COLD: 0.75,
     Level.ORDINARY: 0.6,
 }
-# Longer than a burst that the queue can take in. Later levels wait longer,
-# because shedding needs time to show.
+# Longer than a burst that the queue can absorb. Higher levels wait longer,
+# because shedding takes time to have an effect.
 RAISE_AFTER_SECONDS = {
     Level.NO_EXTRAS: 0.5,
     Level.ABOVE_SHARE: 0.5,
     Level.ORDINARY_COLD: 2.0,
     Level.ORDINARY: 2.0,
 }
-# Hysteresis: what was refused comes back at once.
+# Hysteresis: on lowering the level, the refused load returns at once.
 LOWER_AFTER_SECONDS = 2.0
 LOWER_FACTOR = 0.5
 MIN_RETRY_AFTER_SECONDS = 1.0
 
 
 class Overload:
-    """Raises and lowers the level by the estimated queue delay."""
+    """Raises and lowers the overload level by the estimated queue delay."""
 
     def __init__(self, *, counters: telemetry.Counters) -> None:
         self._counters = counters
@@ -71,7 +71,7 @@
 
     @property
     def level(self) -> Level:
-        """Tell what is shed now.
+        """Return what is shed now.
 
         :return: the level
         """
@@ -79,7 +79,7 @@
 
     @property
     def given_part(self) -> float:
-        """Tell what part of the service the fair shares give out.
+        """Return the part of the throughput that the fair shares divide.
 
         :return: from 0 to 1, for :meth:`fair_share.FairShare.exceeds`
         """
@@ -88,7 +88,7 @@
     def observe(
         self, *, queue_delay_seconds: float, now_seconds: float
     ) -> Level:
-        """Take in the queue's delay; call it several times a second.
+        """Update the level by the queue's delay, several times a second.
 
         :param queue_delay_seconds: from
             :meth:`fair_queue.FairQueue.delay_seconds`
@@ -119,7 +119,7 @@
 
         :param work: an admitted request, before it is queued
         :param above_share: from :meth:`fair_share.FairShare.exceeds`
-        :param cold: no endpoint holds its adapter
+        :param cold: whether no endpoint holds its adapter
         :return: the refusal, or None when it may be queued
         """
         self._learn_patience(work)
@@ -184,7 +184,7 @@
         )
 
     def _raise_unless_falling(self, now_seconds: float) -> None:
-        # What is shed already may be enough.
+        # A falling delay shows that the present level may be enough.
         falling = self._delay_seconds < self._delay_before_seconds
         if not falling:
             self._change(+1)
--- a/src/boragefold/policy/queue_class.py
+++ b/src/boragefold/policy/queue_class.py
@@ -1,8 +1,8 @@
-"""The waiting requests of one class, late-sensitive or not.
+"""The queued requests of one class, late-sensitive or ordinary.
 
-Load pattern: a request whose adapter is still being loaded stands before
+Load pattern: a request whose adapter is still being loaded is queued ahead of
 requests that could run. Without an index by adapter it would block them, or
-each decision would have to step over it.
+each decision would have to skip over it.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from boragefold.policy import virtual_counter
 from boragefold.policy import work as works
 
-# Short requests overtake long ones by a part of the long one's duration.
+# Short requests overtake long ones by part of the long one's duration.
 HANDICAP_SECONDS_PER_TOKEN = 0.005
-# A long request must not expire behind short ones.
+# Keeps a long request from expiring behind short ones.
 HANDICAP_PATIENCE_SHARE = 0.25
 
 
 class Position(NamedTuple):
-    """Where a request stands; the smallest is next."""
+    """The sort key of a queued request; the smallest is served next."""
 
     counter: float
     rank_seconds: float
@@ -32,7 +32,7 @@
 
 
 class Shelf:
-    """What waits for one adapter, by workspace."""
+    """The queued requests for one adapter, by workspace."""
 
     def __init__(self) -> None:
         self.lanes: dict[str, removable_heap.RemovableHeap[str]] = {}
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Backlog:
-    """What waits of one workspace; exists only while something does."""
+    """Queued requests and tokens of one workspace; absent when it has none."""
 
     speed: drain_rate.DrainRate = dataclasses.field(
         default_factory=drain_rate.DrainRate
@@ -53,7 +53,7 @@
 
 
 class QueueClass:
-    """Waiting requests, by adapter, workspace and rank."""
+    """Queued requests, indexed by adapter, workspace and rank."""
 
     def __init__(self) -> None:
         self.tokens = 0.0
@@ -62,7 +62,7 @@
         self._shelves: dict[works.AdapterVersion, Shelf] = {}
 
     def push(self, work: works.Work) -> None:
-        """Add a request.
+        """Queue a request.
 
         :param work: the request
         """
@@ -84,7 +84,7 @@
         lane.push(work.request_id, _rank_seconds(work))
 
     def remove(self, work: works.Work) -> None:
-        """Take a request out.
+        """Remove a request.
 
         :param work: a request of this class
         """
@@ -108,7 +108,7 @@
     def first(
         self, candidates: Iterable[works.AdapterVersion]
     ) -> Position | None:
-        """Look for the next request that needs one of the adapters.
+        """Find the next request that needs one of the adapters.
 
         :param candidates: adapters
         :return: its position, or None
@@ -130,9 +130,9 @@
         return None if rank is None else Position(smallest, *rank)
 
     def charge(self, work: works.Work, *, now_seconds: float) -> None:
-        """Count the service of a request; call it before :meth:`remove`.
+        """Charge a request to its workspace; call it before :meth:`remove`.
 
-        :param work: the request that is served
+        :param work: the request that is about to be served
         :param now_seconds: reading of the process clock
         """
         self._backlogs[work.workspace].speed.add(
@@ -141,10 +141,10 @@
         self._counter.charge(work.workspace, works.tokens_of(work))
 
     def settle(self, work: works.Work, *, used_tokens: float) -> None:
-        """Correct the charge.
+        """Correct the charge of a request by its actual tokens.
 
         :param work: a request that was charged
-        :param used_tokens: prompt and generated tokens really spent
+        :param used_tokens: prompt and generated tokens actually used
         """
         self._counter.correct(
             work.workspace, used_tokens - works.tokens_of(work)
@@ -153,10 +153,10 @@
     def ahead_tokens(self, work: works.Work) -> float:
         """Estimate the tokens that are served before a new request.
 
-        Fairness bounds them: others are served at most as much as its own
-        workspace meanwhile, however long their queues are.
+        Fairness bounds the estimate: meanwhile each other workspace is served
+        at most as much as the request's own, however long its queue is.
 
-        :param work: a request that isn't waiting yet
+        :param work: a request that isn't queued yet
         :return: tokens of this class
         """
         backlog = self._backlogs.get(work.workspace)
@@ -166,12 +166,13 @@
         return own + min(max(self.tokens - own, 0.0), share)
 
     def drain_seconds(self, work: works.Work) -> float:
-        """Tell how long a workspace's backlog takes at its present speed.
+        """Return how long a workspace's backlog takes at its recent rate.
 
-        Fairness can't tell what those take that come later and go first.
+        The fair-share estimate doesn't include requests that arrive later but
+        are served earlier; the measured rate does.
 
         :param work: a request that has just arrived
-        :return: seconds, zero where nothing waits or no speed is known
+        :return: seconds; zero if nothing is queued or no rate is known
         """
         backlog = self._backlogs.get(work.workspace)
         if backlog is None:
@@ -183,17 +184,18 @@
 
     def _front(self, shelf: Shelf) -> tuple[float, str]:
         if len(shelf.lanes) == 1:
-            # The usual case: an adapter that one workspace uses.
+            # The usual case: only one workspace uses the adapter.
             workspace = next(iter(shelf.lanes))
             return self._counter.value(workspace), workspace
-        # Counters have risen since; one that came up too early goes back.
+        # Stored counters may be out of date: an entry whose counter has risen
+        # is pushed again with its present value.
         while (top := shelf.order.first()) is not None:
             stored, workspace = top
             present = self._counter.value(workspace)
             if present <= stored:
                 return top
             shelf.order.push(workspace, present)
-        raise AssertionError("a shelf without requests must be removed")
+        raise AssertionError("an adapter without queued requests is indexed")
 
 
 def _rank_seconds(work: works.Work) -> float:
--- a/src/boragefold/policy/refusal.py
+++ b/src/boragefold/policy/refusal.py
@@ -1,7 +1,7 @@
-"""What a caller is told when a decision goes against its request.
+"""The answer to a caller whose request is refused.
 
-Load pattern: refused callers come back. Without the reason and a computed
-time they come back at once, and their repeats are the next overload.
+Load pattern: refused callers retry. Without a reason and a computed time to
+retry after, they retry at once, and their retries are the next overload.
 """
 
 from __future__ import annotations
--- a/src/boragefold/policy/removable_heap.py
+++ b/src/boragefold/policy/removable_heap.py
@@ -1,7 +1,8 @@
-"""A heap whose items can be taken out from the middle.
+"""A heap whose items can be removed from any position.
 
-Load pattern: callers hang up while they wait. Without removal their requests
-would be served for nobody; by a search, each would cost the whole queue.
+Load pattern: callers disconnect while their requests are queued. Without
+removal the requests would be served for nobody; with a linear search, each
+removal would scan the whole queue.
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 
 Item = TypeVar("Item", bound=Hashable)
 
-# Below this length a clean-up isn't worth its cost.
+# Below this length, compacting the heap isn't worth its cost.
 MIN_CLEAN_LENGTH = 32
 
 
 class RemovableHeap(Generic[Item]):
-    """Distinct items by ascending key; equal keys in order of arrival.
+    """Distinct items in ascending order of key; equal keys in push order.
 
-    Every operation costs O(log n), spread over many.
+    Every operation takes amortised O(log n) time.
     """
 
     def __init__(self) -> None:
@@ -32,10 +33,10 @@
         return len(self._numbers)
 
     def push(self, item: Item, key: float) -> None:
-        """Add an item, or give it another key.
+        """Add an item, or change its key.
 
         :param item: the item
-        :param key: the smallest comes first
+        :param key: the item with the smallest key is first
         """
         self._number += 1
         self._numbers[item] = self._number
@@ -43,7 +44,7 @@
         self._clean_if_long()
 
     def remove(self, item: Item) -> None:
-        """Take an item out; an unknown one is ignored.
+        """Remove an item; an unknown one is ignored.
 
         :param item: the item
         """
@@ -51,9 +52,9 @@
             self._clean_if_long()
 
     def first(self) -> tuple[float, Item] | None:
-        """Look at the item with the smallest key.
+        """Return the item with the smallest key without removing it.
 
-        :return: its key and the item, or None when there are none
+        :return: its key and the item, or None when the heap is empty
         """
         while self._heap:
             key, number, item = self._heap[0]
--- a/src/boragefold/policy/requests.py
+++ b/src/boragefold/policy/requests.py
@@ -10,10 +10,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Request:
-    """What the dispatcher knows of a request; endpoint while it is sent.
+    """The state of an open request; ``endpoint`` is empty unless it is sent.
 
-    Once a byte of an attempt may have reached an endpoint, "not run" is no
-    longer a true answer, whatever happens to later attempts.
+    ``may_have_run`` stays true once a byte of an attempt may have reached an
+    endpoint: from then on the answer "not run" could be false, whatever
+    happens to later attempts.
     """
 
     work: works.Work
@@ -26,12 +27,12 @@
 
 
 class Requests:
-    """Open requests by id, each settled once when it ends."""
+    """Open requests by id; each is settled once, when it ends."""
 
     def __init__(self, *, stock: stocks.Stock) -> None:
         self._stock = stock
         self._open: dict[str, Request] = {}
-        # By request, the endpoints that failed it already.
+        # By request id, the endpoints that failed it already.
         self.excluded: dict[str, frozenset[str]] = {}
 
     def __len__(self) -> int:
@@ -47,24 +48,24 @@
     def get(self, request_id: str) -> Request | None:
         """Look a request up.
 
-        :param request_id: which one
-        :return: the request; None when it has ended
+        :param request_id: its id
+        :return: the request, or None when it has ended
         """
         return self._open.get(request_id)
 
     def waiting(self, work: works.Work) -> Request:
         """Look up a request that must be open.
 
-        :param work: what waits somewhere
+        :param work: work that waits for admission or is queued
         :return: its request
         """
         request = self._open.get(work.request_id)
         if request is None:
-            raise LookupError(f"{work.request_id} waits, but isn't open")
+            raise LookupError(f"{work.request_id} is queued, but not open")
         return request
 
     def exclude(self, request: Request, endpoint: str) -> None:
-        """Note that an endpoint failed a request.
+        """Record that an endpoint failed a request.
 
         :param request: the request
         :param endpoint: the endpoint's name
@@ -77,7 +78,7 @@
         """Close a request and settle its reservation.
 
         :param request: the request
-        :param used_tokens: prompt and generated tokens really spent
+        :param used_tokens: prompt and generated tokens actually used
         """
         del self._open[request.work.request_id]
         self.excluded.pop(request.work.request_id, None)
--- a/src/boragefold/policy/retry_budget.py
+++ b/src/boragefold/policy/retry_budget.py
@@ -1,8 +1,8 @@
 """How much of the load may be retries.
 
-Load pattern: an endpoint, or many, fail at once. Without this, each failure
-becomes a second request, the rest of the fleet gets twice the load, and what
-had been one endpoint's fault becomes everyone's.
+Load pattern: one endpoint, or many, fail at once. Without a budget, each
+failure becomes a second request, the other endpoints get twice the load, and
+the fault of one endpoint spreads to the whole fleet.
 """
 
 from __future__ import annotations
@@ -15,21 +15,22 @@
 
 # Bounds the load that retries add.
 RETRY_RATIO = 0.1
-# Covers the failures until an endpoint gets only probes.
+# Covers the failures until the endpoint's weight is down to probes.
 MAX_SAVED_PER_ENDPOINT = 10.0
 # Covers a rack of endpoints that fails at once.
 MAX_SAVED_IN_ALL = 100.0
 # With little traffic the ratio alone would allow no retry.
 SAVED_PER_SECOND = 0.1
-# A broken stream may need two: at its only holder, and elsewhere.
+# A broken stream may need two retries: at its only holder, and elsewhere.
 FIRST_SAVED = 2.0
 
 
 class Allowance(NamedTuple):
     """How many retries one instance may send.
 
-    ``ratio`` is retries per fresh request, ``per_second`` what time adds, and
-    ``most_saved`` what can be saved up for a failure of many endpoints.
+    ``ratio`` is retries per first attempt, ``per_second`` the retries earned
+    by elapsed time, and ``most_saved`` the number that can be saved up for a
+    failure of many endpoints.
     """
 
     ratio: float = RETRY_RATIO
@@ -38,9 +39,9 @@
 
 
 class FleetLimit(NamedTuple):
-    """What all instances together may repeat in any span of time.
+    """How many retries all instances together may send in any time window.
 
-    At most ``ratio`` of the requests of the span, and ``slack`` more.
+    At most ``ratio`` of the requests of the window, plus ``slack``.
     """
 
     ratio: float
@@ -48,19 +49,20 @@
     window_seconds: float
 
 
-# Each instance counts for itself, and starts with full savings.
+# A margin, because each instance counts on its own and starts with a full
+# budget.
 USED_SHARE = 0.75
-# Part of a retry is none: among hundreds of instances each could save up less
-# than one, and nothing would ever be repeated.
+# Without this floor, each of hundreds of instances could save up less than
+# one whole retry, and nothing would ever be retried.
 LEAST_SAVED = 1.0
 
 
 def allowance_of(limit: FleetLimit, instances: int) -> Allowance:
-    """Work out one instance's part of what all may repeat.
+    """Compute one instance's part of the fleet's retry limit.
 
     :param limit: of all instances together
-    :param instances: how many there are
-    :return: the part
+    :param instances: the number of instances
+    :return: the part of one instance
     """
     slack = USED_SHARE * limit.slack / max(1, instances)
     return Allowance(
@@ -72,7 +74,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Savings:
-    """Retries saved up by fresh requests."""
+    """Retries earned by first attempts and by elapsed time."""
 
     limit: float
     at_seconds: float
@@ -85,11 +87,11 @@
         now_seconds: float,
         per_second: float = SAVED_PER_SECOND,
     ) -> None:
-        """Save, and let the time that went by save too.
+        """Add an amount, and what the elapsed time has earned.
 
-        :param amount: retries
+        :param amount: number of retries
         :param now_seconds: reading of the process clock
-        :param per_second: what each second saves
+        :param per_second: retries earned per second
         """
         elapsed_seconds = max(now_seconds - self.at_seconds, 0.0)
         earned = amount + per_second * elapsed_seconds
@@ -98,7 +100,7 @@
 
 
 class RetryBudget:
-    """Allows retries as a part of the fresh requests, per endpoint and all."""
+    """Limits retries to a part of the first attempts, per endpoint and all."""
 
     def __init__(
         self,
@@ -112,9 +114,9 @@
         self._by_endpoint: dict[str, Savings] = {}
 
     def fresh(self, endpoint: str, *, now_seconds: float) -> None:
-        """Note a first attempt.
+        """Record a first attempt.
 
-        :param endpoint: where it was sent
+        :param endpoint: the endpoint it was sent to
         :param now_seconds: reading of the process clock
         """
         self._save(endpoint, self._allowance().ratio, now_seconds)
@@ -127,16 +129,16 @@
         bytes_sent: bool,
         now_seconds: float,
     ) -> bool:
-        """Ask to repeat a failed attempt at another endpoint.
+        """Take one retry of a failed attempt from the budget.
 
-        :param endpoint: the one that failed
-        :param idempotent: whether running twice does no harm
+        :param endpoint: the endpoint that failed it
+        :param idempotent: whether running the request twice does no harm
         :param bytes_sent: whether a byte of the attempt may have arrived
         :param now_seconds: reading of the process clock
-        :return: whether to repeat it; the reason of a no is counted
+        :return: whether to retry; the reason of a denial is counted
         """
         if bytes_sent and not idempotent:
-            # It may have run.
+            # The endpoint may have run it.
             self._counters.add("retries_denied", "not_idempotent")
             return False
         both = self._save(endpoint, 0.0, now_seconds)
@@ -154,7 +156,7 @@
         return True
 
     def drop(self, endpoint: str) -> None:
-        """Forget an endpoint that is gone.
+        """Forget an endpoint that is no longer listed.
 
         :param endpoint: its name
         """
@@ -189,7 +191,7 @@
 
 
 class ServiceBudgets:
-    """A budget for each service, so that one's failures cost no other's."""
+    """One retry budget per service; failures of one affect no other."""
 
     def __init__(
         self,
@@ -202,7 +204,7 @@
         self._budgets: dict[str, RetryBudget] = {}
 
     def of(self, service: str) -> RetryBudget:
-        """Find the budget of a service.
+        """Return the budget of a service.
 
         :param service: its name
         :return: its budget
--- a/src/boragefold/policy/sending.py
+++ b/src/boragefold/policy/sending.py
@@ -1,4 +1,4 @@
-"""From the queue to an endpoint: what is sent now, and where to.
+"""Matches queued requests with endpoints that can start them now.
 
 Load pattern: most adapters can be served at once while some wait for a load
 and others for room. Requests that wait for either must not hold up the rest,
@@ -28,7 +28,7 @@
 
 
 class Matched(NamedTuple):
-    """A request taken from the queue, and where it goes."""
+    """A request taken from the queue, and the endpoint to send it to."""
 
     work: works.Work
     endpoint: str
@@ -53,7 +53,7 @@
         self._share = share
         self._service = service_rate.ServiceRate()
         self._delay_seconds = 0.0
-        # Adapters and endpoints that changed since the last look.
+        # Adapters and endpoints that changed since the last matching.
         self._stirred: set[works.AdapterVersion] = set()
         self._stirred_endpoints: set[str] = set()
 
@@ -92,7 +92,7 @@
         return outcome if isinstance(outcome, refusal.Refused) else None
 
     def push_back(self, work: works.Work, *, now_seconds: float) -> None:
-        """Queue a request again that was sent, and ran nowhere to its end.
+        """Queue a request again after an attempt that didn't complete.
 
         :param work: the request
         :param now_seconds: reading of the process clock
@@ -101,14 +101,14 @@
         self._stirred.add(work.needs)
 
     def stir(self, adapter: works.AdapterVersion) -> None:
-        """Note that an adapter's requests may be served now.
+        """Mark an adapter whose requests may be servable now.
 
         :param adapter: the adapter version
         """
         self._stirred.add(adapter)
 
     def stir_endpoint(self, name: str) -> None:
-        """Note that an endpoint may have got room.
+        """Mark an endpoint that may have room now.
 
         :param name: the endpoint
         """
@@ -138,11 +138,11 @@
         *,
         now_seconds: float,
     ) -> Iterator[Matched]:
-        """Take what can start now from the queue, in its fair order.
+        """Take the requests that can start now from the queue, in fair order.
 
-        The caller has to note each as sent before it asks for the next.
+        The caller must record each as sent before it asks for the next.
 
-        :param excluded: by request, the endpoints that failed it already
+        :param excluded: by request id, the endpoints that failed it already
         :param now_seconds: reading of the process clock
         :return: requests and their endpoints
         """
@@ -153,7 +153,7 @@
                 return
             endpoint = self._choose(work, excluded)
             if endpoint is None:
-                # Taken in vain: its charge goes back with it.
+                # Not sent after all: its charge is returned.
                 self._queue.settle(work, used_tokens=0.0)
                 self._queue.push(work, now_seconds=now_seconds)
                 ready.discard(work.needs)
@@ -165,8 +165,8 @@
                 ready.discard(adapter)
 
     def _starts_at_once(self, work: works.Work) -> bool:
-        # The queue's delay is that of adapters whose holders are full; others
-        # must not be refused for it.
+        # The queue's delay is that of adapters whose holders are full;
+        # requests for other adapters must not be refused because of it.
         return work.needs not in self._demand() and self._has_room(work.needs)
 
     def _ready(self) -> set[works.AdapterVersion]:
@@ -204,8 +204,8 @@
             work, excluded=without, queued_seconds=self._delay_seconds
         )
         if without and isinstance(chosen, choices.NoHolder):
-            # Only endpoints that failed it are left; better one of them than
-            # none.
+            # Only endpoints that failed this request hold the adapter; one of
+            # them is better than none.
             chosen = self._choice.choose(
                 work, queued_seconds=self._delay_seconds
             )
--- a/src/boragefold/policy/service_choice.py
+++ b/src/boragefold/policy/service_choice.py
@@ -1,10 +1,10 @@
-"""Which endpoint of a plain service a request is sent to.
+"""Chooses the endpoint of a plain service that a request is sent to.
 
-Load pattern: a few endpoints with few slots, one of which turns slow or
-fails part of its requests while its health check is good. Shared out evenly,
-each instance goes on giving it its part. Here what requests showed decides:
-failures and the time they took lower an endpoint's share at once, and a small
-rest of it shows when the endpoint has recovered.
+Load pattern: a few endpoints with few slots, one of which becomes slow or
+fails part of its requests while its health check passes. With an even
+distribution, each instance keeps sending it an equal share. Here the observed
+requests decide: failures and slow answers lower an endpoint's share at once,
+and a small remaining share shows when the endpoint has recovered.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 import random
 
 SMOOTHING = 0.2
-# A failing endpoint is tried again.
+# The half-life of failures, after which a failing endpoint is tried again.
 FORGIVE_SECONDS = 3.0
-# Some services fail part of their requests by nature.
+# Some services fail part of their requests in normal operation.
 TOLERATED_FAILURES = 0.25
-# A penalty for another data centre.
+# Load added to endpoints of another data centre.
 FAR_LOAD = 0.15
-# Reported requests of other instances count this long.
+# A reported load of other instances' requests is used this long.
 REPORT_SECONDS = 0.5
-# Behind any endpoint that is merely full.
+# Ranks a failing endpoint behind any that is merely full.
 FAILING_LOAD = 4.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class Record:
-    """What one endpoint's requests have shown."""
+    """Load, failures and latency observed at one endpoint."""
 
     slots: int = 1
     in_flight: int = 0
@@ -40,7 +40,7 @@
 
 
 class ServiceChoice:
-    """The records of the endpoints, and the choice among them."""
+    """Chooses among endpoints by the load and failures observed at each."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
@@ -51,10 +51,10 @@
     ) -> str | None:
         """Choose an endpoint.
 
-        :param endpoints: name, slots and whether it is near, of each that
-            may be sent to
+        :param endpoints: name, slots and whether it is near, for each usable
+            endpoint
         :param now_seconds: reading of the process clock
-        :return: the least loaded one's name, or None
+        :return: the name of the least loaded one, or None if there is none
         """
         costs = [
             (self._cost(name, slots, near, now_seconds), name)
@@ -63,20 +63,20 @@
         return min(costs, default=(0.0, None))[1]
 
     def sent(self, endpoint: str) -> None:
-        """Note that a request was sent.
+        """Record that a request was sent.
 
-        :param endpoint: where
+        :param endpoint: its name
         """
         self._record(endpoint).in_flight += 1
 
     def reported(
         self, endpoint: str, *, busy: int, slots: int, now_seconds: float
     ) -> None:
-        """Note the load that an endpoint told of itself.
+        """Record the load that an endpoint reported.
 
-        :param endpoint: which
-        :param busy: requests that run or wait there
-        :param slots: how many it runs at once
+        :param endpoint: its name
+        :param busy: number of requests that run or wait there
+        :param slots: number of requests that it runs at once
         :param now_seconds: reading of the process clock
         """
         record = self._record(endpoint)
@@ -91,11 +91,11 @@
         took_seconds: float,
         now_seconds: float,
     ) -> None:
-        """Note how a request ended.
+        """Record how a request ended.
 
-        :param endpoint: where
-        :param failed: whether it failed for a reason of the endpoint's
-        :param took_seconds: from sending to the first byte
+        :param endpoint: its name
+        :param failed: whether the endpoint caused it to fail
+        :param took_seconds: time from sending to the first byte
         :param now_seconds: reading of the process clock
         """
         record = self._record(endpoint)
@@ -111,12 +111,12 @@
         )
 
     def unreachable(self, endpoint: str, *, now_seconds: float) -> None:
-        """Note that no connection to an endpoint could be opened.
+        """Record that no connection to an endpoint could be opened.
 
-        One such failure says more than a failed request: the endpoint is
-        gone, or behind a cut, for everything that is sent to it.
+        This weighs more than a failed request: the endpoint is down, or cut
+        off, for every request that is sent to it.
 
-        :param endpoint: which
+        :param endpoint: its name
         :param now_seconds: reading of the process clock
         """
         record = self._record(endpoint)
@@ -124,11 +124,11 @@
         record.judged_at_seconds = now_seconds
 
     def health(self, endpoint: str, *, now_seconds: float) -> float:
-        """Tell how sound an endpoint is.
+        """Return an endpoint's health.
 
-        :param endpoint: which
+        :param endpoint: its name
         :param now_seconds: reading of the process clock
-        :return: 1 when nothing failed lately, 0 when everything did
+        :return: 1 when no request failed recently, 0 when all did
         """
         record = self._records.get(endpoint)
         return 1.0 - (
@@ -136,7 +136,7 @@
         )
 
     def drop(self, endpoint: str) -> None:
-        """Forget an endpoint that is gone.
+        """Forget an endpoint that is no longer listed.
 
         :param endpoint: its name
         """
@@ -153,7 +153,7 @@
         failures = self._failures(record, now_seconds)
         load += FAILING_LOAD * max(0.0, failures - TOLERATED_FAILURES)
         load += self._slowness(record)
-        # Jitter: all instances see the same idle endpoint.
+        # Random, because all instances see the same idle endpoint.
         jitter = self._rng.random() / max(1, slots)
         return load + (0.0 if near else FAR_LOAD) + jitter
 
--- a/src/boragefold/policy/slow_endpoints.py
+++ b/src/boragefold/policy/slow_endpoints.py
@@ -1,8 +1,8 @@
-"""Which endpoints are slower than their peers, and get less.
+"""Lowers the share of endpoints that are slower than their peers.
 
-Load pattern: one endpoint gets slow (a throttled accelerator, a failing
-link) but still answers. Without this it keeps its share of the requests until
-it fails, and that share of the callers waits.
+Load pattern: one endpoint becomes slow (a throttled accelerator, a failing
+link) but still answers. Without a comparison it keeps its share of the
+requests until it fails, and the callers of that share wait.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from boragefold.policy import endpoint_state
 
-# More than fill and chance explain.
+# More than differences in fill and random variation explain.
 SLOW_RATIO = 3.0
-# The probes that show its recovery.
+# Leaves a few probes, which show when the endpoint has recovered.
 MIN_WEIGHT = 0.02
-# With fewer there is no majority to compare with.
+# Fewer endpoints have no majority to compare with.
 MIN_PEERS = 3
-# A bad measurement fades without answers.
+# A bad measurement decays when no answers follow.
 FORGET_AFTER_SECONDS = 10.0
 FAILURE_FACTOR = 0.5
 RECOVERY_PER_REFRESH = 0.1
@@ -69,7 +69,7 @@
 
 
 def _share(latency: float, median: float) -> float:
-    # An endpoint just past the limit loses little.
+    # The share falls gradually beyond the limit.
     if median <= 0 or latency <= SLOW_RATIO * median:
         return 1.0
     share = SLOW_RATIO * median / latency
@@ -79,7 +79,7 @@
 def _forget(
     state: endpoint_state.EndpointState, median: float, now_seconds: float
 ) -> None:
-    # An endpoint that no probe reaches would stay slow for good.
+    # Otherwise an endpoint that gets no probe would count as slow forever.
     idle = now_seconds - state.answered_at_seconds > FORGET_AFTER_SECONDS
     if idle and state.latency is not None and not state.unanswered:
         state.latency += (median - state.latency) / 2
--- a/src/boragefold/policy/work.py
+++ b/src/boragefold/policy/work.py
@@ -1,4 +1,4 @@
-"""What the decisions know of one request."""
+"""The description of a request on which all decisions are based."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class Work(NamedTuple):
-    """A request as the decisions see it.
+    """A request, as far as scheduling decisions need it.
 
-    Moments are readings of the process clock. ``give_up_at_seconds`` is when
+    Times are readings of the process clock. ``give_up_at_seconds`` is when
     the caller stops waiting. ``prefix`` names the prompt's beginning, so that
     requests that share it can share a prompt cache; empty when unknown.
     """
@@ -33,7 +33,7 @@
 
 
 def tokens_of(work: Work) -> float:
-    """Tell what a request is charged until it is settled.
+    """Return the tokens that a request is charged until it is settled.
 
     :param work: the request
     :return: prompt tokens and the most that may be generated, at least one
