--- a/tests/policy/test_choice.py
+++ b/tests/policy/test_choice.py
@@ -14,7 +14,7 @@
 
 
 class Instance:
-    """One instance's view and its choices."""
+    """One instance's state of the endpoints, and its choices."""
 
     def __init__(
         self,
@@ -72,9 +72,10 @@
 
 @pytest.mark.parametrize("needs", ["", "hot"])
 def test_instances_with_one_report_dont_herd(needs: str) -> None:
-    # Seven instances see the same report, a second old: one of ten engines
-    # is idle, the others half full. If all send to the idle one, it gets in
-    # that second several times its batch and is the slowest of all.
+    # Seven instances see the same report, one second old: one of ten engines
+    # is idle, the others are half full. If all instances send to the idle
+    # engine, it gets several times its batch in that second and becomes the
+    # slowest.
     size = {"batch_size": 32}
     instances = [
         Instance(*specs(10, **size), seed=seed, instances=7)
@@ -94,7 +95,7 @@
 
 def test_an_adapter_is_concentrated_until_the_batch_is_half_full() -> None:
     # Two requests of one adapter on each of five engines make five small
-    # batches; the same ten on one engine make one good one.
+    # batches; the same ten requests on one engine make a single full one.
     instance = Instance(*specs(5, batch_size=32))
     chosen = collections.Counter(instance.send(needs="hot") for _ in range(16))
     assert len(chosen) == 1
@@ -114,15 +115,15 @@
     first = instance.send(prefix="chapter 7")
     again = {instance.send(prefix="chapter 7") for _ in range(10)}
     assert again == {first}
-    # But not into a full batch.
+    # A full batch is avoided even if it has the prompt cached.
     instance.report({str(first): 32}, 2.0)
     assert instance.send(3.0, prefix="chapter 7") != first
 
 
 def test_a_slow_holder_loses_its_adapters_requests_and_returns() -> None:
-    # The first holder of an adapter gets slow. Every instance tries it first
-    # because of the common order; its weight must turn them away, but leave
-    # probes, or its recovery would never be seen.
+    # The first holder of an adapter becomes slow. Every instance tries it
+    # first because of the common order, so its weight must divert the
+    # requests, but leave some probes that can show its recovery.
     instance = Instance(*specs(5, batch_size=1000))
     first = instance.send(needs="hot")
     slow = instance.endpoints.get(str(first))
@@ -147,8 +148,8 @@
 
 
 def test_another_data_centre_helps_only_when_it_is_faster() -> None:
-    # The near endpoints are full. A request crosses to the other data centre
-    # only if it would wait here longer than the way there costs.
+    # The near endpoints are full. A request goes to the other data centre
+    # only if waiting here would take longer than the extra distance.
     far = workloads.spec("far", data_centre="there", distance_seconds=0.2)
     instance = Instance(*specs(2), far)
     for state in instance.endpoints:
@@ -161,14 +162,14 @@
     outcome = instance.choice.choose(request, queued_seconds=1.0)
     assert isinstance(outcome, choice.Chosen)
     assert outcome.endpoint == "far"
-    # Long requests leave no room for long, even while nobody else waits.
+    # Long requests keep slots occupied, even while nothing is queued.
     for name in ("e0", "e1"):
         state = instance.endpoints.get(name)
         assert state is not None
         state.duration_seconds = 8.0
     outcome = instance.choice.choose(request, queued_seconds=0.0)
     assert isinstance(outcome, choice.Chosen)
-    # Where every near holder failed it already, distance doesn't matter.
+    # Once every near holder has failed it, distance doesn't matter.
     tried = frozenset({"e0", "e1"})
     outcome = instance.choice.choose(request, excluded=tried)
     assert isinstance(outcome, choice.Chosen)
--- a/tests/policy/test_dispatcher.py
+++ b/tests/policy/test_dispatcher.py
@@ -98,9 +98,9 @@
 
 
 def test_a_cold_request_holds_up_no_other() -> None:
-    # A request for an adapter that nobody holds comes first, one for a held
-    # adapter right after it, same workspace. The second must start at once;
-    # the first when its load has ended, and not before.
+    # A request for an adapter that no endpoint holds is followed by one for a
+    # held adapter from the same workspace. The second must start at once, the
+    # first only when its load has ended.
     system = build(held={"a": ["warm"]})
     cold = workloads.work(needs="cold")
     warm = workloads.work(needs="warm")
@@ -115,8 +115,8 @@
 
 
 def test_a_cold_adapter_asked_for_at_two_instances_is_loaded_once() -> None:
-    # Callers of one cold adapter reach two instances, each of which gives
-    # orders to one endpoint. Deciding alone, each would have it loaded.
+    # Requests for one cold adapter reach two instances, each of which gives
+    # orders to one endpoint. Without coordination, each would load it.
     orderers: dict[str, str | None] = {"a": "i1", "b": "i2"}
     pair = {
         name: build(held={"a": [], "b": []}, self_name=name, orderers=orderers)
@@ -137,8 +137,9 @@
 
 
 def test_adapters_of_an_unreachable_orderer_are_decided_on_here() -> None:
-    # A cut parts us from the instance that orders b. Cold adapters whose home
-    # is b would wait for the end of the cut, for hours if need be.
+    # A partition separates this instance from the one that orders b. Cold
+    # adapters whose home is b would otherwise wait until it ends, possibly
+    # for hours.
     system = build(held={"a": [], "b": []}, orderers={"a": "i1", "b": None})
     done = offer(
         system, *(workloads.work(needs=f"cold-{n}") for n in range(4))
@@ -152,8 +153,8 @@
 
 
 def test_a_request_that_may_not_run_twice_is_sent_once() -> None:
-    # The connection breaks after a payout was sent. Sent again it might be
-    # paid twice, so its caller is told that the outcome is unknown.
+    # The connection breaks after a payout was sent. A second attempt might
+    # pay it twice, so the caller is told that the outcome is unknown.
     bucket = Stock()
     system = build(held={"a": [], "b": []}, bucket=bucket)
     request = workloads.work()
@@ -175,9 +176,9 @@
 
 
 def test_a_request_that_ran_in_part_is_never_called_not_run() -> None:
-    # The only endpoint dies with an idempotent request in flight; the request
-    # goes back to the queue and waits until its caller gives up. "Not run"
-    # would be a lie by then.
+    # The only endpoint fails with an idempotent request in flight; the
+    # request is queued again and waits until its caller times out. The answer
+    # "not run" would then be false.
     system = build(held={"a": ["x"]})
     request = workloads.work(needs="x", patience=5.0)
     offer(system, request)
@@ -189,9 +190,10 @@
 
 
 def test_an_endpoint_that_lost_the_adapter_gets_no_more_of_it() -> None:
-    # An engine restarts empty; until its next report we think it holds the
-    # adapter. Its refusals are no failed attempts: with a budget for them,
-    # every request of the restart's second would be lost.
+    # An engine restarts empty, and until its next report this instance
+    # believes that it holds the adapter. Its refusals must not count as failed
+    # attempts: limited by the retry budget, every request sent there before
+    # that report would be lost.
     system = build(held={"a": ["x"], "b": ["x"]})
     requests = [workloads.work(needs="x") for _ in range(3)]
     placed = sends(offer(system, *requests, idempotent=False))
@@ -205,8 +207,8 @@
 
 
 def test_who_waits_for_tokens_is_sent_when_they_come() -> None:
-    # Tokens come back early, because the first answer was short; whoever
-    # waits for them must not wait until the time that was estimated.
+    # Tokens are returned early, because the first answer was short; a request
+    # that waits for them must not wait until the estimated time.
     bucket = Stock(rate=1000.0, burst=100.0)
     system = build(held={"a": []}, bucket=bucket)
     first, second = workloads.work(), workloads.work()
@@ -279,9 +281,9 @@
 
 
 def test_an_answer_that_breaks_off_late_can_still_be_resumed() -> None:
-    # The caller was ready to wait 5 s for the first token, got it, and has
-    # been reading for a minute when the endpoint dies. Measured from its
-    # arrival its patience is long over, and nothing would be resumed.
+    # The caller's timeout was 5 s for the first token; it received that and
+    # has read the answer for a minute when the endpoint fails. Measured from
+    # its arrival, its timeout is long over, and nothing would be resumed.
     system = build(held={"a": ["x"], "b": ["x"]})
     request = workloads.work(needs="x", patience=5.0)
     offer(system, request)
@@ -292,9 +294,9 @@
 
 
 def test_room_is_used_although_another_adapter_has_to_wait() -> None:
-    # One endpoint is so slow that its only adapter's requests queue. The
-    # queue is long, but not for adapters whose holders are idle: their callers
-    # must not be refused for it.
+    # One endpoint is so slow that requests for its only adapter queue. That
+    # delay must not make the instance refuse requests for adapters whose
+    # holders are idle.
     system = build(held={"slow": ["x"], "idle": ["y"]})
     offer(system, *(workloads.work(needs="x") for _ in range(4)))
     for number in range(40):
@@ -308,9 +310,9 @@
 
 
 def test_the_only_holder_that_fails_a_request_twice_is_left() -> None:
-    # The only endpoint that holds an adapter cuts every answer of it. Sent
-    # there again and again within milliseconds, the request would use up all
-    # retries; its caller would be cut off although another endpoint is well.
+    # The only endpoint that holds an adapter breaks off every answer with it.
+    # Sent there repeatedly within milliseconds, the request would use up all
+    # retries, although another endpoint is healthy.
     system = build(held={"cuts": ["x"], "well": []})
     request = workloads.work(needs="x")
     offer(system, request)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -26,21 +26,21 @@
 
 
 def test_own_requests_are_counted_over_a_lagged_report() -> None:
-    # Reports are a second old. Between two of them requests are sent and
-    # end; each must count once, whether the report has seen it or not.
+    # Reports are one second old. Between two of them requests are sent and
+    # end; each must count once, whether the report includes it or not.
     endpoints = build("e")
     first, second, third = (workloads.work() for _ in range(3))
     endpoints.sent("e", first, now_seconds=1.0)
     endpoints.sent("e", second, now_seconds=2.0)
     assert running(endpoints, "e") == 2
-    # Seen by the report: the first, and three of other instances.
+    # The report includes the first, and three of other instances.
     endpoints.report(workloads.report("e", 4, 1.5))
     assert running(endpoints, "e") == 5
     endpoints.finished("e", first.request_id, now_seconds=2.5)
     assert running(endpoints, "e") == 4
     endpoints.finished("e", second.request_id, now_seconds=2.6)
     assert running(endpoints, "e") == 3
-    # Measured while the second still ran, arrived after its end.
+    # Measured while the second was still running, received after its end.
     endpoints.report(workloads.report("e", 4, 2.55))
     assert running(endpoints, "e") == 3
     endpoints.sent("e", third, now_seconds=3.0)
@@ -60,9 +60,9 @@
 
 
 def test_an_engine_that_restarted_holds_nothing() -> None:
-    # An engine crashes and starts again, empty. Until that is noticed its
-    # adapters' requests would get an error or the bare model's answer. A
-    # late report of its former self must not bring the adapters back.
+    # An engine crashes and restarts empty. Until that is noticed, requests
+    # for its adapters would get an error or the base model's answer. A late
+    # report of its former incarnation must not bring the adapters back.
     endpoints = build("e")
     endpoints.loaded("e", HOT, now_seconds=1.0)
     endpoints.sent("e", workloads.work(needs="hot"), now_seconds=1.0)
@@ -98,8 +98,8 @@
 
 
 def test_an_old_report_doesnt_undo_an_order() -> None:
-    # An adapter is evicted and another loaded; the report that comes next
-    # was measured before. It must neither bring back the evicted adapter,
+    # An adapter is evicted and another one loaded; the next report was
+    # measured before that. It must neither bring back the evicted adapter,
     # whose slot is about to be reused, nor hide the loaded one.
     endpoints = build("e")
     cold = workloads.adapter("cold")
@@ -114,7 +114,7 @@
     new = workloads.report("e", 0, 6.0)._replace(resident=(cold,))
     endpoints.report(new)
     assert endpoints.get("e").occupied_slots() == 1
-    # What another instance's order loaded shows in the report.
+    # A load that another instance ordered appears in the report.
     endpoints.report(workloads.report("e", 0, 7.0)._replace(resident=(HOT,)))
     assert names(endpoints) == {"e"}
     assert names(endpoints, cold) == set()
@@ -132,8 +132,8 @@
 
 
 def test_a_silent_endpoint_loses_its_share_before_any_answer() -> None:
-    # One endpoint stops answering altogether: it gives no sample that could
-    # raise its measured latency. The age of what it owes must count.
+    # One endpoint stops answering, so no sample raises its measured latency.
+    # The age of its unanswered requests must count instead.
     endpoints = build("e", "f", "g")
     for name in ("e", "f", "g"):
         request = workloads.work()
@@ -148,8 +148,8 @@
 
 
 def test_a_slow_endpoint_shows_by_few_answers() -> None:
-    # One of seven instances sends to an endpoint every six seconds. With a
-    # tenth of the weight per answer it would take a minute to see it slow.
+    # One of seven instances sends to an endpoint every six seconds. If each
+    # answer had a tenth of the weight, slowness would show after a minute.
     endpoints = build("e", "f", "g")
     for step in range(12):
         at = step * 6.0
--- a/tests/policy/test_fair_queue.py
+++ b/tests/policy/test_fair_queue.py
@@ -39,8 +39,8 @@
 
 
 def test_workspaces_take_turns_by_tokens() -> None:
-    # One workspace has a hundred requests waiting, another has three. The
-    # three must not stand behind the hundred.
+    # One workspace has a hundred requests queued, another has three. The
+    # three must not wait behind the hundred.
     queue = build(
         *(workloads.work("a") for _ in range(100)),
         *(workloads.work("b", at=1.0) for _ in range(3)),
@@ -50,7 +50,8 @@
 
 def test_a_workspace_returns_from_idle_without_credit() -> None:
     # A workspace was idle while another was served for an hour. If the idle
-    # hour counted, its return would shut the other out until it caught up.
+    # time counted as credit, its return would block the other until it had
+    # caught up.
     queue = build(
         workloads.work("b"), *(workloads.work("a") for _ in range(100))
     )
@@ -74,8 +75,8 @@
 
 
 def test_a_blocked_workspace_doesnt_save_up_its_wait() -> None:
-    # A workspace waits long for a load while another is served. When its
-    # adapter is there it may catch up two requests, not the whole wait.
+    # A workspace waits long for a load while another is served. Once its
+    # adapter is loaded it may catch up two requests, not the whole wait.
     queue = build(
         *(workloads.work("a", needs="cold") for _ in range(20)),
         *(workloads.work("b", needs="warm") for _ in range(200)),
@@ -93,7 +94,7 @@
 
 
 def test_late_sensitive_work_goes_first_but_not_always() -> None:
-    # Late-sensitive work alone would fill the engines. Ordinary work must
+    # Late-sensitive requests alone would fill the engines. Ordinary ones must
     # still get a fifth of the tokens.
     queue = build(
         *(workloads.work("a", late_sensitive=True) for _ in range(100)),
@@ -110,18 +111,19 @@
     same = queue.offer(workloads.work("a", patience=10.0), **asked)
     assert isinstance(same, refusal.Refused)
     assert same.reason == "queue_too_long"
-    # It would start in 10 s; at most 7 of the caller's 10 may go by.
+    # It would start in 10 s, but at most 7 s of its timeout may pass first.
     assert same.retry_after_seconds == pytest.approx(3.0)
-    # Another workspace doesn't wait behind those hundred.
+    # Requests of another workspace don't wait behind those hundred.
     other = queue.offer(workloads.work("b", patience=10.0), **asked)
     assert isinstance(other, fair_queue.Queued)
     assert other.start_in_seconds <= 0.1
 
 
 def test_the_estimate_follows_what_a_workspace_really_gets() -> None:
-    # Late-sensitive requests keep coming and go first, so ordinary work gets
-    # a fifth. An estimate from the whole service would let callers in who
-    # are told five times too early a start, and give up in the queue.
+    # Late-sensitive requests keep arriving and are served first, so ordinary
+    # ones get a fifth of the throughput. An estimate from the whole throughput
+    # would be five times too low, and admit requests that time out in the
+    # queue.
     queue = build(*(workloads.work("a") for _ in range(100)))
     for step in range(50):
         now = step / 10
@@ -157,7 +159,7 @@
 
 def test_a_finished_request_is_charged_what_it_used() -> None:
     # Requests of "a" ask for 1000 tokens and use 100; those of "b" ask for
-    # 100 and use them. Charged by what they asked for, "a" would get a tenth.
+    # 100 and use them. Charged by the tokens asked for, "a" would get a tenth.
     queue = build(
         *(workloads.work("a", tokens=1000) for _ in range(60)),
         *(workloads.work("b", tokens=100) for _ in range(60)),
@@ -184,8 +186,8 @@
 def test_backlogged_workspaces_differ_by_two_requests_at_most(
     backlog: list[tuple[str, int]], arrivals: list[int]
 ) -> None:
-    # The bound of start-time fair queueing, from any moment on at which two
-    # workspaces both have work waiting.
+    # The bound of start-time fair queueing holds from any time on at which
+    # two workspaces both have requests queued.
     queue = build(
         *(workloads.work(name, tokens=tokens) for name, tokens in backlog)
     )
@@ -204,11 +206,11 @@
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(strategies.integers(100, 4000), strategies.integers(1, 100))
 def test_a_long_request_is_never_starved(long: int, short: int) -> None:
-    # Short requests keep coming, faster than they are served. The long one
-    # may be passed only by those that came within its handicap.
+    # Short requests keep arriving, faster than they are served. The long one
+    # may be overtaken only by those that arrive within its handicap.
     queue = build(workloads.work(tokens=long, patience=40.0))
-    # 20 requests are served a second while 40 come: those that came within
-    # the handicap of 10 s take 20 s, and one more tick.
+    # 20 requests are served per second while 40 arrive: serving those that
+    # arrived within the handicap of 10 s takes 20 s, and one more step.
     for step in range(402):
         now = step * 0.05
         for _ in range(2):
--- a/tests/policy/test_fair_share.py
+++ b/tests/policy/test_fair_share.py
@@ -18,8 +18,8 @@
 def test_the_service_is_divided_max_min_fairly(
     service: float, shares: dict[str, int]
 ) -> None:
-    # Three workspaces, each inside its rate, ask for more than is served.
-    # Who asks for less than an equal part must get all of it.
+    # Three workspaces, each within its rate limit, ask for more than can be
+    # served. One that asks for less than an equal part must get all of it.
     share = fair_share.FairShare()
     passed = dict.fromkeys(DEMANDS, 0)
     for step in range(6000):
--- a/tests/policy/test_load_patterns.py
+++ b/tests/policy/test_load_patterns.py
@@ -1,4 +1,4 @@
-"""Load patterns, judged by what the callers receive."""
+"""Load patterns, measured by the answers and waits of the callers."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 
 
 def test_a_burst_inside_the_rate_is_served_whole() -> None:
-    # A workspace sends 60 requests in one instant and then nothing. They fit
-    # its burst but not the engines. Callers must get all answers, and the
-    # other workspace's single request must not wait behind the sixty.
+    # A workspace sends 60 requests at once and then none. They fit its burst
+    # limit but not the engines. All must be answered, and the single request
+    # of another workspace must not wait behind the sixty.
     system = rig()
     system.submit(*(workloads.work("burst") for _ in range(60)))
     system.submit(workloads.work("quiet", at=0.05))
@@ -47,9 +47,9 @@
 
 
 def test_a_hot_caller_is_told_at_once_and_harms_nobody() -> None:
-    # One workspace sends five times its rate for ten seconds. Its excess must
-    # be refused at once with a time to come back, not held until its callers
-    # are about to give up; another inside its rate sees none of it.
+    # One workspace sends five times its rate for ten seconds. The excess must
+    # be refused at once with a time to retry after, not held until its callers
+    # are about to time out; another workspace within its rate is unaffected.
     system = rig(rate=500.0, burst=500.0)
     system.submit(
         *(workloads.work("hot", at=number / 25) for number in range(250))
@@ -62,7 +62,8 @@
     assert reasons(answers, "calm") == {"served": 40}
     assert max(waits(answers, "calm")) < 0.3
     served = reasons(answers, "hot")["served"]
-    # 500 of the burst and eleven seconds of rate: the last ones may wait one.
+    # 500 tokens of burst and eleven seconds of rate, as the last requests may
+    # wait one second.
     assert 50 <= served <= 60
     assert {each.refused.reason for each in refused} == {"rate_exceeded"}
     held = [each.ended_at - each.work.arrived_at_seconds for each in refused]
@@ -73,8 +74,8 @@
 
 def test_a_slow_endpoint_loses_traffic_and_gets_it_back() -> None:
     # One of five engines generates at a tenth of its speed for a while, but
-    # answers everything. Callers that are sent there wait ten times as long.
-    # It must lose its traffic within seconds, and get it back afterwards.
+    # answers every request. Callers that are sent there wait ten times as
+    # long. It must lose its traffic within seconds, and get it back later.
     system = rig()
     system.submit(
         *(workloads.work(tokens=20, at=number / 20) for number in range(2400))
@@ -97,9 +98,9 @@
 
 
 def test_short_requests_pass_a_long_one_and_it_still_starts() -> None:
-    # Editors' long notes and many short summaries come from one workspace to
-    # nearly full engines. In order of arrival every summary waits as long as
-    # the notes; shortest first, the notes would never start.
+    # One workspace sends long notes and many short summaries to nearly full
+    # engines. In order of arrival every summary would wait as long as the
+    # notes; shortest first, the notes would never start.
     system = rig()
     system.submit(
         *(
@@ -123,9 +124,9 @@
 
 def test_overload_sheds_ordinary_work_above_its_share_first() -> None:
     # Together the workspaces ask for three times what the engines generate,
-    # each inside its own rate. Late-sensitive appraisals and the modest
-    # sender must go on being served, the big sender be refused early, and no
-    # caller be left to wait until it gives up.
+    # each within its own rate. Late-sensitive requests and the small sender
+    # must still be served, the big sender must be refused early, and no
+    # caller may wait until it times out.
     system = rig()
     system.submit(
         *(
@@ -154,7 +155,7 @@
     big = reasons(answers, "big")
     assert big["caller_gave_up"] == 0
     assert big["overload_above_share"] > 0
-    # The engines are never idle meanwhile: 20 requests a second in all.
+    # The engines stay busy meanwhile, with 20 requests per second in all.
     total = sum(
         reasons(answers, each)["served"] for each in ("big", "small", "late")
     )
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -8,7 +8,7 @@
 
 
 class Controller:
-    """An overload controller that sees one delay for some time."""
+    """An overload controller that observes a constant delay for some time."""
 
     def __init__(self) -> None:
         self.overload = overload.Overload(counters=telemetry.Counters())
@@ -55,15 +55,15 @@
     assert controller.check(late=True) == ""
     assert controller.check(late=True, cold=True) == ""
     assert controller.check(late=True, above=True) == "overload_above_share"
-    # One level in two seconds, and none above half of what raised it.
+    # One level per two seconds, and only below half of the raising delay.
     assert controller.see(1.6, 5.0) == overload.Level.ORDINARY
     assert controller.see(0.0, 2.2) == overload.Level.ORDINARY_COLD
     assert controller.see(0.0, 10.0) == overload.Level.NORMAL
 
 
 def test_a_falling_delay_raises_nothing_further() -> None:
-    # What is shed already is enough, but the queue takes time to empty. A
-    # level more would refuse those who did nothing to fill it.
+    # The present level sheds enough, but the queue takes time to drain. A
+    # higher level would refuse callers that didn't cause the overload.
     controller = Controller()
     controller.see(4.0, 1.3)
     assert controller.overload.level == overload.Level.ABOVE_SHARE
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -20,8 +20,8 @@
 
 
 def test_a_payout_is_repeated_only_if_nothing_was_sent() -> None:
-    # A connection breaks after a payout was written to it. The endpoint may
-    # have paid; a second attempt would pay twice.
+    # A connection breaks after a payout was sent. The endpoint may have paid
+    # it; a second attempt would pay twice.
     budget, counters = build()
     assert not budget.try_retry(
         "e", idempotent=False, bytes_sent=True, now_seconds=0.0
@@ -33,8 +33,8 @@
 
 
 def test_a_failing_fleet_causes_no_retry_storm() -> None:
-    # Every endpoint fails every request. Each failure retried once would
-    # double the load on endpoints that fail because of the load.
+    # Every endpoint fails every request. One retry per failure would double
+    # the load on endpoints that fail because of the load.
     budget, counters = build()
     retries = 0
     for step in range(10_000):
@@ -65,7 +65,12 @@
 
 
 def fleet_retries(*, instances: int, failing: float) -> list[float]:
-    """Let instances get a request every four seconds for half a minute."""
+    """Simulate 30 s in which each instance gets a request every 4 s.
+
+    :param instances: number of instances
+    :param failing: part of the attempts that fail
+    :return: the times of the retries
+    """
     limit = retry_budget.FleetLimit(ratio=0.2, slack=430, window_seconds=10.0)
     allowance = retry_budget.allowance_of(limit, instances)
     budgets = [
@@ -87,8 +92,8 @@
 
 
 def test_one_of_hundreds_may_retry_too() -> None:
-    # Each could save up less than one retry, and no failed lookup of the
-    # whole fleet was ever repeated.
+    # Without a floor, each instance could save up less than one retry, and no
+    # failed request of the whole fleet would be retried.
     failed = 0.14 * 30 * 195 / 4
     assert len(fleet_retries(instances=195, failing=0.14)) > failed / 2
 
--- a/tests/policy/test_service_choice.py
+++ b/tests/policy/test_service_choice.py
@@ -37,9 +37,9 @@
 
 
 def test_an_endpoint_that_fails_loses_its_share_and_gets_it_back() -> None:
-    # One endpoint fails everything while its health check is good. It must
-    # lose nearly all of its share within a second, and have it back some
-    # seconds after its recovery.
+    # One endpoint fails every request while its health check passes. It must
+    # lose nearly all of its share within a second, and regain it some seconds
+    # after its recovery.
     choice = service_choice.ServiceChoice(rng=random.Random(2))
     during = play(choice, failing={"two"})
     assert during["two"] < 0.12 * sum(during.values())
