--- a/src/boragefold/policy/attempts.py
+++ b/src/boragefold/policy/attempts.py
@@ -108,8 +108,8 @@
             bytes_sent=bytes_sent,
             now_seconds=now_seconds,
         ):
-            self._avoid_if_it_failed_twice(request, endpoint, now_seconds)
-            self._repeat(request, endpoint, now_seconds)
+            self._stop_using_if_failed_twice(request, endpoint, now_seconds)
+            self._retry(request, endpoint, now_seconds)
             return None
         self._requests.end(request, used_tokens=used_tokens)
         return actions.GiveUp(
@@ -134,7 +134,7 @@
         self.end(request, used_tokens=0.0, now_seconds=now_seconds)
         if request.attempts <= MAX_NOT_HELD:
             self._counters.add("retries", "adapter_not_held")
-            self._repeat(request, endpoint, now_seconds)
+            self._retry(request, endpoint, now_seconds)
             return None
         self._requests.end(request, used_tokens=0.0)
         self._counters.add("requests_refused", "adapter_not_held")
@@ -148,7 +148,7 @@
             ),
         )
 
-    def _avoid_if_it_failed_twice(
+    def _stop_using_if_failed_twice(
         self,
         request: requests_module.Request,
         endpoint: str,
@@ -164,7 +164,7 @@
                 endpoint, request.work.needs, now_seconds=now_seconds
             )
 
-    def _repeat(
+    def _retry(
         self,
         request: requests_module.Request,
         endpoint: str,
@@ -174,9 +174,9 @@
             # Restarts the timeout: counted from the arrival, a long answer
             # could never be resumed.
             work = request.work
-            patience = work.give_up_at_seconds - work.arrived_at_seconds
+            timeout_seconds = work.give_up_at_seconds - work.arrived_at_seconds
             request.work = work._replace(
-                give_up_at_seconds=now_seconds + patience
+                give_up_at_seconds=now_seconds + timeout_seconds
             )
         self._requests.exclude(request, endpoint)
         self._sending.push_back(request.work, now_seconds=now_seconds)
--- a/src/boragefold/policy/backoff.py
+++ b/src/boragefold/policy/backoff.py
@@ -15,7 +15,7 @@
 Key = TypeVar("Key")
 
 # Short, so that a single failure costs little.
-FIRST_SECONDS = 0.5
+INITIAL_SECONDS = 0.5
 # Often enough to notice that a damaged adapter was repaired.
 MAX_SECONDS = 60.0
 # Spreads the retries of attempts that failed together.
@@ -26,7 +26,7 @@
 class Failures(NamedTuple):
     """Consecutive failures, and when the next attempt may be made."""
 
-    in_a_row: int
+    consecutive: int
     not_before_seconds: float
 
 
@@ -56,9 +56,9 @@
         :param key: what was attempted
         :param now_seconds: reading of the process clock
         """
-        before = self._failures.get(key, Failures(0, 0.0)).in_a_row
+        before = self._failures.get(key, Failures(0, 0.0)).consecutive
         pause_seconds = min(
-            FIRST_SECONDS * 2 ** min(before, MAX_DOUBLINGS), MAX_SECONDS
+            INITIAL_SECONDS * 2 ** min(before, MAX_DOUBLINGS), MAX_SECONDS
         )
         pause_seconds *= 1 + JITTER * (2 * self._rng.random() - 1)
         self._failures[key] = Failures(before + 1, now_seconds + pause_seconds)
--- a/src/boragefold/policy/choice.py
+++ b/src/boragefold/policy/choice.py
@@ -126,7 +126,7 @@
         if not holders:
             return False
         near, _far = _split(holders)
-        return any(each.has_room() for each in self._neighbours(near))
+        return any(each.has_room() for each in self._scan_window(near))
 
     def _concentrate(
         self,
@@ -136,7 +136,7 @@
     ) -> fleet.EndpointState | None:
         # All instances try the holders in the same order, so that together
         # they fill one batch.
-        cached = self._cached(near, work)
+        cached = self._prefix_holder(near, work)
         if cached is not None and self._accepts(cached, excluded):
             self._counters.add("requests_chosen", "prefix")
             return cached
@@ -151,7 +151,7 @@
             None,
         )
 
-    def _cached(
+    def _prefix_holder(
         self, near: Sequence[fleet.EndpointState], work: works.Work
     ) -> fleet.EndpointState | None:
         name = self._prefixes.get(work)
@@ -170,10 +170,10 @@
             return False
         # The other instances see the same report, and are assumed to have
         # sent as much since as this one.
-        unseen = (self._instances() - 1) * state.sent_since
-        fill = state.fill() + unseen / max(state.spec.batch_size, 1)
-        over = fill - CONCENTRATE_FILL
-        chance = 1.0 - max(over, 0.0) / (SPREAD_FILL - CONCENTRATE_FILL)
+        unreported = (self._instances() - 1) * state.sent_since
+        fill = state.fill() + unreported / max(state.spec.batch_size, 1)
+        excess_fill = fill - CONCENTRATE_FILL
+        chance = 1.0 - max(excess_fill, 0.0) / (SPREAD_FILL - CONCENTRATE_FILL)
         return self._rng.random() < chance * state.weight
 
     def _spread(
@@ -191,7 +191,7 @@
             return next(
                 (
                     state
-                    for state in self._neighbours(holders)
+                    for state in self._scan_window(holders)
                     if state.has_room() and state.spec.name not in excluded
                 ),
                 None,
@@ -222,7 +222,7 @@
         elif all(state.spec.name in excluded for state in near):
             near_seconds = float("inf")
         else:
-            wait_seconds = max(queued_seconds, _slot_seconds(near))
+            wait_seconds = max(queued_seconds, _next_slot_seconds(near))
             near_seconds = wait_seconds + _cost(near[0], work)
         if _cost(best, work) + FAR_MARGIN_SECONDS >= near_seconds:
             return chosen
@@ -240,7 +240,7 @@
             for _ in range(RANDOM_CHOICES)
         ]
 
-    def _neighbours(
+    def _scan_window(
         self, holders: Sequence[fleet.EndpointState]
     ) -> Sequence[fleet.EndpointState]:
         if len(holders) <= SCANNED_HOLDERS:
@@ -270,7 +270,7 @@
     return state.spec.distance_seconds + latency * (1.0 + state.fill())
 
 
-def _slot_seconds(holders: Sequence[fleet.EndpointState]) -> float:
+def _next_slot_seconds(holders: Sequence[fleet.EndpointState]) -> float:
     # A full pool gets room each time that one of its requests ends.
     first = holders[0]
     duration_seconds = first.duration_seconds or 0.0
--- a/src/boragefold/policy/dispatcher.py
+++ b/src/boragefold/policy/dispatcher.py
@@ -56,9 +56,9 @@
             requests=self._requests,
             counters=counters,
         )
-        self._topped_up: set[str] = set()
-        self._endings: list[actions.Action] = []
-        stock.subscribe(self._topped_up.add)
+        self._refilled_workspaces: set[str] = set()
+        self._answers: list[actions.Action] = []
+        stock.subscribe(self._refilled_workspaces.add)
 
     def offer(
         self, work: works.Work, *, idempotent: bool, now_seconds: float
@@ -78,7 +78,7 @@
         if isinstance(outcome, admissions.Waiting):
             return None
         request.reservation = outcome.reservation
-        return self._queue_up(request, now_seconds)
+        return self._enqueue(request, now_seconds)
 
     def first_token(self, request_id: str, *, now_seconds: float) -> None:
         """Record the first byte of an answer.
@@ -86,7 +86,7 @@
         :param request_id: the request
         :param now_seconds: reading of the process clock
         """
-        request = self._sent(request_id)
+        request = self._find_sent(request_id)
         if request is not None:
             request.answered = True
             self._endpoints.answered(
@@ -121,17 +121,17 @@
         :param used_tokens: tokens of the answer that the caller has received
         :param now_seconds: reading of the process clock
         """
-        request = self._sent(request_id)
+        request = self._find_sent(request_id)
         if request is None:
             return
-        ending = self._attempts.fail(
+        answer = self._attempts.fail(
             request,
             bytes_sent=bytes_sent,
             used_tokens=used_tokens,
             now_seconds=now_seconds,
         )
-        if ending is not None:
-            self._endings.append(ending)
+        if answer is not None:
+            self._answers.append(answer)
 
     def not_held(self, request_id: str, *, now_seconds: float) -> None:
         """Record that an endpoint refused because it lacks the adapter.
@@ -139,12 +139,12 @@
         :param request_id: the request, which has not run
         :param now_seconds: reading of the process clock
         """
-        request = self._sent(request_id)
+        request = self._find_sent(request_id)
         if request is None:
             return
-        ending = self._attempts.not_held(request, now_seconds=now_seconds)
-        if ending is not None:
-            self._endings.append(ending)
+        answer = self._attempts.not_held(request, now_seconds=now_seconds)
+        if answer is not None:
+            self._answers.append(answer)
 
     def cancel(
         self,
@@ -171,12 +171,12 @@
 
         :return: reading of the process clock
         """
-        dues = (
+        due_times = (
             self.fleet.tick_at_seconds,
             self._admission.next_due_seconds(),
             self._queue.next_expiry_seconds(),
         )
-        return min(due for due in dues if due is not None)
+        return min(due for due in due_times if due is not None)
 
     def next_actions(self, *, now_seconds: float) -> list[actions.Action]:
         """Decide what to do now; call it after events and when it is due.
@@ -188,8 +188,8 @@
         self._expire(now_seconds)
         due = list(self.fleet.tick(now_seconds=now_seconds))
         due.extend(self._attempts.begin(now_seconds=now_seconds))
-        endings, self._endings = self._endings, []
-        return [*endings, *due]
+        answers, self._answers = self._answers, []
+        return [*answers, *due]
 
     def run(self, performer: actions.Performer, *, now_seconds: float) -> None:
         """Perform the actions that are due now.
@@ -200,7 +200,7 @@
         for action in self.next_actions(now_seconds=now_seconds):
             performer.perform(action)
 
-    def _queue_up(
+    def _enqueue(
         self, request: requests.Request, now_seconds: float
     ) -> refusal.Refused | None:
         work = request.work
@@ -212,27 +212,27 @@
         return None
 
     def _advance_admission(self, now_seconds: float) -> None:
-        workspaces = sorted(self._topped_up)
-        self._topped_up.clear()
+        workspaces = sorted(self._refilled_workspaces)
+        self._refilled_workspaces.clear()
         for workspace in (*workspaces, None):
             for decided in self._admission.advance(
                 now_seconds=now_seconds, workspace=workspace
             ):
-                self._take_up(decided, now_seconds)
+                self._handle_decided(decided, now_seconds)
 
-    def _take_up(
+    def _handle_decided(
         self, decided: admissions.Decided, now_seconds: float
     ) -> None:
         work, outcome = decided
         request = self._requests.waiting(work)
         if isinstance(outcome, refusal.Refused):
             self._requests.end(request, used_tokens=0.0)
-            self._endings.append(actions.Refuse(work, outcome))
+            self._answers.append(actions.Refuse(work, outcome))
             return
         request.reservation = outcome.reservation
-        refused = self._queue_up(request, now_seconds)
+        refused = self._enqueue(request, now_seconds)
         if refused is not None:
-            self._endings.append(actions.Refuse(work, refused))
+            self._answers.append(actions.Refuse(work, refused))
 
     def _expire(self, now_seconds: float) -> None:
         for work in self._queue.expire(now_seconds=now_seconds):
@@ -243,9 +243,9 @@
                 reason="caller_gave_up",
                 remedy="wait longer for the answer",
             )
-            self._endings.append(attempts.ended_unserved(request, refused))
+            self._answers.append(attempts.ended_unserved(request, refused))
 
-    def _sent(self, request_id: str) -> requests.Request | None:
+    def _find_sent(self, request_id: str) -> requests.Request | None:
         request = self._requests.get(request_id)
         return request if request is not None and request.endpoint else None
 
--- a/src/boragefold/policy/endpoint_state.py
+++ b/src/boragefold/policy/endpoint_state.py
@@ -19,15 +19,15 @@
 # One slow answer hardly matters, ten in a row do. Where answers are rare, each
 # weighs more, by the time since the last one.
 LATENCY_SMOOTHING = 0.1
-LATENCY_MEMORY_SECONDS = 10.0
+LATENCY_DECAY_SECONDS = 10.0
 # The fixed part of the time to the first token, in prompt tokens.
 FIXED_COST_TOKENS = 256
 # An old report must not keep an endpoint marked as full.
 REPORT_STALE_SECONDS = 5.0
 # Reports lag, so a slight overfill keeps the batch full.
-ROOM_FILL = 1.1
+MAX_SEND_FILL = 1.1
 # Adapters of an endpoint with less weight are also loaded elsewhere.
-POOR_WEIGHT = 0.5
+SLOW_WEIGHT = 0.5
 # How many former incarnations are kept to recognise their late reports.
 FORMER_INCARNATIONS = 4
 
@@ -63,7 +63,7 @@
         default_factory=collections.Counter
     )
     sent_since: int = 0
-    gone_since: int = 0
+    ended_since: int = 0
     ended: list[endpoint_requests.Ended] = dataclasses.field(
         default_factory=list
     )
@@ -78,7 +78,7 @@
 
         :return: those reported, plus those sent, less those ended since
         """
-        estimate = self.reported + self.sent_since - self.gone_since
+        estimate = self.reported + self.sent_since - self.ended_since
         return max(estimate, len(self.in_flight))
 
     def fill(self) -> float:
@@ -94,7 +94,7 @@
         :return: whether it would start almost at once
         """
         batch_size = self.spec.batch_size
-        limit = max(batch_size, int(ROOM_FILL * batch_size))
+        limit = max(batch_size, int(MAX_SEND_FILL * batch_size))
         return self.estimated_running() < limit
 
     def is_poor(self) -> bool:
@@ -102,7 +102,7 @@
 
         :return: whether requests should preferably go elsewhere
         """
-        return self.weight < POOR_WEIGHT
+        return self.weight < SLOW_WEIGHT
 
     def serves(self, adapter: works.AdapterVersion) -> bool:
         """Return whether an adapter's requests may be sent there.
@@ -145,7 +145,7 @@
             for ended in self.ended
             if ended.ended_at_seconds > report.measured_at_seconds
         ]
-        self.gone_since = sum(
+        self.ended_since = sum(
             ended.counted_by(report.measured_at_seconds)
             for ended in self.ended
         )
@@ -166,7 +166,7 @@
         self.unanswered.clear()
         self.in_use.clear()
         self.ended.clear()
-        self.gone_since = 0
+        self.ended_since = 0
         self.sent_since = 0
         self.latency = None
 
@@ -197,7 +197,7 @@
         if self.latency is None:
             self.latency = sample
         gap_seconds = now_seconds - self.answered_at_seconds
-        part = 1 - math.exp(-gap_seconds / LATENCY_MEMORY_SECONDS)
+        part = 1 - math.exp(-gap_seconds / LATENCY_DECAY_SECONDS)
         smoothing = max(part, LATENCY_SMOOTHING)
         self.latency += smoothing * (sample - self.latency)
         self.answered_at_seconds = now_seconds
@@ -228,7 +228,7 @@
         if sent.sent_at_seconds > self.measured_at_seconds:
             self.sent_since -= 1
         else:
-            self.gone_since += 1
+            self.ended_since += 1
 
     def present_latency(self, *, now_seconds: float) -> float | None:
         """Return the latency, including the age of unanswered requests.
@@ -254,7 +254,7 @@
             self.reported = 0
             self.sent_since = len(self.in_flight)
             self.measured_at_seconds = float("-inf")
-            self.gone_since = 0
+            self.ended_since = 0
             self.ended.clear()
 
     def unblocked(
--- a/src/boragefold/policy/endpoints.py
+++ b/src/boragefold/policy/endpoints.py
@@ -208,12 +208,12 @@
 
     def _index(self, state: EndpointState) -> None:
         if not state.spec.leaving:
-            for adapter in (*state.resident, _bare(state.spec.model)):
-                self._enlist(state, adapter)
+            for adapter in (*state.resident, _base_model(state.spec.model)):
+                self._add_holder(state, adapter)
 
     def _unindex(self, state: EndpointState) -> None:
-        for adapter in (*state.resident, _bare(state.spec.model)):
-            self._delist(state, adapter)
+        for adapter in (*state.resident, _base_model(state.spec.model)):
+            self._remove_holder(state, adapter)
 
     def _restart(self, state: EndpointState, incarnation: str) -> None:
         # A restarted engine holds no adapters.
@@ -244,16 +244,16 @@
             return
         state.resident.add(adapter)
         if not state.spec.leaving:
-            self._enlist(state, adapter)
+            self._add_holder(state, adapter)
 
     def _remove(
         self, state: EndpointState, adapter: works.AdapterVersion
     ) -> None:
         state.resident.discard(adapter)
         state.loaded_at.pop(adapter, None)
-        self._delist(state, adapter)
+        self._remove_holder(state, adapter)
 
-    def _enlist(
+    def _add_holder(
         self, state: EndpointState, adapter: works.AdapterVersion
     ) -> None:
         holders = self._holders.setdefault(adapter, [])
@@ -262,7 +262,7 @@
                 holders, state, key=lambda each: _rank(each, adapter)
             )
 
-    def _delist(
+    def _remove_holder(
         self, state: EndpointState, adapter: works.AdapterVersion
     ) -> None:
         holders = self._holders.get(adapter, [])
@@ -272,7 +272,7 @@
             self._holders.pop(adapter, None)
 
 
-def _bare(model: str) -> works.AdapterVersion:
+def _base_model(model: str) -> works.AdapterVersion:
     return works.AdapterVersion(model, "", "")
 
 
--- a/src/boragefold/policy/fair_queue.py
+++ b/src/boragefold/policy/fair_queue.py
@@ -23,7 +23,7 @@
 ORDINARY_SHARE = 0.2
 LATE_SENSITIVE_SHARE = 1 - ORDINARY_SHARE
 # The rest of the caller's timeout is left for the answer.
-START_PATIENCE_SHARE = 0.7
+START_TIMEOUT_SHARE = 0.7
 # A caller that retries earlier would be refused again.
 MIN_RETRY_AFTER_SECONDS = 0.5
 
@@ -77,8 +77,8 @@
             service_tokens_per_second=service_tokens_per_second,
             adapter_tokens_per_second=adapter_tokens_per_second,
         )
-        patience_seconds = work.give_up_at_seconds - now_seconds
-        bound_seconds = START_PATIENCE_SHARE * patience_seconds
+        timeout_seconds = work.give_up_at_seconds - now_seconds
+        bound_seconds = START_TIMEOUT_SHARE * timeout_seconds
         if start_in_seconds > bound_seconds:
             return self._refuse(start_in_seconds - bound_seconds)
         self.push(work, now_seconds=now_seconds)
@@ -112,15 +112,15 @@
         :param now_seconds: reading of the process clock
         :return: the request, or None when no queued request needs them
         """
-        wanted = [each for each in candidates if each in self._demand]
-        late = self._late.first(wanted)
-        ordinary = self._ordinary.first(wanted)
+        queued = [each for each in candidates if each in self._demand]
+        late = self._late.first(queued)
+        ordinary = self._ordinary.first(queued)
         position = self._next_class(late, ordinary)
         if position is None:
             return None
         work = self._works[position.request_id]
         self._class_of(work).charge(work, now_seconds=now_seconds)
-        self._take_out(work)
+        self._remove(work)
         return work
 
     def settle(self, work: works.Work, *, used_tokens: float) -> None:
@@ -139,7 +139,7 @@
         """
         work = self._works.get(request_id)
         if work is not None:
-            self._take_out(work)
+            self._remove(work)
         return work
 
     def expire(self, *, now_seconds: float) -> list[works.Work]:
@@ -154,7 +154,7 @@
             if give_up_at_seconds > now_seconds:
                 break
             work = self._works[request_id]
-            self._take_out(work)
+            self._remove(work)
             self._counters.add("requests_refused", "caller_gave_up")
             expired.append(work)
         return expired
@@ -233,7 +233,7 @@
         self._ordinary_credit_tokens += tokens * ratio
         return late
 
-    def _take_out(self, work: works.Work) -> None:
+    def _remove(self, work: works.Work) -> None:
         del self._works[work.request_id]
         self._expiry.remove(work.request_id)
         self._class_of(work).remove(work)
--- a/src/boragefold/policy/fair_share.py
+++ b/src/boragefold/policy/fair_share.py
@@ -16,13 +16,13 @@
 import math
 
 # Longer than a burst that the queue can absorb.
-MEMORY_SECONDS = 5.0
+DECAY_SECONDS = 5.0
 # The cost of an update grows with the number of workspaces.
 UPDATE_SECONDS = 0.5
 # A workspace may send its share of this time as one burst.
 BURST_SECONDS = 1.0
 # Accounts with less recent demand are dropped.
-FORGOTTEN_TOKENS = 1.0
+MIN_DEMAND_TOKENS = 1.0
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -78,13 +78,13 @@
     def _refill(self, account: Account, now_seconds: float) -> None:
         elapsed_seconds = max(now_seconds - account.at_seconds, 0.0)
         account.at_seconds = now_seconds
-        account.demand *= math.exp(-elapsed_seconds / MEMORY_SECONDS)
+        account.demand *= math.exp(-elapsed_seconds / DECAY_SECONDS)
         if math.isinf(self._share_per_second):
             account.credit = math.inf
             return
-        most = BURST_SECONDS * self._share_per_second
+        limit = BURST_SECONDS * self._share_per_second
         refill = elapsed_seconds * self._share_per_second
-        account.credit = min(account.credit + refill, most)
+        account.credit = min(account.credit + refill, limit)
 
     def _update(
         self, service_tokens_per_second: float, now_seconds: float
@@ -95,11 +95,11 @@
         self._accounts = {
             workspace: account
             for workspace, account in self._accounts.items()
-            if account.demand >= FORGOTTEN_TOKENS
+            if account.demand >= MIN_DEMAND_TOKENS
         }
         self._share_per_second = _max_min_share(
             [
-                account.demand / MEMORY_SECONDS
+                account.demand / DECAY_SECONDS
                 for account in self._accounts.values()
             ],
             service_tokens_per_second,
--- a/src/boragefold/policy/fleet_events.py
+++ b/src/boragefold/policy/fleet_events.py
@@ -22,11 +22,11 @@
 # Less than half of a load's duration. A request for a cold adapter makes the
 # next tick earlier, but never closer to the last one than the minimum.
 TICK_SECONDS = 0.1
-LEAST_TICK_SECONDS = 0.02
+MIN_TICK_SECONDS = 0.02
 # How often latencies are compared and stale reports dropped.
 REFRESH_SECONDS = 1.0
 # Requests for cold adapters are sent to peers at once, the rest this often.
-TELL_SECONDS = 0.25
+DIGEST_SECONDS = 0.25
 
 
 class FleetEvents:
@@ -45,9 +45,9 @@
         self._endpoints = endpoints
         self._placing = placing
         self.tick_at_seconds = float("-inf")
-        self._ticked_at_seconds = float("-inf")
+        self._last_tick_seconds = float("-inf")
         self._refresh_at_seconds = float("-inf")
-        self._tell_at_seconds = float("-inf")
+        self._digests_at_seconds = float("-inf")
 
     def report(self, report: fleet.LoadReport) -> None:
         """Process an endpoint's load report.
@@ -141,14 +141,14 @@
         self._placing.arrived(work, now_seconds=now_seconds)
         if self._placing.is_cold(work.needs):
             self.hurry(now_seconds=now_seconds)
-            self._tell_at_seconds = now_seconds
+            self._digests_at_seconds = now_seconds
 
     def hurry(self, *, now_seconds: float) -> None:
         """Advance the next decision on loads, as after a load was granted.
 
         :param now_seconds: reading of the process clock
         """
-        earliest = self._ticked_at_seconds + LEAST_TICK_SECONDS
+        earliest = self._last_tick_seconds + MIN_TICK_SECONDS
         self.tick_at_seconds = min(
             self.tick_at_seconds, max(now_seconds, earliest)
         )
@@ -162,14 +162,14 @@
         if now_seconds < self.tick_at_seconds:
             return
         self.tick_at_seconds = now_seconds + TICK_SECONDS
-        self._ticked_at_seconds = now_seconds
+        self._last_tick_seconds = now_seconds
         if now_seconds >= self._refresh_at_seconds:
             self._refresh_at_seconds = now_seconds + REFRESH_SECONDS
             self._endpoints.refresh(now_seconds=now_seconds)
         level = self._sending.observe(now_seconds=now_seconds)
         waiting = self._queue.waiting_by_adapter()
-        if now_seconds >= self._tell_at_seconds:
-            self._tell_at_seconds = now_seconds + TELL_SECONDS
+        if now_seconds >= self._digests_at_seconds:
+            self._digests_at_seconds = now_seconds + DIGEST_SECONDS
             for peer, digest in self._placing.digests_by_peer(waiting).items():
                 yield actions.Tell(peer, digest)
         yield from self._placing.decide(
--- a/src/boragefold/policy/overload.py
+++ b/src/boragefold/policy/overload.py
@@ -27,14 +27,14 @@
 
 # Queue delay as a part of the callers' timeout. Optional work stops first,
 # then requests are shed in equal steps, before the queue itself refuses.
-DELAY_PATIENCE_SHARE = {
+DELAY_TIMEOUT_SHARE = {
     Level.NO_EXTRAS: 0.02,
     Level.ABOVE_SHARE: 0.1,
     Level.ORDINARY_COLD: 0.2,
     Level.ORDINARY: 0.3,
 }
 # Smooths the mean timeout over recent requests.
-PATIENCE_SMOOTHING = 0.02
+TIMEOUT_SMOOTHING = 0.02
 # What isn't given out drains the queue.
 GIVEN_PART = {
     Level.NORMAL: 1.0,
@@ -64,7 +64,7 @@
         self._counters = counters
         self._level = Level.NORMAL
         self._delay_seconds = 0.0
-        self._patience_seconds: float | None = None
+        self._timeout_seconds: float | None = None
         self._delay_before_seconds = 0.0
         self._above_since_seconds: float | None = None
         self._below_since_seconds: float | None = None
@@ -104,12 +104,12 @@
         self._below_since_seconds = _since(
             self._below_since_seconds, self._is_below(), now_seconds
         )
-        if self._has_risen(now_seconds):
+        if self._is_raise_due(now_seconds):
             self._raise_unless_falling(now_seconds)
         elif _lasted(
             self._below_since_seconds, LOWER_AFTER_SECONDS, now_seconds
         ):
-            self._change(-1)
+            self._change_level(-1)
         return self._level
 
     def check(
@@ -122,7 +122,7 @@
         :param cold: whether no endpoint holds its adapter
         :return: the refusal, or None when it may be queued
         """
-        self._learn_patience(work)
+        self._update_timeout(work)
         reason = self._reason(work, above_share=above_share, cold=cold)
         if reason is None:
             return None
@@ -149,21 +149,21 @@
             return "overload_ordinary"
         return None
 
-    def _learn_patience(self, work: works.Work) -> None:
-        patience_seconds = work.give_up_at_seconds - work.arrived_at_seconds
-        if self._patience_seconds is None:
-            self._patience_seconds = patience_seconds
-        self._patience_seconds += PATIENCE_SMOOTHING * (
-            patience_seconds - self._patience_seconds
+    def _update_timeout(self, work: works.Work) -> None:
+        timeout_seconds = work.give_up_at_seconds - work.arrived_at_seconds
+        if self._timeout_seconds is None:
+            self._timeout_seconds = timeout_seconds
+        self._timeout_seconds += TIMEOUT_SMOOTHING * (
+            timeout_seconds - self._timeout_seconds
         )
 
     def _raise_seconds(self) -> float:
-        share = DELAY_PATIENCE_SHARE[Level(self._level + 1)]
-        return share * (self._patience_seconds or math.inf)
+        share = DELAY_TIMEOUT_SHARE[Level(self._level + 1)]
+        return share * (self._timeout_seconds or math.inf)
 
     def _lower_seconds(self) -> float:
-        share = LOWER_FACTOR * DELAY_PATIENCE_SHARE[self._level]
-        return share * (self._patience_seconds or math.inf)
+        share = LOWER_FACTOR * DELAY_TIMEOUT_SHARE[self._level]
+        return share * (self._timeout_seconds or math.inf)
 
     def _is_above(self) -> bool:
         if self._level == Level.ORDINARY:
@@ -175,7 +175,7 @@
             return False
         return self._delay_seconds < self._lower_seconds()
 
-    def _has_risen(self, now_seconds: float) -> bool:
+    def _is_raise_due(self, now_seconds: float) -> bool:
         if self._level == Level.ORDINARY:
             return False
         duration_seconds = RAISE_AFTER_SECONDS[Level(self._level + 1)]
@@ -187,12 +187,12 @@
         # A falling delay shows that the present level may be enough.
         falling = self._delay_seconds < self._delay_before_seconds
         if not falling:
-            self._change(+1)
+            self._change_level(+1)
             return
         self._above_since_seconds = now_seconds
         self._delay_before_seconds = self._delay_seconds
 
-    def _change(self, step: int) -> None:
+    def _change_level(self, step: int) -> None:
         self._level = Level(self._level + step)
         self._above_since_seconds = None
         self._below_since_seconds = None
@@ -216,7 +216,7 @@
 
 
 __all__ = [
-    "DELAY_PATIENCE_SHARE",
+    "DELAY_TIMEOUT_SHARE",
     "LOWER_AFTER_SECONDS",
     "Level",
     "Overload",
--- a/src/boragefold/policy/queue_class.py
+++ b/src/boragefold/policy/queue_class.py
@@ -18,9 +18,9 @@
 from boragefold.policy import work as works
 
 # Short requests overtake long ones by part of the long one's duration.
-HANDICAP_SECONDS_PER_TOKEN = 0.005
+PENALTY_SECONDS_PER_TOKEN = 0.005
 # Keeps a long request from expiring behind short ones.
-HANDICAP_PATIENCE_SHARE = 0.25
+MAX_PENALTY_TIMEOUT_SHARE = 0.25
 
 
 class Position(NamedTuple):
@@ -31,11 +31,11 @@
     request_id: str
 
 
-class Shelf:
+class AdapterQueue:
     """The queued requests for one adapter, by workspace."""
 
     def __init__(self) -> None:
-        self.lanes: dict[str, removable_heap.RemovableHeap[str]] = {}
+        self.queues: dict[str, removable_heap.RemovableHeap[str]] = {}
         self.order: removable_heap.RemovableHeap[str] = (
             removable_heap.RemovableHeap()
         )
@@ -45,7 +45,7 @@
 class Backlog:
     """Queued requests and tokens of one workspace; absent when it has none."""
 
-    speed: drain_rate.DrainRate = dataclasses.field(
+    rate: drain_rate.DrainRate = dataclasses.field(
         default_factory=drain_rate.DrainRate
     )
     requests: int = 0
@@ -59,7 +59,7 @@
         self.tokens = 0.0
         self._backlogs: dict[str, Backlog] = {}
         self._counter = virtual_counter.VirtualCounter()
-        self._shelves: dict[works.AdapterVersion, Shelf] = {}
+        self._by_adapter: dict[works.AdapterVersion, AdapterQueue] = {}
 
     def push(self, work: works.Work) -> None:
         """Queue a request.
@@ -75,13 +75,13 @@
         backlog.requests += 1
         backlog.tokens += works.tokens_of(work)
         self.tokens += works.tokens_of(work)
-        shelf = self._shelves.setdefault(work.needs, Shelf())
-        lane = shelf.lanes.get(workspace)
-        if lane is None:
-            lane = removable_heap.RemovableHeap()
-            shelf.lanes[workspace] = lane
-            shelf.order.push(workspace, self._counter.value(workspace))
-        lane.push(work.request_id, _rank_seconds(work))
+        adapter_queue = self._by_adapter.setdefault(work.needs, AdapterQueue())
+        queue = adapter_queue.queues.get(workspace)
+        if queue is None:
+            queue = removable_heap.RemovableHeap()
+            adapter_queue.queues[workspace] = queue
+            adapter_queue.order.push(workspace, self._counter.value(workspace))
+        queue.push(work.request_id, _rank_seconds(work))
 
     def remove(self, work: works.Work) -> None:
         """Remove a request.
@@ -89,14 +89,14 @@
         :param work: a request of this class
         """
         workspace = work.workspace
-        shelf = self._shelves[work.needs]
-        lane = shelf.lanes[workspace]
-        lane.remove(work.request_id)
-        if not lane:
-            del shelf.lanes[workspace]
-            shelf.order.remove(workspace)
-        if not shelf.lanes:
-            del self._shelves[work.needs]
+        adapter_queue = self._by_adapter[work.needs]
+        queue = adapter_queue.queues[workspace]
+        queue.remove(work.request_id)
+        if not queue:
+            del adapter_queue.queues[workspace]
+            adapter_queue.order.remove(workspace)
+        if not adapter_queue.queues:
+            del self._by_adapter[work.needs]
         self.tokens -= works.tokens_of(work)
         backlog = self._backlogs[workspace]
         backlog.tokens -= works.tokens_of(work)
@@ -114,18 +114,20 @@
         :return: its position, or None
         """
         smallest = math.inf
-        lanes: list[removable_heap.RemovableHeap[str]] = []
+        queues: list[removable_heap.RemovableHeap[str]] = []
         for adapter in candidates:
-            shelf = self._shelves.get(adapter)
-            if shelf is None:
+            adapter_queue = self._by_adapter.get(adapter)
+            if adapter_queue is None:
                 continue
-            counter, workspace = self._front(shelf)
+            counter, workspace = self._first_workspace(adapter_queue)
             if counter < smallest:
                 smallest = counter
-                lanes.clear()
+                queues.clear()
             if counter == smallest:
-                lanes.append(shelf.lanes[workspace])
-        heads = (head for lane in lanes if (head := lane.first()) is not None)
+                queues.append(adapter_queue.queues[workspace])
+        heads = (
+            head for queue in queues if (head := queue.first()) is not None
+        )
         rank = min(heads, default=None)
         return None if rank is None else Position(smallest, *rank)
 
@@ -135,7 +137,7 @@
         :param work: the request that is about to be served
         :param now_seconds: reading of the process clock
         """
-        self._backlogs[work.workspace].speed.add(
+        self._backlogs[work.workspace].rate.add(
             works.tokens_of(work), now_seconds=now_seconds
         )
         self._counter.charge(work.workspace, works.tokens_of(work))
@@ -177,34 +179,36 @@
         backlog = self._backlogs.get(work.workspace)
         if backlog is None:
             return 0.0
-        speed = backlog.speed.tokens_per_second(
+        rate = backlog.rate.tokens_per_second(
             now_seconds=work.arrived_at_seconds
         )
-        return backlog.tokens / speed if speed else 0.0
+        return backlog.tokens / rate if rate else 0.0
 
-    def _front(self, shelf: Shelf) -> tuple[float, str]:
-        if len(shelf.lanes) == 1:
+    def _first_workspace(
+        self, adapter_queue: AdapterQueue
+    ) -> tuple[float, str]:
+        if len(adapter_queue.queues) == 1:
             # The usual case: only one workspace uses the adapter.
-            workspace = next(iter(shelf.lanes))
+            workspace = next(iter(adapter_queue.queues))
             return self._counter.value(workspace), workspace
         # Stored counters may be out of date: an entry whose counter has risen
         # is pushed again with its present value.
-        while (top := shelf.order.first()) is not None:
+        while (top := adapter_queue.order.first()) is not None:
             stored, workspace = top
             present = self._counter.value(workspace)
             if present <= stored:
                 return top
-            shelf.order.push(workspace, present)
+            adapter_queue.order.push(workspace, present)
         raise AssertionError("an adapter without queued requests is indexed")
 
 
 def _rank_seconds(work: works.Work) -> float:
-    patience_seconds = work.give_up_at_seconds - work.arrived_at_seconds
-    handicap_seconds = min(
-        HANDICAP_SECONDS_PER_TOKEN * works.tokens_of(work),
-        HANDICAP_PATIENCE_SHARE * patience_seconds,
+    timeout_seconds = work.give_up_at_seconds - work.arrived_at_seconds
+    penalty_seconds = min(
+        PENALTY_SECONDS_PER_TOKEN * works.tokens_of(work),
+        MAX_PENALTY_TIMEOUT_SHARE * timeout_seconds,
     )
-    return work.arrived_at_seconds + handicap_seconds
+    return work.arrived_at_seconds + penalty_seconds
 
 
 __all__ = [
--- a/src/boragefold/policy/removable_heap.py
+++ b/src/boragefold/policy/removable_heap.py
@@ -15,7 +15,7 @@
 Item = TypeVar("Item", bound=Hashable)
 
 # Below this length, compacting the heap isn't worth its cost.
-MIN_CLEAN_LENGTH = 32
+MIN_COMPACT_LENGTH = 32
 
 
 class RemovableHeap(Generic[Item]):
@@ -26,11 +26,11 @@
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Item]] = []
-        self._numbers: dict[Item, int] = {}
-        self._number = 0
+        self._sequences: dict[Item, int] = {}
+        self._last_sequence = 0
 
     def __len__(self) -> int:
-        return len(self._numbers)
+        return len(self._sequences)
 
     def push(self, item: Item, key: float) -> None:
         """Add an item, or change its key.
@@ -38,18 +38,18 @@
         :param item: the item
         :param key: the item with the smallest key is first
         """
-        self._number += 1
-        self._numbers[item] = self._number
-        heapq.heappush(self._heap, (key, self._number, item))
-        self._clean_if_long()
+        self._last_sequence += 1
+        self._sequences[item] = self._last_sequence
+        heapq.heappush(self._heap, (key, self._last_sequence, item))
+        self._compact_if_long()
 
     def remove(self, item: Item) -> None:
         """Remove an item; an unknown one is ignored.
 
         :param item: the item
         """
-        if self._numbers.pop(item, None) is not None:
-            self._clean_if_long()
+        if self._sequences.pop(item, None) is not None:
+            self._compact_if_long()
 
     def first(self) -> tuple[float, Item] | None:
         """Return the item with the smallest key without removing it.
@@ -57,21 +57,21 @@
         :return: its key and the item, or None when the heap is empty
         """
         while self._heap:
-            key, number, item = self._heap[0]
-            if self._numbers.get(item) == number:
+            key, sequence, item = self._heap[0]
+            if self._sequences.get(item) == sequence:
                 return key, item
             heapq.heappop(self._heap)
         return None
 
-    def _clean_if_long(self) -> None:
-        if len(self._heap) > 2 * len(self._numbers) + MIN_CLEAN_LENGTH:
-            self._clean()
+    def _compact_if_long(self) -> None:
+        if len(self._heap) > 2 * len(self._sequences) + MIN_COMPACT_LENGTH:
+            self._compact()
 
-    def _clean(self) -> None:
+    def _compact(self) -> None:
         self._heap = [
             entry
             for entry in self._heap
-            if self._numbers.get(entry[2]) == entry[1]
+            if self._sequences.get(entry[2]) == entry[1]
         ]
         heapq.heapify(self._heap)
 
--- a/src/boragefold/policy/retry_budget.py
+++ b/src/boragefold/policy/retry_budget.py
@@ -16,26 +16,26 @@
 # Bounds the load that retries add.
 RETRY_RATIO = 0.1
 # Covers the failures until the endpoint's weight is down to probes.
-MAX_SAVED_PER_ENDPOINT = 10.0
+ENDPOINT_BURST_RETRIES = 10.0
 # Covers a rack of endpoints that fails at once.
-MAX_SAVED_IN_ALL = 100.0
+TOTAL_BURST_RETRIES = 100.0
 # With little traffic the ratio alone would allow no retry.
-SAVED_PER_SECOND = 0.1
+RETRIES_PER_SECOND = 0.1
 # A broken stream may need two retries: at its only holder, and elsewhere.
-FIRST_SAVED = 2.0
+INITIAL_RETRIES = 2.0
 
 
 class Allowance(NamedTuple):
     """How many retries one instance may send.
 
     ``ratio`` is retries per first attempt, ``per_second`` the retries earned
-    by elapsed time, and ``most_saved`` the number that can be saved up for a
-    failure of many endpoints.
+    by elapsed time, and ``burst_retries`` the number that can be saved up
+    for a failure of many endpoints.
     """
 
     ratio: float = RETRY_RATIO
-    per_second: float = SAVED_PER_SECOND
-    most_saved: float = MAX_SAVED_IN_ALL
+    per_second: float = RETRIES_PER_SECOND
+    burst_retries: float = TOTAL_BURST_RETRIES
 
 
 class FleetLimit(NamedTuple):
@@ -51,10 +51,10 @@
 
 # A margin, because each instance counts on its own and starts with a full
 # budget.
-USED_SHARE = 0.75
+SAFETY_SHARE = 0.75
 # Without this floor, each of hundreds of instances could save up less than
 # one whole retry, and nothing would ever be retried.
-LEAST_SAVED = 1.0
+MIN_BURST_RETRIES = 1.0
 
 
 def allowance_of(limit: FleetLimit, instances: int) -> Allowance:
@@ -64,28 +64,28 @@
     :param instances: the number of instances
     :return: the part of one instance
     """
-    slack = USED_SHARE * limit.slack / max(1, instances)
+    slack = SAFETY_SHARE * limit.slack / max(1, instances)
     return Allowance(
-        ratio=USED_SHARE * limit.ratio,
+        ratio=SAFETY_SHARE * limit.ratio,
         per_second=slack / 2 / limit.window_seconds,
-        most_saved=max(LEAST_SAVED, slack / 2),
+        burst_retries=max(MIN_BURST_RETRIES, slack / 2),
     )
 
 
 @dataclasses.dataclass(kw_only=True)
-class Savings:
+class RetryBucket:
     """Retries earned by first attempts and by elapsed time."""
 
     limit: float
     at_seconds: float
-    saved: float = FIRST_SAVED
+    retries: float = INITIAL_RETRIES
 
     def add(
         self,
         amount: float,
         *,
         now_seconds: float,
-        per_second: float = SAVED_PER_SECOND,
+        per_second: float = RETRIES_PER_SECOND,
     ) -> None:
         """Add an amount, and what the elapsed time has earned.
 
@@ -95,7 +95,7 @@
         """
         elapsed_seconds = max(now_seconds - self.at_seconds, 0.0)
         earned = amount + per_second * elapsed_seconds
-        self.saved = min(self.saved + earned, self.limit)
+        self.retries = min(self.retries + earned, self.limit)
         self.at_seconds = now_seconds
 
 
@@ -110,8 +110,8 @@
     ) -> None:
         self._counters = counters
         self._allowance = allowance
-        self._all: Savings | None = None
-        self._by_endpoint: dict[str, Savings] = {}
+        self._total: RetryBucket | None = None
+        self._by_endpoint: dict[str, RetryBucket] = {}
 
     def fresh(self, endpoint: str, *, now_seconds: float) -> None:
         """Record a first attempt.
@@ -119,7 +119,7 @@
         :param endpoint: the endpoint it was sent to
         :param now_seconds: reading of the process clock
         """
-        self._save(endpoint, self._allowance().ratio, now_seconds)
+        self._refill(endpoint, self._allowance().ratio, now_seconds)
 
     def try_retry(
         self,
@@ -141,15 +141,15 @@
             # The endpoint may have run it.
             self._counters.add("retries_denied", "not_idempotent")
             return False
-        both = self._save(endpoint, 0.0, now_seconds)
-        if both[0].saved < 1:
+        buckets = self._refill(endpoint, 0.0, now_seconds)
+        if buckets[0].retries < 1:
             self._counters.add("retries_denied", "fleet_budget")
             return False
-        if both[1].saved < 1:
+        if buckets[1].retries < 1:
             self._counters.add("retries_denied", "endpoint_budget")
             return False
-        for savings in both:
-            savings.saved -= 1
+        for bucket in buckets:
+            bucket.retries -= 1
         self._counters.add(
             "retries", "idempotent" if bytes_sent else "nothing_sent"
         )
@@ -162,32 +162,32 @@
         """
         self._by_endpoint.pop(endpoint, None)
 
-    def _save(
+    def _refill(
         self, endpoint: str, amount: float, now_seconds: float
-    ) -> tuple[Savings, Savings]:
+    ) -> tuple[RetryBucket, RetryBucket]:
         allowance = self._allowance()
-        whole, one = self._both(endpoint, now_seconds)
-        whole.limit = allowance.most_saved
-        whole.add(
+        total, single = self._buckets(endpoint, now_seconds)
+        total.limit = allowance.burst_retries
+        total.add(
             amount, now_seconds=now_seconds, per_second=allowance.per_second
         )
-        one.add(amount, now_seconds=now_seconds)
-        return whole, one
+        single.add(amount, now_seconds=now_seconds)
+        return total, single
 
-    def _both(
+    def _buckets(
         self, endpoint: str, now_seconds: float
-    ) -> tuple[Savings, Savings]:
-        if self._all is None:
-            self._all = Savings(
-                limit=self._allowance().most_saved, at_seconds=now_seconds
+    ) -> tuple[RetryBucket, RetryBucket]:
+        if self._total is None:
+            self._total = RetryBucket(
+                limit=self._allowance().burst_retries, at_seconds=now_seconds
             )
-        savings = self._by_endpoint.get(endpoint)
-        if savings is None:
-            savings = Savings(
-                limit=MAX_SAVED_PER_ENDPOINT, at_seconds=now_seconds
+        bucket = self._by_endpoint.get(endpoint)
+        if bucket is None:
+            bucket = RetryBucket(
+                limit=ENDPOINT_BURST_RETRIES, at_seconds=now_seconds
             )
-            self._by_endpoint[endpoint] = savings
-        return self._all, savings
+            self._by_endpoint[endpoint] = bucket
+        return self._total, bucket
 
 
 class ServiceBudgets:
--- a/src/boragefold/policy/sending.py
+++ b/src/boragefold/policy/sending.py
@@ -54,8 +54,8 @@
         self._service = service_rate.ServiceRate()
         self._delay_seconds = 0.0
         # Adapters and endpoints that changed since the last matching.
-        self._stirred: set[works.AdapterVersion] = set()
-        self._stirred_endpoints: set[str] = set()
+        self._changed_adapters: set[works.AdapterVersion] = set()
+        self._changed_endpoints: set[str] = set()
 
     def offer(
         self, work: works.Work, *, now_seconds: float
@@ -88,7 +88,7 @@
             now_seconds=now_seconds,
             service_tokens_per_second=rate,
         )
-        self._stirred.add(work.needs)
+        self._changed_adapters.add(work.needs)
         return outcome if isinstance(outcome, refusal.Refused) else None
 
     def push_back(self, work: works.Work, *, now_seconds: float) -> None:
@@ -98,21 +98,21 @@
         :param now_seconds: reading of the process clock
         """
         self._queue.push(work, now_seconds=now_seconds)
-        self._stirred.add(work.needs)
+        self._changed_adapters.add(work.needs)
 
     def stir(self, adapter: works.AdapterVersion) -> None:
         """Mark an adapter whose requests may be servable now.
 
         :param adapter: the adapter version
         """
-        self._stirred.add(adapter)
+        self._changed_adapters.add(adapter)
 
     def stir_endpoint(self, name: str) -> None:
         """Mark an endpoint that may have room now.
 
         :param name: the endpoint
         """
-        self._stirred_endpoints.add(name)
+        self._changed_endpoints.add(name)
 
     def observe(self, *, now_seconds: float) -> overloads.Level:
         """Estimate the queue's delay; call it several times a second.
@@ -146,7 +146,7 @@
         :param now_seconds: reading of the process clock
         :return: requests and their endpoints
         """
-        ready = self._ready()
+        ready = self._servable_adapters()
         while ready:
             work = self._queue.pop(candidates=ready, now_seconds=now_seconds)
             if work is None:
@@ -169,25 +169,25 @@
         # requests for other adapters must not be refused because of it.
         return work.needs not in self._demand() and self._has_room(work.needs)
 
-    def _ready(self) -> set[works.AdapterVersion]:
+    def _servable_adapters(self) -> set[works.AdapterVersion]:
         demand = self._demand()
-        stirred, self._stirred = self._stirred, set()
-        names, self._stirred_endpoints = self._stirred_endpoints, set()
+        changed, self._changed_adapters = self._changed_adapters, set()
+        names, self._changed_endpoints = self._changed_endpoints, set()
         for name in names:
-            stirred.update(self._waited_for_at(name))
+            changed.update(self._queued_adapters_at(name))
         return {
             adapter
-            for adapter in stirred
+            for adapter in changed
             if adapter in demand and self._has_room(adapter)
         }
 
-    def _waited_for_at(self, name: str) -> Iterable[works.AdapterVersion]:
+    def _queued_adapters_at(self, name: str) -> Iterable[works.AdapterVersion]:
         state = self._endpoints.get(name)
         if state is None or not state.has_room():
             return ()
         demand = self._demand()
-        bare = works.AdapterVersion(state.spec.model, "", "")
-        held = itertools.chain(state.resident, (bare,))
+        base_model = works.AdapterVersion(state.spec.model, "", "")
+        held = itertools.chain(state.resident, (base_model,))
         return [adapter for adapter in held if adapter in demand]
 
     def _has_room(self, adapter: works.AdapterVersion) -> bool:
@@ -199,11 +199,11 @@
     def _choose(
         self, work: works.Work, excluded: Mapping[str, frozenset[str]]
     ) -> str | None:
-        without = excluded.get(work.request_id, frozenset())
+        failed_endpoints = excluded.get(work.request_id, frozenset())
         chosen = self._choice.choose(
-            work, excluded=without, queued_seconds=self._delay_seconds
+            work, excluded=failed_endpoints, queued_seconds=self._delay_seconds
         )
-        if without and isinstance(chosen, choices.NoHolder):
+        if failed_endpoints and isinstance(chosen, choices.NoHolder):
             # Only endpoints that failed this request hold the adapter; one of
             # them is better than none.
             chosen = self._choice.choose(
--- a/src/boragefold/policy/service_choice.py
+++ b/src/boragefold/policy/service_choice.py
@@ -15,15 +15,15 @@
 
 SMOOTHING = 0.2
 # The half-life of failures, after which a failing endpoint is tried again.
-FORGIVE_SECONDS = 3.0
+FAILURE_HALF_LIFE_SECONDS = 3.0
 # Some services fail part of their requests in normal operation.
-TOLERATED_FAILURES = 0.25
+TOLERATED_FAILURE_RATE = 0.25
 # Load added to endpoints of another data centre.
-FAR_LOAD = 0.15
+FAR_PENALTY = 0.15
 # A reported load of other instances' requests is used this long.
 REPORT_SECONDS = 0.5
 # Ranks a failing endpoint behind any that is merely full.
-FAILING_LOAD = 4.0
+FAILURE_PENALTY = 4.0
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -32,11 +32,11 @@
 
     slots: int = 1
     in_flight: int = 0
-    failures: float = 0.0
+    failure_rate: float = 0.0
     took_seconds: float | None = None
     reported_load: float = 0.0
     reported_at_seconds: float = 0.0
-    judged_at_seconds: float = 0.0
+    updated_at_seconds: float = 0.0
 
 
 class ServiceChoice:
@@ -100,9 +100,11 @@
         """
         record = self._record(endpoint)
         record.in_flight = max(0, record.in_flight - 1)
-        failures = self._failures(record, now_seconds)
-        record.failures = failures + SMOOTHING * (float(failed) - failures)
-        record.judged_at_seconds = now_seconds
+        failure_rate = self._failure_rate(record, now_seconds)
+        record.failure_rate = failure_rate + SMOOTHING * (
+            float(failed) - failure_rate
+        )
+        record.updated_at_seconds = now_seconds
         before = record.took_seconds
         record.took_seconds = (
             took_seconds
@@ -120,8 +122,8 @@
         :param now_seconds: reading of the process clock
         """
         record = self._record(endpoint)
-        record.failures = 1.0
-        record.judged_at_seconds = now_seconds
+        record.failure_rate = 1.0
+        record.updated_at_seconds = now_seconds
 
     def health(self, endpoint: str, *, now_seconds: float) -> float:
         """Return an endpoint's health.
@@ -132,7 +134,7 @@
         """
         record = self._records.get(endpoint)
         return 1.0 - (
-            0.0 if record is None else self._failures(record, now_seconds)
+            0.0 if record is None else self._failure_rate(record, now_seconds)
         )
 
     def drop(self, endpoint: str) -> None:
@@ -150,12 +152,14 @@
         age_seconds = now_seconds - record.reported_at_seconds
         if age_seconds < REPORT_SECONDS:
             load += record.reported_load
-        failures = self._failures(record, now_seconds)
-        load += FAILING_LOAD * max(0.0, failures - TOLERATED_FAILURES)
+        failure_rate = self._failure_rate(record, now_seconds)
+        load += FAILURE_PENALTY * max(
+            0.0, failure_rate - TOLERATED_FAILURE_RATE
+        )
         load += self._slowness(record)
         # Random, because all instances see the same idle endpoint.
         jitter = self._rng.random() / max(1, slots)
-        return load + (0.0 if near else FAR_LOAD) + jitter
+        return load + (0.0 if near else FAR_PENALTY) + jitter
 
     def _slowness(self, record: Record) -> float:
         known = sorted(
@@ -168,9 +172,12 @@
         median = known[(len(known) - 1) // 2]
         return max(0.0, record.took_seconds / max(median, 0.001) - 2.0)
 
-    def _failures(self, record: Record, now_seconds: float) -> float:
-        idle_seconds = now_seconds - record.judged_at_seconds
-        return float(record.failures * 0.5 ** (idle_seconds / FORGIVE_SECONDS))
+    def _failure_rate(self, record: Record, now_seconds: float) -> float:
+        idle_seconds = now_seconds - record.updated_at_seconds
+        return float(
+            record.failure_rate
+            * 0.5 ** (idle_seconds / FAILURE_HALF_LIFE_SECONDS)
+        )
 
     def _record(self, endpoint: str) -> Record:
         return self._records.setdefault(endpoint, Record())
--- a/src/boragefold/policy/slow_endpoints.py
+++ b/src/boragefold/policy/slow_endpoints.py
@@ -20,7 +20,7 @@
 # Fewer endpoints have no majority to compare with.
 MIN_PEERS = 3
 # A bad measurement decays when no answers follow.
-FORGET_AFTER_SECONDS = 10.0
+DECAY_AFTER_SECONDS = 10.0
 FAILURE_FACTOR = 0.5
 RECOVERY_PER_REFRESH = 0.1
 
@@ -47,10 +47,10 @@
         state.health = min(1.0, state.health + RECOVERY_PER_REFRESH)
         pools[state.spec.model, state.spec.role].append(state)
     for pool in pools.values():
-        _weigh_pool(pool, now_seconds)
+        _update_pool(pool, now_seconds)
 
 
-def _weigh_pool(
+def _update_pool(
     pool: list[endpoint_state.EndpointState], now_seconds: float
 ) -> None:
     latencies = {
@@ -62,25 +62,25 @@
     median = statistics.median(latencies.values()) if enough else 0.0
     for state in pool:
         if enough:
-            _forget(state, median, now_seconds)
+            _decay_latency(state, median, now_seconds)
         latency = latencies.get(state.spec.name, 0.0)
-        state.weight = state.health * _share(latency, median)
+        state.weight = state.health * _latency_weight(latency, median)
         state.weight = max(state.weight, MIN_WEIGHT)
 
 
-def _share(latency: float, median: float) -> float:
+def _latency_weight(latency: float, median: float) -> float:
     # The share falls gradually beyond the limit.
     if median <= 0 or latency <= SLOW_RATIO * median:
         return 1.0
-    share = SLOW_RATIO * median / latency
-    return share * share
+    ratio = SLOW_RATIO * median / latency
+    return ratio * ratio
 
 
-def _forget(
+def _decay_latency(
     state: endpoint_state.EndpointState, median: float, now_seconds: float
 ) -> None:
     # Otherwise an endpoint that gets no probe would count as slow forever.
-    idle = now_seconds - state.answered_at_seconds > FORGET_AFTER_SECONDS
+    idle = now_seconds - state.answered_at_seconds > DECAY_AFTER_SECONDS
     if idle and state.latency is not None and not state.unanswered:
         state.latency += (median - state.latency) / 2
 
--- a/tests/policy/test_choice.py
+++ b/tests/policy/test_choice.py
@@ -52,7 +52,7 @@
     return [workloads.spec(f"e{number}", **changes) for number in range(count)]
 
 
-def test_who_holds_nothing_is_not_chosen() -> None:
+def test_an_endpoint_without_the_adapter_is_not_chosen() -> None:
     instance = Instance(*specs(2))
     request = workloads.work(needs="cold")
     assert isinstance(instance.choice.choose(request), choice.NoHolder)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("needs", ["", "hot"])
-def test_instances_with_one_report_dont_herd(needs: str) -> None:
+def test_instances_with_one_report_spread_their_requests(needs: str) -> None:
     # Seven instances see the same report, one second old: one of ten engines
     # is idle, the others are half full. If all instances send to the idle
     # engine, it gets several times its batch in that second and becomes the
@@ -104,7 +104,7 @@
     assert max(chosen.values()) <= 32
 
 
-def test_bare_requests_are_spread() -> None:
+def test_base_model_requests_are_spread() -> None:
     instance = Instance(*specs(5, batch_size=32))
     chosen = collections.Counter(instance.send() for _ in range(50))
     assert max(chosen.values()) <= 12
@@ -147,7 +147,7 @@
     assert [instance.send(needs="hot") for _ in range(20)] == ["e0"] * 20
 
 
-def test_another_data_centre_helps_only_when_it_is_faster() -> None:
+def test_another_data_centre_is_used_only_when_it_is_faster() -> None:
     # The near endpoints are full. A request goes to the other data centre
     # only if waiting here would take longer than the extra distance.
     far = workloads.spec("far", data_centre="there", distance_seconds=0.2)
--- a/tests/policy/test_dispatcher.py
+++ b/tests/policy/test_dispatcher.py
@@ -97,7 +97,7 @@
     ]
 
 
-def test_a_cold_request_holds_up_no_other() -> None:
+def test_a_request_for_a_cold_adapter_blocks_no_other() -> None:
     # A request for an adapter that no endpoint holds is followed by one for a
     # held adapter from the same workspace. The second must start at once, the
     # first only when its load has ended.
@@ -166,7 +166,7 @@
     assert bucket.used == [0.0]
 
 
-def test_a_request_of_which_nothing_was_sent_is_repeated_elsewhere() -> None:
+def test_an_unsent_request_is_retried_elsewhere() -> None:
     system = build(held={"a": [], "b": []})
     request = workloads.work()
     ((_, first, _),) = sends(offer(system, request, idempotent=False))
@@ -206,7 +206,7 @@
     assert {endpoint for _, endpoint, _ in again} == {"a", "b"} - {empty}
 
 
-def test_who_waits_for_tokens_is_sent_when_they_come() -> None:
+def test_a_request_is_sent_when_its_tokens_are_returned() -> None:
     # Tokens are returned early, because the first answer was short; a request
     # that waits for them must not wait until the estimated time.
     bucket = Stock(rate=1000.0, burst=100.0)
@@ -222,7 +222,7 @@
     ]
 
 
-def test_over_the_rate_is_refused_at_once_with_a_time_to_come_back() -> None:
+def test_a_request_over_the_rate_is_refused_with_a_retry_time() -> None:
     bucket = Stock(rate=10.0, burst=100.0)
     system = build(held={"a": []}, bucket=bucket)
     offer(system, workloads.work())
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.parametrize("stage", ["waiting", "sent"])
-def test_a_caller_that_leaves_is_settled_once(stage: str) -> None:
+def test_a_cancelled_request_is_settled_once(stage: str) -> None:
     bucket = Stock()
     system = build(held={"a": ["x"]}, bucket=bucket)
     request = workloads.work(needs="x" if stage == "sent" else "cold")
@@ -256,7 +256,7 @@
     assert len(sends(system.next_actions(now_seconds=0.01))) == 1
 
 
-def test_nothing_goes_where_an_adapter_is_about_to_be_evicted() -> None:
+def test_no_request_goes_to_an_adapter_that_is_about_to_be_evicted() -> None:
     system = build(held={"a": ["x"], "b": ["x"]})
     request = workloads.work(needs="x")
     ((_, used, _),) = sends(offer(system, request))
@@ -309,7 +309,7 @@
     assert [endpoint for _, endpoint, _ in placed] == ["idle"]
 
 
-def test_the_only_holder_that_fails_a_request_twice_is_left() -> None:
+def test_the_only_holder_that_fails_a_request_twice_is_avoided() -> None:
     # The only endpoint that holds an adapter breaks off every answer with it.
     # Sent there repeatedly within milliseconds, the request would use up all
     # retries, although another endpoint is healthy.
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -50,7 +50,7 @@
     assert not endpoints.get("e").in_use
 
 
-def test_a_report_that_stays_out_doesnt_hold_an_endpoint_full() -> None:
+def test_an_old_report_doesnt_keep_an_endpoint_full() -> None:
     endpoints = build("e")
     endpoints.report(workloads.report("e", 50, 1.0))
     endpoints.refresh(now_seconds=2.0)
@@ -59,7 +59,7 @@
     assert endpoints.get("e").has_room()
 
 
-def test_an_engine_that_restarted_holds_nothing() -> None:
+def test_an_engine_that_restarted_holds_no_adapter() -> None:
     # An engine crashes and restarts empty. Until that is noticed, requests
     # for its adapters would get an error or the base model's answer. A late
     # report of its former incarnation must not bring the adapters back.
@@ -131,7 +131,7 @@
     assert order[-1] == "far"
 
 
-def test_a_silent_endpoint_loses_its_share_before_any_answer() -> None:
+def test_an_unresponsive_endpoint_loses_its_share_before_any_answer() -> None:
     # One endpoint stops answering, so no sample raises its measured latency.
     # The age of its unanswered requests must count instead.
     endpoints = build("e", "f", "g")
@@ -174,7 +174,7 @@
     assert endpoints.get("e").weight == 1.0
 
 
-def test_failures_take_the_share_and_time_gives_it_back() -> None:
+def test_failures_lower_the_weight_until_it_recovers() -> None:
     endpoints = build("e")
     for _ in range(10):
         endpoints.failed("e")
--- a/tests/policy/test_fair_queue.py
+++ b/tests/policy/test_fair_queue.py
@@ -61,7 +61,7 @@
     assert workspaces(drain(queue, 20)).count("a") == 10
 
 
-def test_a_blocked_adapter_blocks_nobody() -> None:
+def test_a_blocked_adapter_blocks_no_other() -> None:
     # The oldest request needs an adapter that is still being loaded.
     cold = workloads.work("a", needs="cold")
     warm = workloads.work("a", needs="warm", at=5.0)
@@ -86,7 +86,7 @@
     assert collections.Counter(workspaces(drain(queue, 20, both)))["b"] >= 8
 
 
-def test_a_short_request_passes_a_long_one_that_is_not_old() -> None:
+def test_a_short_request_overtakes_a_recent_long_one() -> None:
     long = workloads.work(tokens=1000, at=0.0)
     early = workloads.work(tokens=10, at=3.0)
     late = workloads.work(tokens=10, at=8.0)
@@ -105,7 +105,7 @@
     assert served.count("b") == 10
 
 
-def test_who_cant_be_served_in_time_is_refused_early() -> None:
+def test_a_request_that_would_time_out_is_refused_early() -> None:
     queue = build(*(workloads.work("a", tokens=100) for _ in range(100)))
     asked = {"now_seconds": 0.0, "service_tokens_per_second": 1000.0}
     same = queue.offer(workloads.work("a", patience=10.0), **asked)
@@ -119,7 +119,7 @@
     assert other.start_in_seconds <= 0.1
 
 
-def test_the_estimate_follows_what_a_workspace_really_gets() -> None:
+def test_the_estimate_follows_the_measured_rate() -> None:
     # Late-sensitive requests keep arriving and are served first, so ordinary
     # ones get a fifth of the throughput. An estimate from the whole throughput
     # would be five times too low, and admit requests that time out in the
@@ -136,7 +136,7 @@
     assert 30 < start < 60
 
 
-def test_without_any_service_nobody_is_left_waiting() -> None:
+def test_without_throughput_requests_are_refused() -> None:
     queue = build(workloads.work("a"))
     outcome = queue.offer(
         workloads.work("a"), now_seconds=0.0, service_tokens_per_second=0.0
@@ -145,7 +145,7 @@
     assert outcome.retry_after_seconds is None
 
 
-def test_callers_that_gave_up_are_taken_out() -> None:
+def test_requests_of_timed_out_callers_are_removed() -> None:
     short = workloads.work(patience=1.0)
     long = workloads.work(patience=5.0)
     queue = build(long, short)
@@ -207,10 +207,10 @@
 @given(strategies.integers(100, 4000), strategies.integers(1, 100))
 def test_a_long_request_is_never_starved(long: int, short: int) -> None:
     # Short requests keep arriving, faster than they are served. The long one
-    # may be overtaken only by those that arrive within its handicap.
+    # may be overtaken only by those that arrive within its length penalty.
     queue = build(workloads.work(tokens=long, patience=40.0))
     # 20 requests are served per second while 40 arrive: serving those that
-    # arrived within the handicap of 10 s takes 20 s, and one more step.
+    # arrived within the penalty of 10 s takes 20 s, and one more step.
     for step in range(402):
         now = step * 0.05
         for _ in range(2):
--- a/tests/policy/test_fair_share.py
+++ b/tests/policy/test_fair_share.py
@@ -38,7 +38,7 @@
         assert passed[workspace] / 40 == pytest.approx(expected, rel=0.1)
 
 
-def test_a_workspace_that_went_away_leaves_its_share() -> None:
+def test_the_share_of_an_idle_workspace_is_redistributed() -> None:
     share = fair_share.FairShare()
 
     def ask(workspace: str, at: float) -> bool:
--- a/tests/policy/test_load_patterns.py
+++ b/tests/policy/test_load_patterns.py
@@ -46,7 +46,7 @@
     assert max(waits(answers, "burst")) < 5.0
 
 
-def test_a_hot_caller_is_told_at_once_and_harms_nobody() -> None:
+def test_the_excess_over_a_rate_is_refused_at_once() -> None:
     # One workspace sends five times its rate for ten seconds. The excess must
     # be refused at once with a time to retry after, not held until its callers
     # are about to time out; another workspace within its rate is unaffected.
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -4,7 +4,7 @@
 from boragefold.telemetry import counters as telemetry
 from tests.fakes import workloads
 
-PATIENCE_SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 class Controller:
@@ -26,9 +26,7 @@
     def check(
         self, *, late: bool = False, above: bool = False, cold: bool = False
     ) -> str:
-        request = workloads.work(
-            late_sensitive=late, patience=PATIENCE_SECONDS
-        )
+        request = workloads.work(late_sensitive=late, patience=TIMEOUT_SECONDS)
         refused = self.overload.check(request, above_share=above, cold=cold)
         return refused.reason if refused is not None else ""
 
@@ -84,11 +82,11 @@
     assert changes <= 2
 
 
-def test_a_refused_caller_is_told_when_to_come_back() -> None:
+def test_a_refusal_carries_a_retry_time() -> None:
     controller = Controller()
     controller.see(6.0, 6.0)
     refused = controller.overload.check(
-        workloads.work(patience=PATIENCE_SECONDS), above_share=True, cold=False
+        workloads.work(patience=TIMEOUT_SECONDS), above_share=True, cold=False
     )
     assert refused is not None
     assert refused.status == 503
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -55,7 +55,7 @@
     assert retry(budget, "e1", 10.0)
 
 
-def test_little_traffic_may_retry_too() -> None:
+def test_little_traffic_is_allowed_retries() -> None:
     budget, _counters = build()
     assert retry(budget, "e", 0.0)
     assert retry(budget, "e", 0.0)
--- a/tests/policy/test_service_choice.py
+++ b/tests/policy/test_service_choice.py
@@ -8,7 +8,9 @@
 ENDPOINTS = [("one", 6, True), ("two", 6, True), ("three", 6, True)]
 
 
-def play(choice, *, failing=(), slow=(), seconds=10.0, rate=20.0, start=0.0):
+def send_requests(
+    choice, *, failing=(), slow=(), seconds=10.0, rate=20.0, start=0.0
+):
     counts = collections.Counter()
     running = []
     for number in range(int(seconds * rate)):
@@ -30,26 +32,26 @@
     return counts
 
 
-def test_calm_endpoints_share_the_requests() -> None:
+def test_equal_endpoints_share_the_requests() -> None:
     choice = service_choice.ServiceChoice(rng=random.Random(1))
-    counts = play(choice)
+    counts = send_requests(choice)
     assert max(counts.values()) < 1.4 * min(counts.values())
 
 
-def test_an_endpoint_that_fails_loses_its_share_and_gets_it_back() -> None:
+def test_a_failing_endpoint_loses_its_share_and_regains_it() -> None:
     # One endpoint fails every request while its health check passes. It must
     # lose nearly all of its share within a second, and regain it some seconds
     # after its recovery.
     choice = service_choice.ServiceChoice(rng=random.Random(2))
-    during = play(choice, failing={"two"})
+    during = send_requests(choice, failing={"two"})
     assert during["two"] < 0.12 * sum(during.values())
-    after = play(choice, start=20.0)
+    after = send_requests(choice, start=20.0)
     assert after["two"] > 0.2 * sum(after.values())
 
 
 def test_a_slow_endpoint_gets_less() -> None:
     choice = service_choice.ServiceChoice(rng=random.Random(3))
-    counts = play(choice, slow={"three"})
+    counts = send_requests(choice, slow={"three"})
     assert counts["three"] < 0.15 * sum(counts.values())
 
 
@@ -63,7 +65,7 @@
                 took_seconds=0.09,
                 now_seconds=number / 10,
             )
-    counts = play(choice, start=2.0)
+    counts = send_requests(choice, start=2.0)
     assert max(counts.values()) < 1.6 * min(counts.values())
 
 
@@ -74,7 +76,7 @@
     assert choice.choose(ENDPOINTS, now_seconds=1.1) == "three"
 
 
-def test_nobody_to_choose_is_none() -> None:
+def test_without_endpoints_none_is_chosen() -> None:
     choice = service_choice.ServiceChoice(rng=random.Random(6))
     assert choice.choose([], now_seconds=0.0) is None
 
