--- a/src/boragefold/policy/overload.py
+++ b/src/boragefold/policy/overload.py
@@ -1,8 +1,8 @@
-"""What is refused first when the queue's delay grows.
+"""Which requests are refused first when the queue's delay grows.
 
-Load pattern: more work inside the rates than the endpoints can serve.
-Without this, every queue grows until callers give up, and the endpoints work
-for callers that are no longer there.
+Load pattern: requests within the rate limits exceed what the endpoints can
+serve. Without load shedding, every queue grows until callers time out, and
+the endpoints work for callers that have already disconnected.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Level(enum.IntEnum):
-    """What is shed; each level includes those before it."""
+    """What is shed; each level includes the lower ones."""
 
     NORMAL = 0
     NO_EXTRAS = 1
@@ -25,17 +25,17 @@
     ORDINARY = 4
 
 
-# Relative to the callers' patience. Extras stop first, then requests are shed
-# in equal steps, before the queue itself refuses.
-DELAY_PATIENCE_SHARE = {
+# Queue delay as a part of the callers' timeout. Optional work stops first,
+# then requests are shed in equal steps, before the queue itself refuses.
+DELAY_TIMEOUT_SHARE = {
     Level.NO_EXTRAS: 0.02,
     Level.ABOVE_SHARE: 0.1,
     Level.ORDINARY_COLD: 0.2,
     Level.ORDINARY: 0.3,
 }
-# A mean over recent requests.
-PATIENCE_SMOOTHING = 0.02
-# The rest empties the queue.
+# Smooths the mean timeout over recent requests.
+TIMEOUT_SMOOTHING = 0.02
+# What isn't given out drains the queue.
 GIVEN_PART = {
     Level.NORMAL: 1.0,
     Level.NO_EXTRAS: 1.0,
@@ -43,35 +43,35 @@
     Level.ORDINARY_COLD: 0.75,
     Level.ORDINARY: 0.6,
 }
-# Longer than a burst that the queue can take in. Later levels wait longer,
-# because shedding needs time to show.
+# Longer than a burst that the queue can absorb. Higher levels wait longer,
+# because shedding takes time to have an effect.
 RAISE_AFTER_SECONDS = {
     Level.NO_EXTRAS: 0.5,
     Level.ABOVE_SHARE: 0.5,
     Level.ORDINARY_COLD: 2.0,
     Level.ORDINARY: 2.0,
 }
-# Hysteresis: what was refused comes back at once.
+# Hysteresis: on lowering the level, the refused load returns at once.
 LOWER_AFTER_SECONDS = 2.0
 LOWER_FACTOR = 0.5
 MIN_RETRY_AFTER_SECONDS = 1.0
 
 
 class Overload:
-    """Raises and lowers the level by the estimated queue delay."""
+    """Raises and lowers the overload level by the estimated queue delay."""
 
     def __init__(self, *, counters: telemetry.Counters) -> None:
         self._counters = counters
         self._level = Level.NORMAL
         self._delay_seconds = 0.0
-        self._patience_seconds: float | None = None
+        self._timeout_seconds: float | None = None
         self._delay_before_seconds = 0.0
         self._above_since_seconds: float | None = None
         self._below_since_seconds: float | None = None
 
     @property
     def level(self) -> Level:
-        """Tell what is shed now.
+        """Return what is shed now.
 
         :return: the level
         """
@@ -79,7 +79,7 @@
 
     @property
     def given_part(self) -> float:
-        """Tell what part of the service the fair shares give out.
+        """Return the part of the throughput that the fair shares divide.
 
         :return: from 0 to 1, for :meth:`fair_share.FairShare.exceeds`
         """
@@ -88,7 +88,7 @@
     def observe(
         self, *, queue_delay_seconds: float, now_seconds: float
     ) -> Level:
-        """Take in the queue's delay; call it several times a second.
+        """Update the level by the queue's delay, several times a second.
 
         :param queue_delay_seconds: from
             :meth:`fair_queue.FairQueue.delay_seconds`
@@ -104,12 +104,12 @@
         self._below_since_seconds = _since(
             self._below_since_seconds, self._is_below(), now_seconds
         )
-        if self._has_risen(now_seconds):
+        if self._is_raise_due(now_seconds):
             self._raise_unless_falling(now_seconds)
         elif _lasted(
             self._below_since_seconds, LOWER_AFTER_SECONDS, now_seconds
         ):
-            self._change(-1)
+            self._change_level(-1)
         return self._level
 
     def check(
@@ -119,10 +119,10 @@
 
         :param work: an admitted request, before it is queued
         :param above_share: from :meth:`fair_share.FairShare.exceeds`
-        :param cold: no endpoint holds its adapter
+        :param cold: whether no endpoint holds its adapter
         :return: the refusal, or None when it may be queued
         """
-        self._learn_patience(work)
+        self._update_timeout(work)
         reason = self._reason(work, above_share=above_share, cold=cold)
         if reason is None:
             return None
@@ -149,21 +149,21 @@
             return "overload_ordinary"
         return None
 
-    def _learn_patience(self, work: works.Work) -> None:
-        patience_seconds = work.give_up_at_seconds - work.arrived_at_seconds
-        if self._patience_seconds is None:
-            self._patience_seconds = patience_seconds
-        self._patience_seconds += PATIENCE_SMOOTHING * (
-            patience_seconds - self._patience_seconds
+    def _update_timeout(self, work: works.Work) -> None:
+        timeout_seconds = work.give_up_at_seconds - work.arrived_at_seconds
+        if self._timeout_seconds is None:
+            self._timeout_seconds = timeout_seconds
+        self._timeout_seconds += TIMEOUT_SMOOTHING * (
+            timeout_seconds - self._timeout_seconds
         )
 
     def _raise_seconds(self) -> float:
-        share = DELAY_PATIENCE_SHARE[Level(self._level + 1)]
-        return share * (self._patience_seconds or math.inf)
+        share = DELAY_TIMEOUT_SHARE[Level(self._level + 1)]
+        return share * (self._timeout_seconds or math.inf)
 
     def _lower_seconds(self) -> float:
-        share = LOWER_FACTOR * DELAY_PATIENCE_SHARE[self._level]
-        return share * (self._patience_seconds or math.inf)
+        share = LOWER_FACTOR * DELAY_TIMEOUT_SHARE[self._level]
+        return share * (self._timeout_seconds or math.inf)
 
     def _is_above(self) -> bool:
         if self._level == Level.ORDINARY:
@@ -175,7 +175,7 @@
             return False
         return self._delay_seconds < self._lower_seconds()
 
-    def _has_risen(self, now_seconds: float) -> bool:
+    def _is_raise_due(self, now_seconds: float) -> bool:
         if self._level == Level.ORDINARY:
             return False
         duration_seconds = RAISE_AFTER_SECONDS[Level(self._level + 1)]
@@ -184,15 +184,15 @@
         )
 
     def _raise_unless_falling(self, now_seconds: float) -> None:
-        # What is shed already may be enough.
+        # A falling delay shows that the present level may be enough.
         falling = self._delay_seconds < self._delay_before_seconds
         if not falling:
-            self._change(+1)
+            self._change_level(+1)
             return
         self._above_since_seconds = now_seconds
         self._delay_before_seconds = self._delay_seconds
 
-    def _change(self, step: int) -> None:
+    def _change_level(self, step: int) -> None:
         self._level = Level(self._level + step)
         self._above_since_seconds = None
         self._below_since_seconds = None
@@ -216,7 +216,7 @@
 
 
 __all__ = [
-    "DELAY_PATIENCE_SHARE",
+    "DELAY_TIMEOUT_SHARE",
     "LOWER_AFTER_SECONDS",
     "Level",
     "Overload",
--- a/src/boragefold/policy/queue_class.py
+++ b/src/boragefold/policy/queue_class.py
@@ -1,8 +1,8 @@
-"""The waiting requests of one class, late-sensitive or not.
+"""The queued requests of one class, late-sensitive or ordinary.
 
-Load pattern: a request whose adapter is still being loaded stands before
+Load pattern: a request whose adapter is still being loaded is queued ahead of
 requests that could run. Without an index by adapter it would block them, or
-each decision would have to step over it.
+each decision would have to skip over it.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 from boragefold.policy import virtual_counter
 from boragefold.policy import work as works
 
-# Short requests overtake long ones by a part of the long one's duration.
-HANDICAP_SECONDS_PER_TOKEN = 0.005
-# A long request must not expire behind short ones.
-HANDICAP_PATIENCE_SHARE = 0.25
+# Short requests overtake long ones by part of the long one's duration.
+PENALTY_SECONDS_PER_TOKEN = 0.005
+# Keeps a long request from expiring behind short ones.
+MAX_PENALTY_TIMEOUT_SHARE = 0.25
 
 
 class Position(NamedTuple):
-    """Where a request stands; the smallest is next."""
+    """The sort key of a queued request; the smallest is served next."""
 
     counter: float
     rank_seconds: float
     request_id: str
 
 
-class Shelf:
-    """What waits for one adapter, by workspace."""
+class AdapterQueue:
+    """The queued requests for one adapter, by workspace."""
 
     def __init__(self) -> None:
-        self.lanes: dict[str, removable_heap.RemovableHeap[str]] = {}
+        self.queues: dict[str, removable_heap.RemovableHeap[str]] = {}
         self.order: removable_heap.RemovableHeap[str] = (
             removable_heap.RemovableHeap()
         )
@@ -43,9 +43,9 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Backlog:
-    """What waits of one workspace; exists only while something does."""
+    """Queued requests and tokens of one workspace; absent when it has none."""
 
-    speed: drain_rate.DrainRate = dataclasses.field(
+    rate: drain_rate.DrainRate = dataclasses.field(
         default_factory=drain_rate.DrainRate
     )
     requests: int = 0
@@ -53,16 +53,16 @@
 
 
 class QueueClass:
-    """Waiting requests, by adapter, workspace and rank."""
+    """Queued requests, indexed by adapter, workspace and rank."""
 
     def __init__(self) -> None:
         self.tokens = 0.0
         self._backlogs: dict[str, Backlog] = {}
         self._counter = virtual_counter.VirtualCounter()
-        self._shelves: dict[works.AdapterVersion, Shelf] = {}
+        self._by_adapter: dict[works.AdapterVersion, AdapterQueue] = {}
 
     def push(self, work: works.Work) -> None:
-        """Add a request.
+        """Queue a request.
 
         :param work: the request
         """
@@ -75,28 +75,28 @@
         backlog.requests += 1
         backlog.tokens += works.tokens_of(work)
         self.tokens += works.tokens_of(work)
-        shelf = self._shelves.setdefault(work.needs, Shelf())
-        lane = shelf.lanes.get(workspace)
-        if lane is None:
-            lane = removable_heap.RemovableHeap()
-            shelf.lanes[workspace] = lane
-            shelf.order.push(workspace, self._counter.value(workspace))
-        lane.push(work.request_id, _rank_seconds(work))
+        adapter_queue = self._by_adapter.setdefault(work.needs, AdapterQueue())
+        queue = adapter_queue.queues.get(workspace)
+        if queue is None:
+            queue = removable_heap.RemovableHeap()
+            adapter_queue.queues[workspace] = queue
+            adapter_queue.order.push(workspace, self._counter.value(workspace))
+        queue.push(work.request_id, _rank_seconds(work))
 
     def remove(self, work: works.Work) -> None:
-        """Take a request out.
+        """Remove a request.
 
         :param work: a request of this class
         """
         workspace = work.workspace
-        shelf = self._shelves[work.needs]
-        lane = shelf.lanes[workspace]
-        lane.remove(work.request_id)
-        if not lane:
-            del shelf.lanes[workspace]
-            shelf.order.remove(workspace)
-        if not shelf.lanes:
-            del self._shelves[work.needs]
+        adapter_queue = self._by_adapter[work.needs]
+        queue = adapter_queue.queues[workspace]
+        queue.remove(work.request_id)
+        if not queue:
+            del adapter_queue.queues[workspace]
+            adapter_queue.order.remove(workspace)
+        if not adapter_queue.queues:
+            del self._by_adapter[work.needs]
         self.tokens -= works.tokens_of(work)
         backlog = self._backlogs[workspace]
         backlog.tokens -= works.tokens_of(work)
@@ -108,43 +108,45 @@
     def first(
         self, candidates: Iterable[works.AdapterVersion]
     ) -> Position | None:
-        """Look for the next request that needs one of the adapters.
+        """Find the next request that needs one of the adapters.
 
         :param candidates: adapters
         :return: its position, or None
         """
         smallest = math.inf
-        lanes: list[removable_heap.RemovableHeap[str]] = []
+        queues: list[removable_heap.RemovableHeap[str]] = []
         for adapter in candidates:
-            shelf = self._shelves.get(adapter)
-            if shelf is None:
+            adapter_queue = self._by_adapter.get(adapter)
+            if adapter_queue is None:
                 continue
-            counter, workspace = self._front(shelf)
+            counter, workspace = self._first_workspace(adapter_queue)
             if counter < smallest:
                 smallest = counter
-                lanes.clear()
+                queues.clear()
             if counter == smallest:
-                lanes.append(shelf.lanes[workspace])
-        heads = (head for lane in lanes if (head := lane.first()) is not None)
+                queues.append(adapter_queue.queues[workspace])
+        heads = (
+            head for queue in queues if (head := queue.first()) is not None
+        )
         rank = min(heads, default=None)
         return None if rank is None else Position(smallest, *rank)
 
     def charge(self, work: works.Work, *, now_seconds: float) -> None:
-        """Count the service of a request; call it before :meth:`remove`.
+        """Charge a request to its workspace; call it before :meth:`remove`.
 
-        :param work: the request that is served
+        :param work: the request that is about to be served
         :param now_seconds: reading of the process clock
         """
-        self._backlogs[work.workspace].speed.add(
+        self._backlogs[work.workspace].rate.add(
             works.tokens_of(work), now_seconds=now_seconds
         )
         self._counter.charge(work.workspace, works.tokens_of(work))
 
     def settle(self, work: works.Work, *, used_tokens: float) -> None:
-        """Correct the charge.
+        """Correct the charge of a request by its actual tokens.
 
         :param work: a request that was charged
-        :param used_tokens: prompt and generated tokens really spent
+        :param used_tokens: prompt and generated tokens actually used
         """
         self._counter.correct(
             work.workspace, used_tokens - works.tokens_of(work)
@@ -153,10 +155,10 @@
     def ahead_tokens(self, work: works.Work) -> float:
         """Estimate the tokens that are served before a new request.
 
-        Fairness bounds them: others are served at most as much as its own
-        workspace meanwhile, however long their queues are.
+        Fairness bounds the estimate: meanwhile each other workspace is served
+        at most as much as the request's own, however long its queue is.
 
-        :param work: a request that isn't waiting yet
+        :param work: a request that isn't queued yet
         :return: tokens of this class
         """
         backlog = self._backlogs.get(work.workspace)
@@ -166,43 +168,47 @@
         return own + min(max(self.tokens - own, 0.0), share)
 
     def drain_seconds(self, work: works.Work) -> float:
-        """Tell how long a workspace's backlog takes at its present speed.
+        """Return how long a workspace's backlog takes at its recent rate.
 
-        Fairness can't tell what those take that come later and go first.
+        The fair-share estimate doesn't include requests that arrive later but
+        are served earlier; the measured rate does.
 
         :param work: a request that has just arrived
-        :return: seconds, zero where nothing waits or no speed is known
+        :return: seconds; zero if nothing is queued or no rate is known
         """
         backlog = self._backlogs.get(work.workspace)
         if backlog is None:
             return 0.0
-        speed = backlog.speed.tokens_per_second(
+        rate = backlog.rate.tokens_per_second(
             now_seconds=work.arrived_at_seconds
         )
-        return backlog.tokens / speed if speed else 0.0
-
-    def _front(self, shelf: Shelf) -> tuple[float, str]:
-        if len(shelf.lanes) == 1:
-            # The usual case: an adapter that one workspace uses.
-            workspace = next(iter(shelf.lanes))
+        return backlog.tokens / rate if rate else 0.0
+
+    def _first_workspace(
+        self, adapter_queue: AdapterQueue
+    ) -> tuple[float, str]:
+        if len(adapter_queue.queues) == 1:
+            # The usual case: only one workspace uses the adapter.
+            workspace = next(iter(adapter_queue.queues))
             return self._counter.value(workspace), workspace
-        # Counters have risen since; one that came up too early goes back.
-        while (top := shelf.order.first()) is not None:
+        # Stored counters may be out of date: an entry whose counter has risen
+        # is pushed again with its present value.
+        while (top := adapter_queue.order.first()) is not None:
             stored, workspace = top
             present = self._counter.value(workspace)
             if present <= stored:
                 return top
-            shelf.order.push(workspace, present)
-        raise AssertionError("a shelf without requests must be removed")
+            adapter_queue.order.push(workspace, present)
+        raise AssertionError("an adapter without queued requests is indexed")
 
 
 def _rank_seconds(work: works.Work) -> float:
-    patience_seconds = work.give_up_at_seconds - work.arrived_at_seconds
-    handicap_seconds = min(
-        HANDICAP_SECONDS_PER_TOKEN * works.tokens_of(work),
-        HANDICAP_PATIENCE_SHARE * patience_seconds,
+    timeout_seconds = work.give_up_at_seconds - work.arrived_at_seconds
+    penalty_seconds = min(
+        PENALTY_SECONDS_PER_TOKEN * works.tokens_of(work),
+        MAX_PENALTY_TIMEOUT_SHARE * timeout_seconds,
     )
-    return work.arrived_at_seconds + handicap_seconds
+    return work.arrived_at_seconds + penalty_seconds
 
 
 __all__ = [
--- a/src/boragefold/policy/slow_endpoints.py
+++ b/src/boragefold/policy/slow_endpoints.py
@@ -1,8 +1,8 @@
-"""Which endpoints are slower than their peers, and get less.
+"""Lowers the share of endpoints that are slower than their peers.
 
-Load pattern: one endpoint gets slow (a throttled accelerator, a failing
-link) but still answers. Without this it keeps its share of the requests until
-it fails, and that share of the callers waits.
+Load pattern: one endpoint becomes slow (a throttled accelerator, a failing
+link) but still answers. Without a comparison it keeps its share of the
+requests until it fails, and the callers of that share wait.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 from boragefold.policy import endpoint_state
 
-# More than fill and chance explain.
+# More than differences in fill and random variation explain.
 SLOW_RATIO = 3.0
-# The probes that show its recovery.
+# Leaves a few probes, which show when the endpoint has recovered.
 MIN_WEIGHT = 0.02
-# With fewer there is no majority to compare with.
+# Fewer endpoints have no majority to compare with.
 MIN_PEERS = 3
-# A bad measurement fades without answers.
-FORGET_AFTER_SECONDS = 10.0
+# A bad measurement decays when no answers follow.
+DECAY_AFTER_SECONDS = 10.0
 FAILURE_FACTOR = 0.5
 RECOVERY_PER_REFRESH = 0.1
 
@@ -47,10 +47,10 @@
         state.health = min(1.0, state.health + RECOVERY_PER_REFRESH)
         pools[state.spec.model, state.spec.role].append(state)
     for pool in pools.values():
-        _weigh_pool(pool, now_seconds)
+        _update_pool(pool, now_seconds)
 
 
-def _weigh_pool(
+def _update_pool(
     pool: list[endpoint_state.EndpointState], now_seconds: float
 ) -> None:
     latencies = {
@@ -62,25 +62,25 @@
     median = statistics.median(latencies.values()) if enough else 0.0
     for state in pool:
         if enough:
-            _forget(state, median, now_seconds)
+            _decay_latency(state, median, now_seconds)
         latency = latencies.get(state.spec.name, 0.0)
-        state.weight = state.health * _share(latency, median)
+        state.weight = state.health * _latency_weight(latency, median)
         state.weight = max(state.weight, MIN_WEIGHT)
 
 
-def _share(latency: float, median: float) -> float:
-    # An endpoint just past the limit loses little.
+def _latency_weight(latency: float, median: float) -> float:
+    # The share falls gradually beyond the limit.
     if median <= 0 or latency <= SLOW_RATIO * median:
         return 1.0
-    share = SLOW_RATIO * median / latency
-    return share * share
+    ratio = SLOW_RATIO * median / latency
+    return ratio * ratio
 
 
-def _forget(
+def _decay_latency(
     state: endpoint_state.EndpointState, median: float, now_seconds: float
 ) -> None:
-    # An endpoint that no probe reaches would stay slow for good.
-    idle = now_seconds - state.answered_at_seconds > FORGET_AFTER_SECONDS
+    # Otherwise an endpoint that gets no probe would count as slow forever.
+    idle = now_seconds - state.answered_at_seconds > DECAY_AFTER_SECONDS
     if idle and state.latency is not None and not state.unanswered:
         state.latency += (median - state.latency) / 2
 
--- a/tests/policy/test_fair_share.py
+++ b/tests/policy/test_fair_share.py
@@ -18,8 +18,8 @@
 def test_the_service_is_divided_max_min_fairly(
     service: float, shares: dict[str, int]
 ) -> None:
-    # Three workspaces, each inside its rate, ask for more than is served.
-    # Who asks for less than an equal part must get all of it.
+    # Three workspaces, each within its rate limit, ask for more than can be
+    # served. One that asks for less than an equal part must get all of it.
     share = fair_share.FairShare()
     passed = dict.fromkeys(DEMANDS, 0)
     for step in range(6000):
@@ -38,7 +38,7 @@
         assert passed[workspace] / 40 == pytest.approx(expected, rel=0.1)
 
 
-def test_a_workspace_that_went_away_leaves_its_share() -> None:
+def test_the_share_of_an_idle_workspace_is_redistributed() -> None:
     share = fair_share.FairShare()
 
     def ask(workspace: str, at: float) -> bool:
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -4,11 +4,11 @@
 from boragefold.telemetry import counters as telemetry
 from tests.fakes import workloads
 
-PATIENCE_SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 class Controller:
-    """An overload controller that sees one delay for some time."""
+    """An overload controller that observes a constant delay for some time."""
 
     def __init__(self) -> None:
         self.overload = overload.Overload(counters=telemetry.Counters())
@@ -26,9 +26,7 @@
     def check(
         self, *, late: bool = False, above: bool = False, cold: bool = False
     ) -> str:
-        request = workloads.work(
-            late_sensitive=late, patience=PATIENCE_SECONDS
-        )
+        request = workloads.work(late_sensitive=late, patience=TIMEOUT_SECONDS)
         refused = self.overload.check(request, above_share=above, cold=cold)
         return refused.reason if refused is not None else ""
 
@@ -55,15 +53,15 @@
     assert controller.check(late=True) == ""
     assert controller.check(late=True, cold=True) == ""
     assert controller.check(late=True, above=True) == "overload_above_share"
-    # One level in two seconds, and none above half of what raised it.
+    # One level per two seconds, and only below half of the raising delay.
     assert controller.see(1.6, 5.0) == overload.Level.ORDINARY
     assert controller.see(0.0, 2.2) == overload.Level.ORDINARY_COLD
     assert controller.see(0.0, 10.0) == overload.Level.NORMAL
 
 
 def test_a_falling_delay_raises_nothing_further() -> None:
-    # What is shed already is enough, but the queue takes time to empty. A
-    # level more would refuse those who did nothing to fill it.
+    # The present level sheds enough, but the queue takes time to drain. A
+    # higher level would refuse callers that didn't cause the overload.
     controller = Controller()
     controller.see(4.0, 1.3)
     assert controller.overload.level == overload.Level.ABOVE_SHARE
@@ -84,11 +82,11 @@
     assert changes <= 2
 
 
-def test_a_refused_caller_is_told_when_to_come_back() -> None:
+def test_a_refusal_carries_a_retry_time() -> None:
     controller = Controller()
     controller.see(6.0, 6.0)
     refused = controller.overload.check(
-        workloads.work(patience=PATIENCE_SECONDS), above_share=True, cold=False
+        workloads.work(patience=TIMEOUT_SECONDS), above_share=True, cold=False
     )
     assert refused is not None
     assert refused.status == 503
