--- a/src/boragefold/policy/admission.py
+++ b/src/boragefold/policy/admission.py
@@ -1,8 +1,9 @@
-"""Whether a request fits its workspace's rate now, soon or not.
+"""Rate admission: decides whether a request is admitted, queued or refused.
 
-Load pattern: a workspace sends in bursts, and now and then several times its
-rate. Without this, requests over the rate queue in front of everyone else's,
-or are refused although the tokens they need are a few milliseconds away.
+Load pattern: a workspace sends in bursts, and at times several times its
+rate. Without this, requests over the rate delay those of all other workspaces
+in the queue, or are refused although the tokens they need become available
+within milliseconds.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 from boragefold.policy import work as works
 from boragefold.telemetry import counters as telemetry
 
-# Covers a grant that is lent by another data centre.
+# Long enough for another data centre to grant tokens.
 MAX_WAIT_SECONDS = 1.0
-# The rest is for the queue and the endpoint.
+# The rest of the caller's timeout is left for queueing and the endpoint.
 PATIENCE_SHARE = 0.25
-# A caller that is back earlier would be refused again.
+# A caller that retries sooner would be refused again.
 MIN_RETRY_AFTER_SECONDS = 0.1
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Admitted:
-    """The tokens are reserved; settle the reservation when it ends."""
+    """The tokens are reserved; the reservation must be settled at the end."""
 
     reservation: stocks.Reservation
     tag: str = "admitted"
@@ -34,21 +35,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Waiting:
-    """The request waits for tokens; it is decided by ``until_seconds``."""
+    """The request waits for tokens, until ``until_seconds`` at the latest."""
 
     until_seconds: float
     tag: str = "waiting"
 
 
 class Decided(NamedTuple):
-    """A request that waited, and what became of it."""
+    """The outcome of a request that waited for tokens."""
 
     work: works.Work
     outcome: Admitted | refusal.Refused
 
 
 class Admission:
-    """Reserves tokens, first come first served within a workspace."""
+    """Reserves tokens in order of arrival within each workspace."""
 
     def __init__(
         self, *, stock: stocks.Stock, counters: telemetry.Counters
@@ -62,7 +63,7 @@
     def offer(
         self, work: works.Work, *, now_seconds: float
     ) -> Admitted | Waiting | refusal.Refused:
-        """Decide about a request that has just arrived.
+        """Decide on a request that has just arrived.
 
         :param work: the request
         :param now_seconds: reading of the process clock
@@ -87,13 +88,13 @@
     def advance(
         self, *, now_seconds: float, workspace: str | None = None
     ) -> list[Decided]:
-        """Decide about those that wait; call it at :meth:`next_due_seconds`.
+        """Decide on waiting requests; call it at :meth:`next_due_seconds`.
 
-        Call it also with the workspace that the stock's subscription names.
+        Also call it with the workspace that the stock's callback names.
 
         :param now_seconds: reading of the process clock
         :param workspace: the only one whose tokens may have changed, or None
-        :return: those that wait no longer
+        :return: the requests that no longer wait
         """
         if workspace is not None:
             return self._drain(workspace, now_seconds)
@@ -109,9 +110,9 @@
         ]
 
     def next_due_seconds(self) -> float | None:
-        """Tell when :meth:`advance` has something to do, at the latest.
+        """Return the latest time for the next call of :meth:`advance`.
 
-        :return: reading of the process clock, or None when nobody waits
+        :return: reading of the process clock, or None when no request waits
         """
         return min(
             (line.due_seconds() for line in self._lines.values()),
@@ -119,10 +120,10 @@
         )
 
     def withdraw(self, request_id: str) -> works.Work | None:
-        """Forget a waiting request whose caller has gone.
+        """Remove a waiting request whose caller has disconnected.
 
         :param request_id: the request
-        :return: the request, or None if it doesn't wait here
+        :return: the request, or None if it isn't waiting
         """
         workspace = self._workspace_of.get(request_id)
         if workspace is None:
@@ -132,7 +133,8 @@
     def _join(
         self, line: rate_line.Line, work: works.Work, now_seconds: float
     ) -> Waiting | refusal.Refused:
-        # Small requests would take the tokens that a large one waits for.
+        # Queue behind waiting requests even when the tokens suffice: small
+        # requests would otherwise take the tokens that a large one waits for.
         tokens = works.tokens_of(work)
         wait_seconds = line.wait_seconds(tokens, now_seconds=now_seconds)
         if wait_seconds <= _bound_seconds(work, now_seconds):
@@ -173,7 +175,7 @@
             return Decided(entry.work, self._too_large())
         line.asked(now_seconds=now_seconds, ready_in_seconds=ready_in_seconds)
         if now_seconds + ready_in_seconds > entry.until_seconds:
-            # It can't be served in time any more.
+            # The tokens can't be available before its time limit.
             return self._refuse(entry, ready_in_seconds)
         return None
 
@@ -230,7 +232,7 @@
         return self._over_rate(wait_seconds)
 
     def _no_holder(self, wait_seconds: float) -> refusal.Refused:
-        # This caller is inside its rate, and must not be told otherwise.
+        # The workspace may be within its rate, so don't report rate_exceeded.
         self._counters.add("requests_refused", "no_rate_holder")
         return refusal.Refused(
             status=refusal.UNAVAILABLE,
--- a/src/boragefold/policy/drain_rate.py
+++ b/src/boragefold/policy/drain_rate.py
@@ -1,23 +1,24 @@
-"""How fast a queue that is never empty is served.
+"""Measured service rate of a queue that is never empty.
 
-Load pattern: what one queue gets of a common capacity depends on what the
-others ask for, and changes with it. An estimate from the whole capacity would
-let callers wait who can't be served in time.
+Load pattern: the share of a common capacity that one queue gets depends on
+the demand of the others, and changes with it. An estimate from the whole
+capacity would accept requests that can't be served in time.
 """
 
 from __future__ import annotations
 
-# Longer than the waves in which engines that were filled together empty.
+# Engines that were filled together become free together, in waves; the window
+# must be longer than such a wave.
 MEMORY_SECONDS = 5.0
-# A wrong speed would refuse who could be served.
+# A rate from fewer samples may refuse requests that can be served in time.
 MIN_SERVICES = 4
 
 
 class DrainRate:
-    """Tokens taken out per second, from the first service on.
+    """Tokens removed per second, measured from the first request on.
 
-    What passes before the first service, such as the load of an adapter, says
-    nothing of the speed.
+    The time before the first request, such as the load time of an adapter, is
+    left out, as it says nothing about the rate.
     """
 
     def __init__(self) -> None:
@@ -26,9 +27,9 @@
         self._services = 0
 
     def add(self, tokens: float, *, now_seconds: float) -> None:
-        """Count tokens that were taken out.
+        """Count the tokens of a request removed from the queue.
 
-        :param tokens: how many
+        :param tokens: the number of tokens
         :param now_seconds: reading of the process clock
         """
         self._services += 1
@@ -42,10 +43,10 @@
             self._began_at_seconds += elapsed_seconds / 2
 
     def tokens_per_second(self, *, now_seconds: float) -> float | None:
-        """Tell the speed.
+        """Return the measured rate.
 
         :param now_seconds: reading of the process clock
-        :return: tokens per second, None before it can be told
+        :return: tokens per second, None while there are too few samples
         """
         if self._began_at_seconds is None or self._services < MIN_SERVICES:
             return None
--- a/src/boragefold/policy/given_amounts.py
+++ b/src/boragefold/policy/given_amounts.py
@@ -1,9 +1,9 @@
-"""What one instance gave hubs to count, and how much of it they hold.
+"""What one instance reported to hubs, and how much of it their entries hold.
 
-An instance gives each amount to one hub. Where that one is lost, the others
-hold an older version of its entry, or have heard less of it than the instance
-was told: what is missing there is given to the next hub, and what shows after
-all is taken back from it.
+An instance reports each amount to one hub. If that hub is lost, the other
+hubs hold an older version of its entry, or received less of it than was
+confirmed to the instance: the missing amounts are reported to the next hub,
+and amounts that turn out to be held after all are subtracted there again.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 from boragefold.protocol import rate_ledger_messages as messages
 
-# For so long it may still turn out what the entry of a former hub holds.
+# Until then it may still change what the entry of an earlier hub holds.
 SETTLE_SECONDS = 20.0
-# No living hub holds older versions of an entry.
+# No reachable hub stores older versions of an entry.
 KEPT_SECONDS = 6.0
-# Entries that are given something again go on where they were left.
+# An entry that is reported to again continues from its kept state.
 KEPT_ENTRIES = 64
 
 
 class Given(NamedTuple):
-    """What was given to an entry with the account of a number."""
+    """The amounts of one numbered report to an entry."""
 
     number: int
     at_seconds: float
@@ -31,7 +31,7 @@
 
 
 class EntryAccount:
-    """What one entry was given and holds."""
+    """What was reported to one entry, and what it holds."""
 
     def __init__(self) -> None:
         self.held: dict[str, float] = {}
@@ -39,9 +39,9 @@
         self.last_given_at_seconds = 0.0
 
     def note_held(self, number: int) -> None:
-        """Note which account the entry holds.
+        """Record which report the entry holds.
 
-        :param number: the last one that it does
+        :param number: of the last report that is included; 0 for none
         """
         older = [given for given in self.given if given.number <= number]
         if not number or not self.given:
@@ -50,9 +50,9 @@
             self.held = (older or self.given[:1])[-1].amounts
 
     def drop_older(self, before_seconds: float) -> None:
-        """Drop accounts that can't be the last any more.
+        """Drop reports that can't be the last included one any more.
 
-        :param before_seconds: those that were followed before this
+        :param before_seconds: reports whose successor is older are dropped
         """
         self.given = [
             given
@@ -64,7 +64,7 @@
 
 
 class GivenAmounts:
-    """What this instance gave to each entry."""
+    """What this instance reported to each entry."""
 
     def __init__(self) -> None:
         self._accounts: dict[str, EntryAccount] = {}
@@ -73,9 +73,9 @@
         self._held_by_dropped: dict[str, float] = {}
 
     def held(self, workspace: str) -> float:
-        """Tell how much of what was admitted here all entries hold.
+        """Return how much of what was admitted here all entries hold.
 
-        :param workspace: whose
+        :param workspace: its name
         :return: tokens or requests
         """
         return self._held.get(workspace, 0.0)
@@ -87,12 +87,12 @@
         *,
         now_seconds: float,
     ) -> messages.Account:
-        """Give an entry what no other one holds.
+        """Report to an entry all amounts that no other entry holds.
 
         :param counter: the entry's name
-        :param admitted: what was admitted here in all, by workspace
+        :param admitted: everything admitted here, by workspace
         :param now_seconds: reading of the process clock
-        :return: what to tell its hub
+        :return: the report for the entry's hub
         """
         account = self._accounts.setdefault(counter, EntryAccount())
         account.last_given_at_seconds = now_seconds
@@ -119,9 +119,9 @@
         )
 
     def former(self, counter: str, *, now_seconds: float) -> tuple[str, ...]:
-        """List the entries that were given something lately, and aren't now.
+        """List the entries recently reported to, without the current one.
 
-        :param counter: the entry that is
+        :param counter: the current entry
         :param now_seconds: reading of the process clock
         :return: their names
         """
@@ -134,9 +134,9 @@
         )
 
     def note_held(self, numbers: Mapping[str, int]) -> None:
-        """Note which accounts the entries hold, as a hub has them.
+        """Record which reports the entries hold, as received from a hub.
 
-        :param numbers: by entry that of the last account
+        :param numbers: number of the last included report, by entry
         """
         for name, number in numbers.items():
             if name in self._accounts:
@@ -144,7 +144,7 @@
         self._add_up()
 
     def forget(self) -> None:
-        """Drop the entries that were given nothing for longest."""
+        """Drop the entries that were reported to least recently."""
         last_given = sorted(
             self._accounts,
             key=lambda name: self._accounts[name].last_given_at_seconds,
--- a/src/boragefold/policy/heard_totals.py
+++ b/src/boragefold/policy/heard_totals.py
@@ -1,4 +1,4 @@
-"""Taking what others admitted out of buckets, as hubs tell it in totals."""
+"""Removes what others admitted from the buckets, by totals from hubs."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class HeardTotals:
-    """What was told last, and what of it others had admitted."""
+    """The totals received last, and the part that others admitted."""
 
     def __init__(
         self, *, rate: shared_rate.SharedRate, held: Callable[[str], float]
     ) -> None:
-        """Begin with nothing heard.
+        """Start with no totals received.
 
         :param rate: the buckets
-        :param held: tells how much of what was admitted here the totals hold,
-            by workspace
+        :param held: returns how much of what was admitted here the totals
+            include, by workspace
         """
         self._rate = rate
         self._held = held
@@ -34,9 +34,10 @@
 
     @property
     def lacks_whole(self) -> bool:
-        """Tell whether totals must be told whole to be of use.
+        """Return whether all totals must be sent, not only changes.
 
-        :return: whether those told last weren't and had to be
+        :return: whether the last totals lacked unchanged ones and so couldn't
+            be used
         """
         return self._lacks_whole
 
@@ -49,15 +50,15 @@
         whole: bool,
         now_seconds: float,
     ) -> None:
-        """Take out what others admitted since the totals before.
+        """Remove what others admitted since the previous totals.
 
-        After a change of era, or a long time without any, totals are where
-        that begins anew.
+        After a change of era, or a long time without totals, the totals only
+        set a new baseline.
 
         :param amounts: the totals that changed, by workspace
-        :param era: the era that they are of
-        :param late: the part of them that was learned late
-        :param whole: whether those that aren't named are 0
+        :param era: the era of the totals
+        :param late: the part of them that the hub received late
+        :param whole: whether workspaces that aren't included have a total of 0
         :param now_seconds: reading of the process clock
         """
         silent_seconds = now_seconds - self._at_seconds
@@ -100,7 +101,8 @@
         late: Mapping[str, float],
         now_seconds: float,
     ) -> None:
-        # Of a former hub it isn't known how much was late before.
+        # After a switch of hubs, the late amounts may include some that were
+        # removed before.
         late = {
             workspace: max(0.0, min(amount, added.get(workspace, 0.0)))
             for workspace, amount in late.items()
--- a/src/boragefold/policy/own_rate_entry.py
+++ b/src/boragefold/policy/own_rate_entry.py
@@ -1,4 +1,4 @@
-"""The entry of what a hub counts of rates, as the hub itself writes it."""
+"""The ledger entry of a hub, as the hub itself writes it."""
 
 from __future__ import annotations
 
@@ -11,15 +11,18 @@
 
 
 class OwnEntry:
-    """The entry that this instance writes as a hub."""
+    """The entry that this instance writes as a hub.
+
+    A giver is an instance whose reports are counted in the entry.
+    """
 
     def __init__(
         self, *, incarnation: str, serial: int, now_seconds: float
     ) -> None:
-        """Begin with nothing counted.
+        """Start with nothing counted.
 
-        :param incarnation: this process's
-        :param serial: another one for each of its entries
+        :param incarnation: of this process
+        :param serial: differs for each entry of this process
         :param now_seconds: reading of the process clock
         """
         self.name = messages.entry_name(incarnation, serial)
@@ -31,7 +34,7 @@
         self._counted: dict[int, int] = {}
         self._given: dict[int, dict[str, float]] = {}
         self._ended: set[int] = set()
-        # Shorter than the givers' own numbers; none is ever used again.
+        # Shorter than the givers' ids; an index is never reused.
         self._indexes: dict[int, int] = {}
         self._indexed_at_seconds: dict[int, float] = {}
 
@@ -43,16 +46,17 @@
         *,
         now_seconds: float,
     ) -> None:
-        """Count what an instance gives.
+        """Count a report.
 
-        :param giver: the instance
-        :param number: of its account; one that came late is lower
-        :param amounts: what it gave in all to this entry, by workspace that
-            changed
+        :param giver: the instance that sent it
+        :param number: of the report; lower than counted if it arrives late
+        :param amounts: everything it reported to this entry, by workspace;
+            only those that changed
         :param now_seconds: reading of the process clock
         """
         if giver in self._ended:
-            # Its last words may come late; what it gave isn't known any more.
+            # A delayed report. What was counted of this instance is no longer
+            # known, so its amounts would be counted twice.
             return
         if giver not in self._indexes:
             self._indexes[giver] = len(self._indexes)
@@ -70,7 +74,7 @@
         self._changed_at_seconds = now_seconds
 
     def forget(self, giver: int) -> None:
-        """Drop an instance that ended; what it gave stays.
+        """Remove an instance that ended; its amounts stay counted.
 
         :param giver: the instance
         """
@@ -78,10 +82,10 @@
             self._ended.add(giver)
 
     def changed_lately(self, *, now_seconds: float) -> bool:
-        """Tell whether others may not know the newest version.
+        """Return whether others may not know the newest version.
 
         :param now_seconds: reading of the process clock
-        :return: whether it is told whole
+        :return: whether to send the entry, not only its version
         """
         unchanged_seconds = now_seconds - self._changed_at_seconds
         return unchanged_seconds <= recent_sums.TELL_SECONDS
@@ -89,11 +93,12 @@
     def entry(
         self, *, whole: bool = False, now_seconds: float
     ) -> messages.Entry:
-        """Tell the newest version.
+        """Return a copy of the newest version.
 
-        :param whole: whether the indexes of all givers are told
+        :param whole: whether to include the indexes of all givers, not only
+            of new ones
         :param now_seconds: reading of the process clock
-        :return: a copy
+        :return: the entry
         """
         oldest_seconds = now_seconds - recent_sums.TELL_SECONDS
         indexes = {
@@ -112,10 +117,10 @@
 
 
 def giver_of(incarnation: str) -> int:
-    """Make the number that stands for an instance in entries.
+    """Return the id of an instance in entries.
 
-    :param incarnation: the instance's
-    :return: half as long as its name
+    :param incarnation: of the instance
+    :return: a hash, half as long as the incarnation
     """
     return xxhash.xxh3_64_intdigest(incarnation.encode())
 
--- a/src/boragefold/policy/rate_accounts.py
+++ b/src/boragefold/policy/rate_accounts.py
@@ -1,9 +1,10 @@
-"""Adding up what instances admitted, so that few numbers travel.
+"""Distributed counting of admitted amounts, with few numbers sent.
 
-Load pattern: dozens of workspaces that send through hundreds of instances.
-Told of each instance's sums, everyone holds and hears all workspaces times all
-instances. Here an instance gives what it admitted to one hub to count, hubs
-tell each other the entries that they write, and the instances the totals.
+Load pattern: dozens of workspaces that send through hundreds of instances. If
+every instance sent its sums to all others, each would store and receive as
+many numbers as there are workspaces times instances. Instead, an instance
+reports what it admitted to one hub, the hubs exchange the entries that they
+write, and send the totals to the instances.
 """
 
 from __future__ import annotations
@@ -15,20 +16,25 @@
 from boragefold.policy import shared_rate
 from boragefold.protocol import rate_ledger_messages as messages
 
-# Of so many entries it is known which index they gave us.
+# Number of entries whose index for this instance is kept.
 KEPT_INDEXES = 64
 
 
 class RateAccounts:
-    """What this instance gives others to count, and counts for them."""
+    """Reports this instance's admitted amounts, and counts others' as a hub.
+
+    A report is an :class:`~rate_ledger_messages.Account` message. A giver is
+    an instance that sends reports, and the counter is the entry that it
+    reports to.
+    """
 
     def __init__(
         self, *, rate: shared_rate.SharedRate, incarnation: str
     ) -> None:
-        """Begin as an instance that counts for nobody.
+        """Start as an instance that is no hub.
 
-        :param rate: what is admitted here
-        :param incarnation: this process's
+        :param rate: the buckets of this instance and what it admitted
+        :param incarnation: of this process
         """
         self._rate = rate
         self._incarnation = incarnation
@@ -39,7 +45,7 @@
         self._entry: own_rate_entry.OwnEntry | None = None
         self._entries_begun = 0
         self._former: dict[int, tuple[str, ...]] = {}
-        # Which index each entry gave us.
+        # The index that each entry assigned to this instance.
         self._indexes: dict[str, int] = {}
         self._heard = heard_totals.HeardTotals(
             rate=rate, held=self._given.held
@@ -47,36 +53,37 @@
 
     @property
     def counter(self) -> str:
-        """Tell which entry counts what we admit.
+        """Return the entry that counts what this instance admits.
 
-        :return: its name; empty if nobody was chosen
+        :return: its name; empty before any was chosen
         """
         return self._counter
 
     @property
     def lacks_totals(self) -> bool:
-        """Tell whether the counter's hub has to tell its totals whole.
+        """Return whether the counter's hub has to send all its totals.
 
-        :return: whether what it told last can't be used
+        :return: whether the totals received last can't be used
         """
         return self._heard.lacks_whole
 
     @property
     def complete(self) -> bool:
-        """Tell whether we can tell totals.
+        """Return whether this instance can send totals.
 
         :return: whether the entries of others are known
         """
         return self._entry is not None and self._ledger.complete
 
     def begin_counting(self, *, now_seconds: float) -> None:
-        """Write an entry of our own from now on, as a hub.
+        """Become a hub: write an entry from now on.
 
         :param now_seconds: reading of the process clock
         """
         if self._entry is not None:
             return
-        # What a former one held that wasn't told is given to this one.
+        # Amounts in an earlier entry that weren't sent to any other hub are
+        # reported to this one again.
         self._entry = own_rate_entry.OwnEntry(
             incarnation=self._incarnation,
             serial=self._entries_begun,
@@ -87,13 +94,13 @@
         self._former = {}
 
     def stop_counting(self) -> None:
-        """Write no entry: we aren't a hub any more."""
+        """Stop being a hub: write no entry any more."""
         self._entry = None
 
     def begin_era(self, *, heard_count: int, now_seconds: float) -> None:
-        """Go on without the entries of others: nobody tells them.
+        """Start an era without the entries of others, as no hub sends any.
 
-        :param heard_count: how many instances are heard
+        :param heard_count: the number of instances heard
         :param now_seconds: reading of the process clock
         """
         era = rate_ledger.era_of(self._incarnation, heard_count=heard_count)
@@ -101,11 +108,11 @@
         self.count_own(now_seconds=now_seconds)
 
     def state(self, counter: str, *, now_seconds: float) -> messages.Account:
-        """Give what was admitted here to a hub to count.
+        """Create the report of what was admitted here.
 
-        :param counter: its entry's name
+        :param counter: name of the hub's entry
         :param now_seconds: reading of the process clock
-        :return: what to tell the hub
+        :return: the report for the hub
         """
         self._counter = counter
         return self._given.state(
@@ -113,7 +120,7 @@
         )
 
     def count_own(self, *, now_seconds: float) -> None:
-        """Count what was admitted here, as a hub.
+        """Count what was admitted here in the own entry, if there is one.
 
         :param now_seconds: reading of the process clock
         """
@@ -143,10 +150,10 @@
         *,
         now_seconds: float,
     ) -> None:
-        """Count what another instance gives us.
+        """Count the report of another instance.
 
         :param sender: its incarnation
-        :param statement: its account; one for another entry is left out
+        :param statement: its report; ignored if meant for another entry
         :param now_seconds: reading of the process clock
         """
         if self._entry is None or statement.counter != self._entry.name:
@@ -156,9 +163,9 @@
         self._count(giver, statement, now_seconds)
 
     def forget_instance(self, incarnation: str) -> None:
-        """Drop an instance that has ended; what it gave stays counted.
+        """Remove an instance that has ended; its amounts stay counted.
 
-        :param incarnation: which
+        :param incarnation: of the instance
         """
         giver = own_rate_entry.giver_of(incarnation)
         self._former.pop(giver, None)
@@ -166,10 +173,10 @@
             self._entry.forget(giver)
 
     def told_entry(self, *, now_seconds: float) -> messages.ToldEntry | None:
-        """Tell other hubs what is counted here.
+        """Return the own entry as sent to other hubs.
 
         :param now_seconds: reading of the process clock
-        :return: our entry; None from whoever writes none
+        :return: None if this instance is no hub
         """
         own = self._entry
         if own is None:
@@ -188,19 +195,19 @@
     def hear_entry(
         self, hub: str, told: messages.ToldEntry, *, now_seconds: float
     ) -> bool:
-        """Take over what another hub counts.
+        """Store another hub's entry.
 
         :param hub: its incarnation
         :param told: its entry
         :param now_seconds: reading of the process clock
-        :return: whether it has to tell us its whole ledger
+        :return: whether the hub's whole ledger is needed
         """
         if self._entry is None or not told.era.known:
             return False
         if not self._ledger.complete:
             return True
         if told.era.founding > self._ledger.era.founding:
-            # Nothing that we hold has to do with theirs.
+            # The entries of the two eras have nothing in common.
             self.stop_counting()
             self.begin_counting(now_seconds=now_seconds)
             return True
@@ -221,19 +228,19 @@
         return not is_known or digest != told.lost_digest
 
     def ledger(self, *, now_seconds: float) -> messages.Ledger | None:
-        """Tell the entries of all hubs.
+        """Return the entries of all hubs.
 
         :param now_seconds: reading of the process clock
-        :return: None where they aren't known
+        :return: None while they aren't known
         """
         if not self.complete:
             return None
         return self._ledger.contents(now_seconds=now_seconds)
 
     def merge(self, theirs: messages.Ledger, *, now_seconds: float) -> None:
-        """Take over what another hub holds of all entries.
+        """Merge another hub's ledger into the own one.
 
-        :param theirs: as it told it
+        :param theirs: the ledger received
         :param now_seconds: reading of the process clock
         """
         if self._entry is not None and theirs.era.known:
@@ -243,11 +250,11 @@
     def told_totals(
         self, *, whole: bool, now_seconds: float
     ) -> messages.Totals | None:
-        """Tell instances what all hubs count.
+        """Return the totals of all hubs as sent to instances.
 
-        :param whole: whether they know nothing yet
+        :param whole: whether to include all totals, not only recent changes
         :param now_seconds: reading of the process clock
-        :return: None from whoever doesn't know it
+        :return: None if the totals aren't known here
         """
         own = self._entry
         if own is None or not self._ledger.complete:
@@ -274,15 +281,15 @@
     def hear_totals(
         self, hub: str, totals: messages.Totals, *, now_seconds: float
     ) -> None:
-        """Take out what others admitted, as one hub tells it.
+        """Remove what others admitted from the buckets, by a hub's totals.
 
         :param hub: its incarnation
-        :param totals: what all hubs count; those of another hub than the one
-            that counts for us are left out
+        :param totals: totals of all hubs; ignored unless they come from the
+            hub that counts for this instance
         :param now_seconds: reading of the process clock
         """
         counter = messages.entry_name(hub, totals.serial)
-        # Whoever has just started takes the first that it hears.
+        # Just after the start, take the first totals received.
         self._counter = self._counter or counter
         if self._giver in totals.indexes:
             self._indexes[counter] = totals.indexes[self._giver]
@@ -302,7 +309,7 @@
         )
 
     def forget(self, *, now_seconds: float) -> None:
-        """Drop what nobody asks for any more.
+        """Drop state that is no longer requested.
 
         :param now_seconds: reading of the process clock
         """
--- a/src/boragefold/policy/rate_ledger.py
+++ b/src/boragefold/policy/rate_ledger.py
@@ -1,10 +1,10 @@
-"""What all hubs count of rates, as each of them holds it.
+"""Replicated ledger of what all hubs count, as each hub stores it.
 
-Each hub writes one entry of its own and numbers its versions, so that of two
-words on an entry the newer one is known, also where sums fall. An entry
-outlives its hub at all that heard it. Hubs that hold the same versions tell
-the same totals, whoever began when: an instance may change from one to
-another without a difference.
+Each hub writes a single entry and numbers its versions, so that of two copies
+the newer one is known, also where sums decrease. An entry remains after its
+hub has ended, on all hubs that received it. Hubs that store the same versions
+send the same totals, whenever each of them started: an instance can switch
+hubs without any change of the totals.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from boragefold.policy import shared_rate
 from boragefold.protocol import rate_ledger_messages as messages
 
-# A hub that told nothing for so long has ended, or can't be heard.
+# A hub that sent nothing for this long has ended or is unreachable.
 LOST_SECONDS = 2.0
-# Nobody asks any more what the entry of a hub holds that ended so long ago.
+# After this, no instance asks what the entry of an ended hub contains.
 FOLD_SECONDS = 600.0
 
 
 class HeldEntry(NamedTuple):
-    """An entry, when its hub told it last, and when it last changed here."""
+    """An entry, when its hub last sent it, and when it last changed here."""
 
     entry: messages.Entry
     told_at_seconds: float
@@ -38,7 +38,7 @@
     """The entries of all hubs."""
 
     def __init__(self) -> None:
-        """Begin without an era: the entries of others are not known yet."""
+        """Start without an era, as the entries of others aren't known yet."""
         self._era = messages.Era()
         self._era_began_at_seconds = -math.inf
         self._held: dict[str, HeldEntry] = {}
@@ -48,38 +48,38 @@
 
     @property
     def era(self) -> messages.Era:
-        """Tell in which era these entries are.
+        """Return the era of these entries.
 
-        :return: one with a negative count until there is any
+        :return: has a negative count before the first era
         """
         return self._era
 
     @property
     def complete(self) -> bool:
-        """Tell whether the entries of others are known.
+        """Return whether the entries of others are known.
 
-        :return: whether totals may be told
+        :return: whether totals may be sent
         """
         return self._era.known
 
     @property
     def totals(self) -> Mapping[str, float]:
-        """Add up all entries.
+        """Return the sums of all entries.
 
         :return: sums by workspace
         """
         return self._totals.amounts
 
     def late(self, *, now_seconds: float) -> dict[str, float]:
-        """Tell which part of the totals was learned late.
+        """Return the part of the totals that was received late.
 
         :param now_seconds: reading of the process clock
-        :return: sums by workspace that changed lately
+        :return: recently changed sums, by workspace
         """
         return self._late.recent(now_seconds=now_seconds)
 
     def begin(self, era: messages.Era, *, now_seconds: float) -> None:
-        """Begin an era: nobody is there to learn from.
+        """Start an era, as there is no hub to get entries from.
 
         :param era: the new one
         :param now_seconds: reading of the process clock
@@ -89,7 +89,7 @@
     def told_totals(
         self, *, whole: bool, now_seconds: float
     ) -> dict[str, float]:
-        """List the totals that others may not know.
+        """Return the totals that receivers may not know.
 
         :param whole: whether they know none
         :param now_seconds: reading of the process clock
@@ -100,11 +100,11 @@
         return self._totals.recent(now_seconds=now_seconds)
 
     def is_whole(self, *, whole: bool, now_seconds: float) -> bool:
-        """Tell whether told totals are all.
+        """Return whether :meth:`told_totals` includes all totals.
 
-        :param whole: as for told_totals
+        :param whole: as for :meth:`told_totals`
         :param now_seconds: reading of the process clock
-        :return: whether a workspace that isn't among them has a sum of 0
+        :return: whether a workspace that isn't included has a sum of 0
         """
         new_seconds = now_seconds - self._era_began_at_seconds
         return whole or new_seconds <= recent_sums.TELL_SECONDS
@@ -112,10 +112,10 @@
     def put_own(
         self, name: str, entry: messages.Entry, *, now_seconds: float
     ) -> None:
-        """Take over the entry that we write ourselves.
+        """Store this hub's own entry.
 
         :param name: its name
-        :param entry: what we count
+        :param entry: the newest version
         :param now_seconds: reading of the process clock
         """
         self._replace(name, HeldEntry(entry, now_seconds, now_seconds))
@@ -123,10 +123,10 @@
     def put(
         self, name: str, entry: messages.Entry, *, now_seconds: float
     ) -> bool:
-        """Take over an entry from its hub.
+        """Store an entry received from its hub.
 
-        :param name: whose
-        :param entry: what it counts
+        :param name: its name
+        :param entry: the version received
         :param now_seconds: reading of the process clock
         :return: whether the indexes of all its givers are known
         """
@@ -144,12 +144,12 @@
     def note_unchanged(
         self, name: str, version: int, *, now_seconds: float
     ) -> bool:
-        """Note that a hub told only the version of its entry.
+        """Record that a hub sent only the version of its entry.
 
-        :param name: whose
-        :param version: its newest
+        :param name: the entry's name
+        :param version: its newest version
         :param now_seconds: reading of the process clock
-        :return: whether we have that one
+        :return: whether that version is stored here
         """
         held = self._held.get(name)
         if held is None or held.entry.version < version:
@@ -158,11 +158,12 @@
         return True
 
     def settled(self, giver: int, names: Iterable[str]) -> dict[str, int]:
-        """Tell which of an instance's accounts entries hold.
+        """Return which of an instance's reports the entries include.
 
         :param giver: the instance
-        :param names: whose entries it gave something
-        :return: by entry the number of the last account, 0 for none; without
+        :param names: the entries that it reported to
+        :return: number of the last report by entry, 0 for none; entries for
+            which it is unknown are left out
             those of which that isn't known
         """
         numbers = {name: self._counted(name, giver) for name in names}
@@ -173,9 +174,10 @@
         }
 
     def lost_digest(self, *, now_seconds: float) -> int:
-        """Make a number that two share if they hold the same of lost hubs.
+        """Return a hash that is equal if two hubs store the same lost entries.
 
-        Those that live tell their entries themselves.
+        Lost are the entries of hubs that no longer send them; hubs that are
+        reachable send theirs directly.
 
         :param now_seconds: reading of the process clock
         :return: a hash
@@ -190,10 +192,10 @@
         return xxhash.xxh3_64_intdigest(text.encode())
 
     def contents(self, *, now_seconds: float) -> messages.Ledger:
-        """Tell all.
+        """Return the whole ledger.
 
         :param now_seconds: reading of the process clock
-        :return: for whoever knows nothing, or something else
+        :return: for hubs whose ledger is empty or differs
         """
         entries = {
             name: (now_seconds - held.told_at_seconds, held.entry)
@@ -202,7 +204,7 @@
         return messages.Ledger(self._era, self._folded, entries)
 
     def merge(self, theirs: messages.Ledger, *, now_seconds: float) -> None:
-        """Take over what another hub holds.
+        """Merge the ledger of another hub.
 
         :param theirs: its ledger
         :param now_seconds: reading of the process clock
@@ -226,16 +228,16 @@
             self._replace(name, HeldEntry(entry, told_at_seconds, now_seconds))
 
     def note_reunions(self, era: messages.Era, *, now_seconds: float) -> None:
-        """Take over how often hubs met again.
+        """Take over a greater number of reunions.
 
-        :param era: the same era, as another hub has it
+        :param era: the same era, as another hub knows it
         :param now_seconds: reading of the process clock
         """
         if era.reunions > self._era.reunions:
             self._change_era(era, now_seconds)
 
     def fold(self, *, now_seconds: float) -> None:
-        """Add up the entries of hubs that ended long ago.
+        """Replace the entries of hubs that ended long ago by their sum.
 
         :param now_seconds: reading of the process clock
         """
@@ -273,8 +275,8 @@
     ) -> None:
         apart_seconds = _apart_seconds(held, entry, now_seconds)
         if apart_seconds > shared_rate.FORGET_SECONDS:
-            # Each side went on with the whole rate: what the other one
-            # admitted meanwhile is no debt.
+            # Each side used the whole rate meanwhile, so what the other one
+            # admitted must not be removed from the buckets.
             reunions = self._era.reunions + 1
             era = self._era._replace(reunions=reunions)
             self._change_era(era, now_seconds)
@@ -295,7 +297,7 @@
     ) -> None:
         if theirs.folded.entries_count <= self._folded.entries_count:
             return
-        # It holds what they don't list any more.
+        # Their folded sums include old entries that they no longer list.
         oldest_seconds = now_seconds - FOLD_SECONDS / 2
         for name, held in list(self._held.items()):
             is_old = held.told_at_seconds < oldest_seconds
@@ -324,10 +326,10 @@
 
 
 def era_of(founder: str, *, heard_count: int) -> messages.Era:
-    """Make an era of its own.
+    """Create an era founded by this instance.
 
-    :param founder: the incarnation that begins it
-    :param heard_count: how many instances it hears
+    :param founder: the incarnation that founds it
+    :param heard_count: the number of instances that it hears
     :return: the era
     """
     return messages.Era(heard_count, xxhash.xxh32_intdigest(founder.encode()))
@@ -336,7 +338,7 @@
 def _apart_seconds(
     held: HeldEntry | None, entry: messages.Entry, now_seconds: float
 ) -> float:
-    # For how long somebody counted what we weren't told.
+    # How long amounts may have been counted without being received here.
     if held is None:
         return entry.age_seconds
     told_at_seconds = max(held.told_at_seconds, held.changed_at_seconds)
--- a/src/boragefold/policy/rate_line.py
+++ b/src/boragefold/policy/rate_line.py
@@ -1,8 +1,8 @@
-"""The requests of one workspace that wait for tokens, in order of arrival.
+"""FIFO queue of the requests of one workspace that wait for tokens.
 
-Load pattern: small and large requests of one workspace run short together.
-Without one order, small ones take each token that comes in, and a large one
-is overtaken until its caller gives up.
+Load pattern: small and large requests of one workspace run out of tokens
+together. Without a common order, small requests take every token that becomes
+available, and a large one is overtaken until its caller times out.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from boragefold.policy import drain_rate
 from boragefold.policy import work as works
 
-# The stock's callback may be lost with a message.
+# Polls the stock, as its callback is lost if a message is lost.
 ASK_SECONDS = 0.05
 
 
@@ -26,7 +26,7 @@
 
 
 class Line:
-    """First come, first served; exists only while somebody waits."""
+    """A first-in, first-out queue; exists only while a request waits."""
 
     def __init__(self, *, now_seconds: float, ready_in_seconds: float) -> None:
         self._entries: collections.OrderedDict[str, Entry] = (
@@ -43,7 +43,7 @@
         return len(self._entries)
 
     def append(self, entry: Entry) -> None:
-        """Put a request at the end.
+        """Add a request at the end.
 
         :param entry: the request
         """
@@ -51,9 +51,9 @@
         self._tokens += entry.tokens
 
     def remove(self, request_id: str) -> Entry:
-        """Take a request out.
+        """Remove a request.
 
-        :param request_id: a request of this line
+        :param request_id: a request in this queue
         :return: the request
         """
         entry = self._entries.pop(request_id)
@@ -61,14 +61,14 @@
         return entry
 
     def head(self) -> Entry:
-        """Look at the request that is next.
+        """Return the request at the head of the queue.
 
-        :return: the oldest
+        :return: the oldest request
         """
         return next(iter(self._entries.values()))
 
     def overdue(self, *, now_seconds: float) -> list[Entry]:
-        """List those that may wait no longer.
+        """List the requests whose waiting time is over.
 
         :param now_seconds: reading of the process clock
         :return: entries, oldest first
@@ -80,33 +80,33 @@
         ]
 
     def asked(self, *, now_seconds: float, ready_in_seconds: float) -> None:
-        """Note the stock's answer to the head.
+        """Record the stock's answer for the head.
 
         :param now_seconds: reading of the process clock
-        :param ready_in_seconds: when the head's tokens are expected
+        :param ready_in_seconds: seconds until the head's tokens are expected
         """
         self._ready_at_seconds = now_seconds + ready_in_seconds
         self._ask_at_seconds = now_seconds + ASK_SECONDS
 
     def drained(self, tokens: float, *, now_seconds: float) -> None:
-        """Note that the head got its tokens.
+        """Record that the head got its tokens.
 
-        :param tokens: how many
+        :param tokens: the number of tokens
         :param now_seconds: reading of the process clock
         """
         self._drain_rate.add(tokens, now_seconds=now_seconds)
 
     def due_seconds(self) -> float:
-        """Tell when the line has to be looked at.
+        """Return when the queue has to be processed next.
 
         :return: reading of the process clock
         """
         return min(self._ask_at_seconds, self.head().until_seconds)
 
     def wait_seconds(self, tokens: float, *, now_seconds: float) -> float:
-        """Estimate the wait of a request that joins now.
+        """Estimate the wait of a request that is added now.
 
-        :param tokens: of the request
+        :param tokens: the tokens that the request needs
         :param now_seconds: reading of the process clock
         :return: seconds until it would get its tokens
         """
@@ -118,7 +118,7 @@
         measured = self._drain_rate.tokens_per_second(now_seconds=now_seconds)
         if measured is not None:
             return measured
-        # Too few have been served to tell a speed.
+        # Too few requests were served to measure the rate.
         head_seconds = self._ready_at_seconds - self._began_at_seconds
         return self.head().tokens / max(head_seconds, ASK_SECONDS)
 
--- a/src/boragefold/policy/service_rate.py
+++ b/src/boragefold/policy/service_rate.py
@@ -1,23 +1,23 @@
-"""How fast a queue is served, measured while it is limited by room.
+"""Measured service rate of a queue, while its requests wait for capacity.
 
-Load pattern: the demand changes within seconds, and so does what one
-instance gets of the endpoints it shares. A rate measured while the queue is
-empty says how much is asked for, not how much can be served: taken for the
-latter, it makes an idle instance refuse the first requests of a burst.
+Load pattern: the demand changes within seconds, and so does the share of the
+endpoints that one instance gets. A rate measured while the queue is empty is
+the demand, not the capacity: taken as the capacity, it makes an idle instance
+refuse the first requests of a burst.
 """
 
 from __future__ import annotations
 
 import math
 
-# Smooths single requests, yet follows an endpoint that leaves.
+# Smooths out single requests, but follows an endpoint that is removed.
 MEMORY_SECONDS = 4.0
-# With less than this nothing is refused.
+# With a shorter measurement the rate is infinite, so nothing is refused.
 LEAST_BUSY_SECONDS = 0.5
 
 
 class ServiceRate:
-    """The tokens a second that were taken from a queue that had to wait."""
+    """Tokens per second removed from a queue while its requests wait."""
 
     def __init__(self) -> None:
         self._tokens = 0.0
@@ -26,16 +26,16 @@
         self._limited = False
 
     def limited(self, limited: bool, *, now_seconds: float) -> None:
-        """Note whether something waits for room from now on.
+        """Record whether requests wait for capacity from now on.
 
-        :param limited: whether it does
+        :param limited: whether any request waits
         :param now_seconds: reading of the process clock
         """
         self._move(now_seconds)
         self._limited = limited
 
     def taken(self, tokens: float, *, now_seconds: float) -> None:
-        """Note that a request was taken from the queue.
+        """Record that a request was removed from the queue.
 
         :param tokens: what the queue charged for it
         :param now_seconds: reading of the process clock
@@ -45,9 +45,9 @@
             self._tokens += tokens
 
     def tokens_per_second(self) -> float:
-        """Tell the rate.
+        """Return the measured rate.
 
-        :return: infinite while too little was observed
+        :return: tokens per second; infinite while the measurement is too short
         """
         if self._busy_seconds < LEAST_BUSY_SECONDS:
             return math.inf
--- a/src/boragefold/policy/shared_rate.py
+++ b/src/boragefold/policy/shared_rate.py
@@ -1,14 +1,15 @@
-"""A workspace's rate over all instances, with nothing stored.
+"""Token buckets for a workspace's rate over all instances, kept in memory.
 
 Load pattern: one workspace sends many times its rate through all instances
-at once, while the others stay within theirs. A part of the rate for each
-instance refuses what is within it whenever callers are spread unevenly. Here
-each instance tells the others how much it has admitted, and fills one bucket
-with the whole rate: what was admitted anywhere is taken out of all of them.
-What others admitted since their last message is the error.
-
-Where instances can't hear each other, each side goes on with the part of the
-rate that its share of the instances stands for, so that the sum over all
+at once, while the others stay within theirs. A fixed part of the rate for each
+instance would refuse requests within the rate whenever a workspace's callers
+are spread unevenly. Instead, each instance broadcasts how much it has admitted
+and fills one bucket with the whole rate; an amount admitted anywhere is
+removed from the bucket of every instance. The error is what others admitted
+since their last message.
+
+During a network partition, each side fills its buckets only with the part of
+the rate that equals its share of the instances, so that the sum over all
 sides stays the rate.
 """
 
@@ -22,19 +23,19 @@
 
 from boragefold.state import deployment
 
-# The callers of an ended instance are served by the others.
+# After this, the callers of an ended instance use other instances.
 FORGET_SECONDS = 20.0
 MIN_RETRY_AFTER_SECONDS = 0.1
-# The rest is for what others admitted since their last heartbeat, and for
-# buckets that start full.
+# The rest covers what others admitted since their last heartbeat, and buckets
+# that start full.
 TOLERANCE_SHARE = 0.5
 
 
 class Tolerance(NamedTuple):
-    """How far a workspace may exceed its rate without harm.
+    """How far a workspace may exceed its rate.
 
-    In any span of ``window_seconds`` it may be given its rate and burst, a
-    part ``overage`` more, and ``slack`` on top.
+    In any span of ``window_seconds`` it may be admitted its rate and burst,
+    the fraction ``overage`` of that more, and ``slack`` on top.
     """
 
     window_seconds: float = 0.0
@@ -42,13 +43,13 @@
     slack: float = 0.0
 
     def extra(self, workspace: deployment.Workspace) -> float:
-        """Tell what a workspace may be given beyond its rate and burst.
+        """Return how much a workspace may be admitted beyond rate and burst.
 
-        A rate that is kept on the average refuses bursts that the fleet has
-        room for. The tolerance is there for errors of counting; the part of
-        it that they don't need serves callers.
+        A strict average rate refuses bursts for which there is capacity. The
+        tolerance exists for counting errors; the part of it that they don't
+        need is used to admit requests.
 
-        :param workspace: whose
+        :param workspace: the workspace
         :return: tokens or requests
         """
         window = workspace.rate_per_second * self.window_seconds
@@ -58,10 +59,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Bucket:
-    """What a workspace may still be given.
+    """The token bucket of a workspace.
 
-    ``withheld`` is the part of its rate that instances out of reach stood for,
-    until ``withheld_until_seconds``.
+    ``withheld`` is the part of its rate that wasn't filled in because it
+    belonged to unreachable instances, until ``withheld_until_seconds``.
     """
 
     level: float
@@ -71,7 +72,7 @@
 
 
 class SharedRate:
-    """The buckets of all workspaces at one instance."""
+    """The buckets of all workspaces on one instance."""
 
     def __init__(self, *, tolerance: Tolerance | None = None) -> None:
         self.tolerance = tolerance or Tolerance()
@@ -80,22 +81,22 @@
 
     @property
     def admitted(self) -> Mapping[str, float]:
-        """Tell what this instance has admitted since it started.
+        """Return how much this instance has admitted since it started.
 
         :return: tokens or requests, by workspace
         """
         return self._admitted
 
     def level(self, workspace: str) -> float:
-        """Tell what a workspace may still be given.
+        """Return the level of a workspace's bucket.
 
-        :param workspace: which
+        :param workspace: its name
         :return: tokens or requests, as of its last request
         """
         return self._buckets[workspace].level
 
     def take_out(self, amounts: Mapping[str, float]) -> None:
-        """Take out what was admitted elsewhere.
+        """Remove what was admitted elsewhere.
 
         :param amounts: tokens or requests, by workspace
         """
@@ -106,10 +107,10 @@
     def take_out_late(
         self, amounts: Mapping[str, float], *, now_seconds: float
     ) -> None:
-        """Take out what was admitted by instances that were out of reach.
+        """Remove what was admitted by instances that were unreachable.
 
-        They admitted it from their part of the rate, which didn't fill our
-        buckets meanwhile: only what goes beyond that is taken out.
+        They admitted it from their part of the rate, which wasn't filled into
+        the buckets here meanwhile: only the excess over that is removed.
 
         :param amounts: tokens or requests, by workspace
         :param now_seconds: reading of the process clock
@@ -132,19 +133,19 @@
         share: float,
         now_seconds: float,
     ) -> float | None:
-        """Admit a request, or tell when to come back.
+        """Admit a request, or return when to retry.
 
-        :param workspace: whose
-        :param amount: tokens or requests that it counts
-        :param share: part of the rate that the instances within reach stand
-            for, from 0 to 1
+        :param workspace: the workspace of the request
+        :param amount: tokens or requests to charge
+        :param share: fraction of the rate that belongs to the reachable
+            instances, from 0 to 1
         :param now_seconds: reading of the process clock
-        :return: None when it is admitted, else seconds until it would be
+        :return: None if it is admitted, else seconds until it would be
         """
         if workspace.rate_per_second <= 0:
             return None
         bucket = self._fill(workspace, share, now_seconds)
-        # A request larger than the whole burst is admitted by a full bucket.
+        # A request larger than the burst is admitted when the bucket is full.
         need = min(amount, workspace.burst)
         need -= self.tolerance.extra(workspace)
         if bucket.level < need:
@@ -156,10 +157,10 @@
         return None
 
     def give_back(self, workspace: str, amount: float) -> None:
-        """Return what was admitted and never ran.
+        """Return the amount of an admitted request that never ran.
 
-        :param workspace: whose
-        :param amount: as admitted
+        :param workspace: its name
+        :param amount: the amount that was admitted
         """
         if (bucket := self._buckets.get(workspace)) is not None:
             bucket.level += amount
@@ -198,11 +199,11 @@
 def share_of(
     heard_ages_seconds: Iterable[float], silent_seconds: float
 ) -> float:
-    """Work out the part of a rate that the instances within reach stand for.
+    """Compute the fraction of a rate that belongs to reachable instances.
 
-    :param heard_ages_seconds: how long ago each known peer was heard
-    :param silent_seconds: from when on a peer counts as out of reach
-    :return: 1 when all are within reach
+    :param heard_ages_seconds: seconds since each known peer was heard
+    :param silent_seconds: age from which a peer counts as unreachable
+    :return: 1 when all peers are reachable
     """
     ages = [age for age in heard_ages_seconds if age <= FORGET_SECONDS]
     reached = 1 + sum(age <= silent_seconds for age in ages)
--- a/src/boragefold/policy/virtual_counter.py
+++ b/src/boragefold/policy/virtual_counter.py
@@ -1,25 +1,26 @@
-"""How much service each workspace has received, for fair order.
+"""Virtual time counters of each workspace's service, for fair queueing.
 
-Load pattern: some workspaces always have work waiting, others come and go.
-Without a common virtual time, a workspace that returns after an idle hour
-would be served alone until it had caught up with that hour.
+Load pattern: some workspaces always have requests queued, others only at
+times. Without a common virtual time, a workspace that returns after an idle
+hour would be served alone until it had caught up with that hour.
 
 This is start-time fair queueing: the workspace with the smallest counter is
-served, and the virtual time is the counter of the one served last.
+served next, and the virtual time is the counter of the one served last.
 """
 
 from __future__ import annotations
 
 import dataclasses
 
-# How far a workspace that waited may catch up without starving others.
+# How far a workspace that waited may catch up without starving the others, in
+# units of the largest charge.
 MAX_LAG_CHARGES = 2
 MIN_SWEEP_LENGTH = 64
 
 
 @dataclasses.dataclass(kw_only=True)
 class Account:
-    """The service of one workspace."""
+    """The service received by one workspace."""
 
     counter: float = 0.0
     correction: float = 0.0
@@ -27,7 +28,7 @@
 
 
 class VirtualCounter:
-    """Counters that only rise, compared with a common virtual time."""
+    """Monotonic counters, compared with a common virtual time."""
 
     def __init__(self) -> None:
         self._accounts: dict[str, Account] = {}
@@ -40,7 +41,7 @@
         return len(self._accounts)
 
     def join(self, workspace: str) -> None:
-        """Note that a workspace has work waiting, after it had none.
+        """Record that a workspace has work queued after it had none.
 
         :param workspace: the workspace
         """
@@ -53,17 +54,17 @@
         account.active = True
 
     def leave(self, workspace: str) -> None:
-        """Note that a workspace has no work waiting any more.
+        """Record that a workspace has no work queued any more.
 
         :param workspace: one that joined
         """
         self._accounts[workspace].active = False
 
     def value(self, workspace: str) -> float:
-        """Read the counter of a workspace; the smallest is served next.
+        """Return the counter of a workspace; the smallest is served next.
 
         :param workspace: one that joined
-        :return: its counter, which never falls
+        :return: its counter, which never decreases
         """
         account = self._accounts[workspace]
         if account.counter < self._least:
@@ -71,10 +72,10 @@
         return account.counter
 
     def charge(self, workspace: str, amount: float) -> None:
-        """Count service.
+        """Add service to a workspace's counter.
 
         :param workspace: one that joined
-        :param amount: tokens or seconds
+        :param amount: tokens or seconds of service
         """
         account = self._accounts[workspace]
         self._largest_charge = max(self._largest_charge, amount)
@@ -86,12 +87,12 @@
         account.counter += max(due, 0.0)
 
     def correct(self, workspace: str, amount: float) -> None:
-        """Change the next charge, where the last one was an estimate.
+        """Adjust the next charge, as the last one was an estimate.
 
-        Counters must not fall: heaps that are ordered by them would break.
+        The counter itself must not decrease: heaps ordered by it would break.
 
-        :param workspace: the workspace; one forgotten meanwhile is ignored
-        :param amount: real service less what was charged
+        :param workspace: the workspace; ignored if it was removed meanwhile
+        :param amount: actual service minus the charged amount
         """
         account = self._accounts.get(workspace)
         if account is not None:
@@ -100,7 +101,8 @@
     def _sweep(self) -> None:
         if len(self._accounts) < self._sweep_length:
             return
-        # An idle workspace would rejoin at the virtual time anyway.
+        # Removed without effect: an idle workspace whose counter is behind
+        # rejoins at the virtual time.
         self._accounts = {
             workspace: account
             for workspace, account in self._accounts.items()
