--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -60,14 +60,14 @@
 
 
 def test_a_request_larger_than_the_burst_is_told_so() -> None:
-    # A caller asks for more tokens than its bucket ever holds. Told to come
-    # back later, it would come back for ever.
+    # Guards against a caller that is told to retry although its request needs
+    # more tokens than its bucket ever holds: it would retry for ever.
     decisions, bucket = build(rate=1000, burst=1000)
     outcome = decisions.offer(workloads.work(tokens=1001), now_seconds=0.0)
     assert isinstance(outcome, refusal.Refused)
     assert (outcome.status, outcome.reason) == (413, "larger_than_burst")
     assert outcome.retry_after_seconds is None
-    # The same while others wait.
+    # The same while other requests wait.
     empty(bucket)
     decisions.offer(workloads.work(tokens=10), now_seconds=0.0)
     outcome = decisions.offer(workloads.work(tokens=1001), now_seconds=0.0)
@@ -76,9 +76,9 @@
 
 
 def test_small_requests_dont_overtake_a_large_one() -> None:
-    # A large request waits for its tokens while small ones keep coming. Each
-    # small one fits the tokens that are there; served at once, they would
-    # take them all, and the large one would be refused in the end.
+    # Guards against starvation of a large request that waits while small ones
+    # keep coming: each small one fits the available tokens; admitted at once,
+    # they would use them all, and the large one would be refused.
     decisions, bucket = build(rate=1000, burst=1000)
     empty(bucket)
     large = workloads.work(tokens=600)
@@ -113,8 +113,8 @@
 
 
 def test_nobody_is_held_who_cant_be_served_in_time() -> None:
-    # The holder of the rate goes away: nothing is refilled. Requests that
-    # wait must hear so within the limit, each with a time to come back.
+    # Guards against requests that wait until their limit for tokens that
+    # can't come, as the holder of the rate is gone and nothing is refilled.
     decisions, bucket = build(rate=1000, burst=1000)
     empty(bucket)
     for _number in range(5):
@@ -140,8 +140,9 @@
 def test_each_request_gets_one_outcome_and_no_token_is_lost(
     steps: list[tuple[str, int, float, bool]],
 ) -> None:
-    # Whatever arrives, waits and hangs up: one outcome each, in order of
-    # arrival within a workspace, and every reservation is in an outcome.
+    # For any sequence of arrivals, waits and disconnects: one outcome for each
+    # request, in order of arrival within a workspace, and no reservation
+    # outside an outcome.
     decisions, bucket = build(rate=500, burst=1000)
     outcomes: collections.Counter[str] = collections.Counter()
     reserved: list[stock.Reservation] = []
@@ -184,8 +185,8 @@
 
 
 def test_without_a_holder_nobody_is_told_that_the_rate_is_exceeded() -> None:
-    # The instance has lost its lease and can ask nobody for tokens. Callers
-    # who are well inside their rate must not be sent away for exceeding it.
+    # Guards against callers within their rate that are refused for exceeding
+    # it, when the instance has lost its lease and nobody grants tokens.
     class Unheld(workloads.BucketStock):
         def reserve(self, *, workspace, tokens):
             return stock.Shortfall(ready_in_seconds=60.0, no_holder=True)
--- a/tests/policy/test_heard_totals.py
+++ b/tests/policy/test_heard_totals.py
@@ -1,4 +1,4 @@
-"""What is taken out of buckets when totals are heard."""
+"""Tests what is removed from the buckets when totals are received."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Rate:
-    """Notes what is taken out, in time and late."""
+    """Records what is removed, in time and late."""
 
     def __init__(self):
         self.in_time = 0.0
@@ -51,12 +51,12 @@
 
 
 def test_what_another_hub_once_learned_late_isnt_late_now(heard, rate) -> None:
-    # A new counter tells all that it ever learned late.
+    # A new hub sends everything that it ever received late.
     take(heard, 130.0, late=5_000.0)
     assert (rate.in_time, rate.late) == (0.0, 30.0)
 
 
 def test_all_is_late_for_who_heard_nothing(heard, rate) -> None:
-    # An instance that was cut off alone had a part of the rate withheld, too.
+    # An isolated instance also had a part of the rate withheld.
     take(heard, 130.0, now_seconds=rate_ledger.LOST_SECONDS + 0.1)
     assert (rate.in_time, rate.late) == (0.0, 30.0)
--- a/tests/policy/test_rate_accounts.py
+++ b/tests/policy/test_rate_accounts.py
@@ -1,4 +1,4 @@
-"""What was admitted stands in one entry, whoever counts it."""
+"""Tests that each admitted amount is counted once, whichever hub counts it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from boragefold.state import deployment
 
 FULL_TOKENS = 1e9
-# Nothing is refused and nothing is filled: a bucket's level tells the sum.
+# Nothing is refused or refilled: a bucket's level shows the sum removed.
 WORKSPACE = deployment.Workspace(
     name="press",
     keys=frozenset({"k"}),
@@ -23,16 +23,16 @@
     plain_tokens=1.0,
 )
 BEAT_SECONDS = 0.5
-# Of others' comings and goings a hub tells at once, with its totals.
+# A hub sends its totals at once when instances start or end.
 NEWS_SECONDS = 0.05
-# An instance that is silent for longer counts with nobody's rate.
+# An instance silent for longer no longer counts for anyone's share.
 LONG_SECONDS = shared_rate.FORGET_SECONDS + 1.0
 HUBS = ("hub-a", "hub-b")
 OTHERS = ("one", "two", "three")
 
 
 class Instance:
-    """One instance and what it believes was admitted by all."""
+    """One instance, and how much it computes that all have admitted."""
 
     def __init__(self, name):
         self.name = name
@@ -44,12 +44,12 @@
 
     def believed(self):
         level = self.rate.level(WORKSPACE.name)
-        # Even the smallest rate fills a bucket over minutes.
+        # Even the lowest rate refills a bucket a little over minutes.
         return round(FULL_TOKENS - level - self.begun, 3)
 
 
 class Fleet:
-    """Two hubs and some others; their messages take no time."""
+    """Two hubs and some other instances, with instant message delivery."""
 
     def __init__(self):
         self.now_seconds = 0.0
@@ -68,7 +68,7 @@
         self.level_out()
 
     def begin(self):
-        """Count from here on."""
+        """Reset the computed amounts of all instances to 0."""
         for instance in self.instances.values():
             instance.begun += instance.believed()
 
@@ -110,7 +110,7 @@
         return (one in self.cut_off) == (other in self.cut_off)
 
     def give(self, name):
-        """Compose an account, which may be lost on its way."""
+        """Create a report, which the caller may drop."""
         hub = self.instances.get(self.chosen[name])
         totals = hub and self.totals(hub.name)
         if totals is None:
@@ -168,7 +168,7 @@
                 self.hear_totals(name, hub, totals)
 
     def beat(self):
-        """Let everyone tell what it has, once."""
+        """Let every instance send its messages once."""
         self.now_seconds += BEAT_SECONDS
         for name in sorted(self.instances.keys() - set(self.hubs)):
             self.tell_account(name)
@@ -196,7 +196,7 @@
 
 
 def test_the_first_word_of_a_workspace_is_counted() -> None:
-    # Guards against a sum that begins where it was told first.
+    # Guards against a first amount that is only taken as a baseline.
     fleet = Fleet()
     for name in sorted(fleet.instances):
         fleet.admit(name, 1.0)
@@ -204,7 +204,8 @@
 
 
 def test_a_fresh_instance_isnt_charged_for_what_was_admitted_before() -> None:
-    # Guards against a start with a debt of all that the fleet ever admitted.
+    # Guards against a new instance that removes all amounts ever admitted by
+    # the fleet from its buckets.
     fleet = Fleet()
     fleet.admit("one", 1_000.0)
     fleet.level_out()
@@ -215,7 +216,7 @@
 
 
 def test_who_returns_to_a_counter_loses_nothing() -> None:
-    # Guards against a new account that passes for the former one there.
+    # Guards against a report after a return that is taken for an earlier one.
     fleet = Fleet()
     for counter in (HUBS[1], HUBS[0], HUBS[1]):
         fleet.admit("one", 10.0)
@@ -226,7 +227,7 @@
 
 
 def test_who_returns_to_a_counter_after_long_loses_nothing() -> None:
-    # Guards against an account that is forgotten here and known there.
+    # Guards against amounts in an entry that their giver has forgotten.
     fleet = Fleet()
     fleet.admit("one", 10.0)
     fleet.level_out()
@@ -239,8 +240,8 @@
 
 
 def test_who_is_a_hub_again_counts_nothing_twice() -> None:
-    # Guards against an entry that goes on from its last time as a hub with
-    # what was given to others meanwhile.
+    # Guards against a hub that continues its former entry, whose amounts were
+    # reported to other hubs meanwhile.
     fleet = Fleet()
     fleet.add_hub("one")
     fleet.level_out()
@@ -255,8 +256,8 @@
 
 
 def test_what_a_hub_counted_and_didnt_tell_is_given_to_the_next() -> None:
-    # Guards against an entry whose last version only its writer knew, which
-    # was a hub no longer, and then one again.
+    # Guards against amounts lost with the last version of an entry that was
+    # never sent, when its hub stops being one and becomes one again.
     fleet = Fleet()
     fleet.add_hub("one")
     fleet.level_out()
@@ -273,8 +274,8 @@
 
 
 def test_what_a_hub_heard_isnt_heard_again_when_it_is_none() -> None:
-    # Guards against the next counter's total that goes on from before the
-    # time as a hub, over what was heard of and counted as one.
+    # Guards against totals compared with those from before the time as a hub:
+    # what was removed from the buckets meanwhile would be removed twice.
     fleet = Fleet()
     fleet.add_hub("one")
     fleet.admit("one", 1.0)
@@ -294,8 +295,8 @@
 
 
 def test_who_stood_in_for_a_hub_learns_what_it_missed() -> None:
-    # Guards against totals that begin anew after a time as a hub: what the
-    # others admitted before it was told entries would be forgotten.
+    # Guards against a new baseline after a time as a hub: amounts admitted
+    # before it received the other entries would never be removed.
     fleet = Fleet()
     fleet.admit("two", 10.0)
     for name in ("two", "three"):
@@ -312,7 +313,7 @@
 
 
 def test_what_a_lost_counter_never_got_is_given_to_the_next() -> None:
-    # Guards against an account that was sent and passes for one that arrived.
+    # Guards against a lost report that is taken for a delivered one.
     fleet = Fleet()
     fleet.admit("one", 10.0)
     fleet.give("one")
@@ -322,7 +323,7 @@
 
 
 def test_what_a_lost_counter_had_told_nobody_is_given_to_the_next() -> None:
-    # Guards against amounts that end with the hub which confirmed them.
+    # Guards against amounts that are lost with the hub that confirmed them.
     fleet = Fleet()
     fleet.admit("one", 10.0)
     fleet.tell_account("one")
@@ -333,8 +334,8 @@
 
 
 def test_what_a_lost_counter_told_hubs_alone_isnt_counted_twice() -> None:
-    # Guards against amounts given to the next hub because their giver was
-    # never told that the former one had them.
+    # Guards against amounts that are reported again to the next hub, as the
+    # lost one never confirmed them to their giver.
     fleet = Fleet()
     fleet.admit("one", 10.0)
     fleet.tell_account("one")
@@ -345,7 +346,8 @@
 
 
 def test_the_last_word_of_a_lost_hub_reaches_all_hubs() -> None:
-    # Guards against totals that differ for good where only one heard it.
+    # Guards against permanently different totals if only one hub received the
+    # lost hub's last version.
     fleet = Fleet()
     fleet.add_hub("hub-c")
     fleet.level_out()
@@ -357,8 +359,8 @@
 
 
 def test_totals_that_cross_an_account_dont_confirm_it() -> None:
-    # Guards against an account that is taken for counted by a total that the
-    # counter composed before it came, and that is lost with the counter.
+    # Guards against a report taken for counted because of totals that the hub
+    # created before it arrived; the report is lost with the hub.
     fleet = Fleet()
     totals = fleet.totals(HUBS[0])
     fleet.admit("one", 10.0)
@@ -370,7 +372,8 @@
 
 
 def test_who_changes_the_counter_misses_nothing_meanwhile() -> None:
-    # Guards against a new counter's totals that begin when it is chosen.
+    # Guards against a baseline set when the new hub is chosen, which misses
+    # what was admitted just before.
     fleet = Fleet()
     fleet.chosen["two"] = HUBS[1]
     fleet.level_out()
@@ -382,8 +385,8 @@
 
 
 def test_news_while_a_counter_is_silent_makes_nobody_forget() -> None:
-    # Guards against totals of the next counter that come so often that where
-    # they stood when the former was heard is no longer known.
+    # Guards against frequent totals of the next hub that displace those which
+    # the last totals of the former one have to be compared with.
     fleet = Fleet()
     fleet.chosen["two"] = HUBS[1]
     fleet.level_out()
@@ -398,7 +401,7 @@
 
 
 def test_a_hub_that_began_later_changes_no_sum() -> None:
-    # Guards against totals of different beginnings that are taken for one.
+    # Guards against totals that depend on when their hub started.
     fleet = Fleet()
     fleet.admit("one", 100.0)
     fleet.level_out()
@@ -411,7 +414,7 @@
 
 
 def test_a_late_account_takes_nothing_back() -> None:
-    # Guards against an account that arrives behind the next one.
+    # Guards against a report that is overtaken by the next one.
     fleet = Fleet()
     fleet.admit("one", 10.0)
     late = fleet.give("one")
@@ -426,8 +429,8 @@
 def test_the_last_word_of_an_instance_that_ended_counts_nothing_twice() -> (
     None
 ):
-    # Guards against an account that was held up by a cut: all that its giver
-    # ever gave would be taken out of everybody's buckets once more.
+    # Guards against a report delayed by a network partition: everything its
+    # giver ever reported would be removed from all buckets once more.
     fleet = Fleet()
     fleet.admit("one", 10.0)
     fleet.level_out()
@@ -440,7 +443,7 @@
 
 
 def test_what_is_given_back_is_given_back_everywhere() -> None:
-    # Guards against sums that can only rise, over a change of hubs, too.
+    # Guards against sums that can't decrease, also after a change of hubs.
     fleet = Fleet()
     fleet.admit("one", 10.0)
     fleet.level_out()
@@ -451,7 +454,8 @@
 
 
 def test_a_short_cut_hides_nothing() -> None:
-    # Guards against entries of a side that stay as they were before the cut.
+    # Guards against entries of the other side that stay outdated after a
+    # network partition.
     fleet = Fleet()
     fleet.chosen["two"] = HUBS[1]
     fleet.level_out()
@@ -464,8 +468,8 @@
 
 
 def test_only_what_was_learned_late_is_paid_from_what_was_withheld() -> None:
-    # Guards against a part of the rate that is given twice: what this side
-    # admitted in the cut isn't what the other one's part was withheld for.
+    # Guards against a part of the rate that is admitted twice: the withheld
+    # part covers what the other side admitted in the partition, not this one.
     fleet = Fleet()
     fleet.chosen["two"] = HUBS[1]
     fleet.level_out()
@@ -492,8 +496,8 @@
 
 
 def test_who_went_on_alone_for_long_owes_nothing() -> None:
-    # Guards against a debt of all that the other side of a long cut admitted
-    # with the whole rate: its callers would be refused for as long again.
+    # Guards against removing all that the other side of a long partition
+    # admitted at the whole rate: callers would be refused for as long again.
     fleet = Fleet()
     fleet.chosen["two"] = HUBS[1]
     fleet.level_out()
@@ -515,7 +519,7 @@
 
 
 def test_of_two_eras_the_greater_goes_on() -> None:
-    # Guards against histories of fleets that never met which are added up.
+    # Guards against adding up the sums of fleets that were never connected.
     fleet = Fleet()
     fleet.admit("one", 100.0)
     fleet.level_out()
@@ -536,7 +540,7 @@
 
 
 def test_entries_of_hubs_that_ended_long_ago_still_count() -> None:
-    # Guards against totals that fall when what is old is dropped.
+    # Guards against totals that decrease when old entries are dropped.
     fleet = Fleet()
     fleet.admit(HUBS[0], 10.0)
     fleet.level_out()
@@ -560,7 +564,7 @@
 
 
 def test_a_hub_that_knows_nobodys_entries_tells_no_totals() -> None:
-    # Guards against totals that fall to what one hub has counted itself.
+    # Guards against totals that contain only what one hub has counted itself.
     fleet = Fleet()
     fleet.admit("one", 10.0)
     fleet.level_out()
@@ -574,7 +578,8 @@
 
 
 def test_a_lesser_era_adds_nothing_to_the_greater() -> None:
-    # Guards against the entry of whoever tells before it hears of the other.
+    # Guards against an entry sent by a hub before it learns of the greater
+    # era.
     fleet = Fleet()
     fleet.start("lone")
     fleet.begin_counting("lone")
@@ -590,8 +595,8 @@
 
 
 def test_all_hubs_are_in_the_era_of_those_that_met_again() -> None:
-    # Guards against totals that are told as following others though they
-    # don't, by a hub that had heard both sides all the time.
+    # Guards against totals that are compared across a reunion, sent by a hub
+    # that was connected to both sides of the partition all the time.
     fleet = Fleet()
     told = fleet.instances[HUBS[0]].accounts.told_entry(
         now_seconds=fleet.now_seconds
@@ -604,7 +609,7 @@
 
 
 def test_an_account_for_a_former_entry_isnt_counted() -> None:
-    # Guards against what a hub is given for an entry that it writes no more.
+    # Guards against counting a report for an entry that its hub has replaced.
     fleet = Fleet()
     fleet.admit("one", 10.0)
     late = fleet.give("one")
@@ -619,7 +624,7 @@
 
 
 def test_a_hub_that_missed_a_version_asks_for_it() -> None:
-    # Guards against an entry that stands still since one was lost.
+    # Guards against an entry that stays outdated after a lost message.
     fleet = Fleet()
     accounts = fleet.instances[HUBS[0]].accounts
     told = accounts.told_entry(now_seconds=fleet.now_seconds)
@@ -632,8 +637,8 @@
 
 
 def test_a_hub_that_missed_givers_asks_who_they_are() -> None:
-    # Guards against accounts that pass for lost because their giver isn't
-    # known by its index.
+    # Guards against reports taken for lost because the index of their giver
+    # is unknown.
     fleet = Fleet()
     fleet.admit("one", 10.0)
     fleet.tell_account("one")
@@ -669,7 +674,7 @@
 
 
 def test_who_missed_the_first_whole_totals_says_so() -> None:
-    # Guards against an instance that never takes out what others admit.
+    # Guards against an instance that never removes what others admit.
     fleet = Fleet()
     fleet.start("late")
     fleet.hear_totals("late", HUBS[0], fleet.totals(HUBS[0]))
@@ -683,7 +688,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_any_course_of_events_counts_all_once(seed) -> None:
-    # Guards against whatever order of losses, changes and messages.
+    # Guards against any order of hub losses, hub changes and messages.
     fleet = Fleet()
     chance = random.Random(seed)
     spare = iter(f"hub-{number}" for number in range(20))
--- a/tests/policy/test_service_rate.py
+++ b/tests/policy/test_service_rate.py
@@ -8,8 +8,8 @@
 
 
 def test_an_idle_queue_says_nothing_of_the_rate() -> None:
-    # Ten requests a minute pass through an idle instance, then a burst comes.
-    # With ten a minute taken for what can be served, the burst is refused.
+    # Guards against a burst that is refused after a time of little load: the
+    # demand of an idle instance would be taken for its capacity.
     rate = service_rate.ServiceRate()
     for second in range(60):
         rate.taken(100.0, now_seconds=float(second))
--- a/tests/policy/test_shared_rate.py
+++ b/tests/policy/test_shared_rate.py
@@ -23,7 +23,7 @@
 
 
 class Instances:
-    """Some instances that tell each other what they admitted."""
+    """Several instances that send each other what they admitted."""
 
     def __init__(self, count, *, tolerance=None, seed=1):
         self.rates = [
@@ -80,8 +80,9 @@
 
 
 def test_uneven_callers_inside_the_rate_are_never_refused() -> None:
-    # All callers of a workspace come through one of seven instances. A part
-    # of the rate for each instance would refuse six of seven requests.
+    # Guards against a fixed part of the rate for each instance: with all
+    # callers of a workspace at one of seven instances, six of seven requests
+    # would be refused.
     fleet = Instances(7)
     for number in range(2_000):
         fleet.step()
@@ -91,8 +92,8 @@
 
 
 def test_a_hot_workspace_gets_its_rate_over_all_instances() -> None:
-    # One workspace sends ten times its rate through all instances. Over any
-    # eight seconds it may get its rate and burst, and a quarter on top.
+    # One workspace sends ten times its rate through all instances. In any
+    # eight seconds it may get at most its rate and burst plus a quarter.
     fleet = Instances(7)
     for _ in range(3_000):
         fleet.step()
@@ -102,8 +103,8 @@
 
 
 def test_a_cut_doesnt_double_the_rate() -> None:
-    # The data centres lose each other while a workspace sends far too much
-    # everywhere. Each side must go on with its part, not with the whole rate.
+    # Guards against a network partition in which each data centre admits the
+    # whole rate of an overloading workspace instead of its part.
     fleet = Instances(6)
     for number in range(3_000):
         if number == 1_000:
@@ -115,7 +116,7 @@
 
 def test_the_tolerance_serves_a_burst() -> None:
     # Three requests of half the burst at once: the rate alone refuses one,
-    # though the deployment tolerates it.
+    # although the tolerance allows it.
     tolerance = shared_rate.Tolerance(
         window_seconds=8.0, overage=0.25, slack=0.0
     )
@@ -145,7 +146,7 @@
 
 
 def cut_for(rate, seconds):
-    # Half of the rate fills the bucket meanwhile.
+    # The bucket is filled with half of the rate meanwhile.
     rate.admit(workspace(), 1_000.0, share=1.0, now_seconds=0.0)
     rate.admit(workspace(), 0.0, share=0.5, now_seconds=seconds)
 
@@ -160,7 +161,7 @@
 
 
 def test_what_was_withheld_long_ago_pays_for_nothing() -> None:
-    # The silent ones had ended, and others were cut off later.
+    # The unreachable instances had ended; others were cut off later.
     rate = shared_rate.SharedRate()
     cut_for(rate, 1.0)
     late_seconds = 1.5 + shared_rate.FORGET_SECONDS
