--- a/src/boragefold/policy/admission.py
+++ b/src/boragefold/policy/admission.py
@@ -20,7 +20,7 @@
 # Long enough for another data centre to grant tokens.
 MAX_WAIT_SECONDS = 1.0
 # The rest of the caller's timeout is left for queueing and the endpoint.
-PATIENCE_SHARE = 0.25
+MAX_WAIT_SHARE = 0.25
 # A caller that retries sooner would be refused again.
 MIN_RETRY_AFTER_SECONDS = 0.1
 
@@ -56,8 +56,8 @@
     ) -> None:
         self._stock = stock
         self._counters = counters
-        self._lines: dict[str, rate_line.Line] = {}
-        self._workspace_of: dict[str, str] = {}
+        self._queues: dict[str, rate_line.Line] = {}
+        self._workspace_by_request: dict[str, str] = {}
         self._without_holder: set[str] = set()
 
     def offer(
@@ -69,21 +69,23 @@
         :param now_seconds: reading of the process clock
         :return: admitted with its reservation, waiting, or refused
         """
-        line = self._lines.get(work.workspace)
-        if line is not None:
-            return self._join(line, work, now_seconds)
-        got = self._reserve(work)
-        if isinstance(got, stocks.Reservation):
-            return Admitted(reservation=got)
-        if got.ready_in_seconds is None:
+        queue = self._queues.get(work.workspace)
+        if queue is not None:
+            return self._offer_behind(queue, work, now_seconds)
+        result = self._reserve(work)
+        if isinstance(result, stocks.Reservation):
+            return Admitted(reservation=result)
+        if result.ready_in_seconds is None:
             return self._too_large()
-        if got.ready_in_seconds > _bound_seconds(work, now_seconds):
-            return self._short(work.workspace, got.ready_in_seconds)
-        line = rate_line.Line(
-            now_seconds=now_seconds, ready_in_seconds=got.ready_in_seconds
+        if result.ready_in_seconds > _max_wait_seconds(work, now_seconds):
+            return self._refuse_for_now(
+                work.workspace, result.ready_in_seconds
+            )
+        queue = rate_line.Line(
+            now_seconds=now_seconds, ready_in_seconds=result.ready_in_seconds
         )
-        self._lines[work.workspace] = line
-        return self._append(line, work, now_seconds)
+        self._queues[work.workspace] = queue
+        return self._enqueue(queue, work, now_seconds)
 
     def advance(
         self, *, now_seconds: float, workspace: str | None = None
@@ -97,16 +99,16 @@
         :return: the requests that no longer wait
         """
         if workspace is not None:
-            return self._drain(workspace, now_seconds)
+            return self._admit_waiting(workspace, now_seconds)
         due = [
             name
-            for name, line in self._lines.items()
-            if line.due_seconds() <= now_seconds
+            for name, queue in self._queues.items()
+            if queue.due_seconds() <= now_seconds
         ]
         return [
             decided
             for name in due
-            for decided in self._drain(name, now_seconds)
+            for decided in self._admit_waiting(name, now_seconds)
         ]
 
     def next_due_seconds(self) -> float | None:
@@ -115,7 +117,7 @@
         :return: reading of the process clock, or None when no request waits
         """
         return min(
-            (line.due_seconds() for line in self._lines.values()),
+            (queue.due_seconds() for queue in self._queues.values()),
             default=None,
         )
 
@@ -125,108 +127,114 @@
         :param request_id: the request
         :return: the request, or None if it isn't waiting
         """
-        workspace = self._workspace_of.get(request_id)
+        workspace = self._workspace_by_request.get(request_id)
         if workspace is None:
             return None
         return self._remove(workspace, request_id).work
 
-    def _join(
-        self, line: rate_line.Line, work: works.Work, now_seconds: float
+    def _offer_behind(
+        self, queue: rate_line.Line, work: works.Work, now_seconds: float
     ) -> Waiting | refusal.Refused:
         # Queue behind waiting requests even when the tokens suffice: small
         # requests would otherwise take the tokens that a large one waits for.
         tokens = works.tokens_of(work)
-        wait_seconds = line.wait_seconds(tokens, now_seconds=now_seconds)
-        if wait_seconds <= _bound_seconds(work, now_seconds):
-            return self._append(line, work, now_seconds)
-        if tokens > line.head().tokens and self._never_fits(work):
+        wait_seconds = queue.wait_seconds(tokens, now_seconds=now_seconds)
+        if wait_seconds <= _max_wait_seconds(work, now_seconds):
+            return self._enqueue(queue, work, now_seconds)
+        if tokens > queue.head().tokens and self._never_fits(work):
             return self._too_large()
-        return self._short(work.workspace, wait_seconds)
+        return self._refuse_for_now(work.workspace, wait_seconds)
 
     def _never_fits(self, work: works.Work) -> bool:
-        got = self._reserve(work)
-        if isinstance(got, stocks.Reservation):
-            self._stock.settle(got, used_tokens=0)
+        result = self._reserve(work)
+        if isinstance(result, stocks.Reservation):
+            self._stock.settle(result, used_tokens=0)
             return False
-        return got.ready_in_seconds is None
+        return result.ready_in_seconds is None
 
-    def _drain(self, workspace: str, now_seconds: float) -> list[Decided]:
-        decided = self._expire(workspace, now_seconds)
-        while (line := self._lines.get(workspace)) is not None:
-            outcome = self._ask_for_head(line, now_seconds)
+    def _admit_waiting(
+        self, workspace: str, now_seconds: float
+    ) -> list[Decided]:
+        decided = self._refuse_overdue(workspace, now_seconds)
+        while (queue := self._queues.get(workspace)) is not None:
+            outcome = self._reserve_for_head(queue, now_seconds)
             if outcome is None:
                 break
             decided.append(outcome)
         return decided
 
-    def _ask_for_head(
-        self, line: rate_line.Line, now_seconds: float
+    def _reserve_for_head(
+        self, queue: rate_line.Line, now_seconds: float
     ) -> Decided | None:
-        entry = line.head()
-        got = self._reserve(entry.work)
-        if isinstance(got, stocks.Reservation):
-            line.drained(entry.tokens, now_seconds=now_seconds)
+        entry = queue.head()
+        result = self._reserve(entry.work)
+        if isinstance(result, stocks.Reservation):
+            queue.drained(entry.tokens, now_seconds=now_seconds)
             self._remove(entry.work.workspace, entry.work.request_id)
             self._counters.add("requests_waited", "rate")
-            return Decided(entry.work, Admitted(reservation=got))
-        ready_in_seconds = got.ready_in_seconds
+            return Decided(entry.work, Admitted(reservation=result))
+        ready_in_seconds = result.ready_in_seconds
         if ready_in_seconds is None:
             self._remove(entry.work.workspace, entry.work.request_id)
             return Decided(entry.work, self._too_large())
-        line.asked(now_seconds=now_seconds, ready_in_seconds=ready_in_seconds)
+        queue.asked(now_seconds=now_seconds, ready_in_seconds=ready_in_seconds)
         if now_seconds + ready_in_seconds > entry.until_seconds:
             # The tokens can't be available before its time limit.
             return self._refuse(entry, ready_in_seconds)
         return None
 
-    def _expire(self, workspace: str, now_seconds: float) -> list[Decided]:
-        line = self._lines.get(workspace)
-        if line is None:
+    def _refuse_overdue(
+        self, workspace: str, now_seconds: float
+    ) -> list[Decided]:
+        queue = self._queues.get(workspace)
+        if queue is None:
             return []
         return [
             self._refuse(
                 entry,
-                line.wait_seconds(entry.tokens, now_seconds=now_seconds),
+                queue.wait_seconds(entry.tokens, now_seconds=now_seconds),
             )
-            for entry in line.overdue(now_seconds=now_seconds)
+            for entry in queue.overdue(now_seconds=now_seconds)
         ]
 
     def _refuse(self, entry: rate_line.Entry, wait_seconds: float) -> Decided:
         self._remove(entry.work.workspace, entry.work.request_id)
-        refused = self._short(entry.work.workspace, wait_seconds)
+        refused = self._refuse_for_now(entry.work.workspace, wait_seconds)
         return Decided(entry.work, refused)
 
-    def _append(
-        self, line: rate_line.Line, work: works.Work, now_seconds: float
+    def _enqueue(
+        self, queue: rate_line.Line, work: works.Work, now_seconds: float
     ) -> Waiting:
-        until_seconds = now_seconds + _bound_seconds(work, now_seconds)
-        line.append(
+        until_seconds = now_seconds + _max_wait_seconds(work, now_seconds)
+        queue.append(
             rate_line.Entry(work, works.tokens_of(work), until_seconds)
         )
-        self._workspace_of[work.request_id] = work.workspace
+        self._workspace_by_request[work.request_id] = work.workspace
         return Waiting(until_seconds=until_seconds)
 
     def _remove(self, workspace: str, request_id: str) -> rate_line.Entry:
-        line = self._lines[workspace]
-        entry = line.remove(request_id)
-        del self._workspace_of[request_id]
-        if not line:
-            del self._lines[workspace]
+        queue = self._queues[workspace]
+        entry = queue.remove(request_id)
+        del self._workspace_by_request[request_id]
+        if not queue:
+            del self._queues[workspace]
         return entry
 
     def _reserve(
         self, work: works.Work
     ) -> stocks.Reservation | stocks.Shortfall:
-        got = self._stock.reserve(
+        result = self._stock.reserve(
             workspace=work.workspace, tokens=works.tokens_of(work)
         )
-        if isinstance(got, stocks.Shortfall) and got.no_holder:
+        if isinstance(result, stocks.Shortfall) and result.no_holder:
             self._without_holder.add(work.workspace)
         else:
             self._without_holder.discard(work.workspace)
-        return got
+        return result
 
-    def _short(self, workspace: str, wait_seconds: float) -> refusal.Refused:
+    def _refuse_for_now(
+        self, workspace: str, wait_seconds: float
+    ) -> refusal.Refused:
         if workspace in self._without_holder:
             return self._no_holder(wait_seconds)
         return self._over_rate(wait_seconds)
@@ -259,9 +267,9 @@
         )
 
 
-def _bound_seconds(work: works.Work, now_seconds: float) -> float:
-    patience_seconds = work.give_up_at_seconds - now_seconds
-    return min(MAX_WAIT_SECONDS, PATIENCE_SHARE * patience_seconds)
+def _max_wait_seconds(work: works.Work, now_seconds: float) -> float:
+    timeout_seconds = work.give_up_at_seconds - now_seconds
+    return min(MAX_WAIT_SECONDS, MAX_WAIT_SHARE * timeout_seconds)
 
 
 __all__ = [
--- a/src/boragefold/policy/drain_rate.py
+++ b/src/boragefold/policy/drain_rate.py
@@ -9,9 +9,9 @@
 
 # Engines that were filled together become free together, in waves; the window
 # must be longer than such a wave.
-MEMORY_SECONDS = 5.0
+WINDOW_SECONDS = 5.0
 # A rate from fewer samples may refuse requests that can be served in time.
-MIN_SERVICES = 4
+MIN_SAMPLES = 4
 
 
 class DrainRate:
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self._began_at_seconds: float | None = None
         self._tokens = 0.0
-        self._services = 0
+        self._samples = 0
 
     def add(self, tokens: float, *, now_seconds: float) -> None:
         """Count the tokens of a request removed from the queue.
@@ -32,13 +32,13 @@
         :param tokens: the number of tokens
         :param now_seconds: reading of the process clock
         """
-        self._services += 1
+        self._samples += 1
         if self._began_at_seconds is None:
             self._began_at_seconds = now_seconds
             return
         self._tokens += tokens
         elapsed_seconds = now_seconds - self._began_at_seconds
-        if elapsed_seconds > MEMORY_SECONDS:
+        if elapsed_seconds > WINDOW_SECONDS:
             self._tokens /= 2
             self._began_at_seconds += elapsed_seconds / 2
 
@@ -48,7 +48,7 @@
         :param now_seconds: reading of the process clock
         :return: tokens per second, None while there are too few samples
         """
-        if self._began_at_seconds is None or self._services < MIN_SERVICES:
+        if self._began_at_seconds is None or self._samples < MIN_SAMPLES:
             return None
         elapsed_seconds = now_seconds - self._began_at_seconds
         return self._tokens / elapsed_seconds if elapsed_seconds > 0 else None
--- a/src/boragefold/policy/given_amounts.py
+++ b/src/boragefold/policy/given_amounts.py
@@ -14,15 +14,15 @@
 
 from boragefold.protocol import rate_ledger_messages as messages
 
-# Until then it may still change what the entry of an earlier hub holds.
+# During this time, the amounts known of an earlier hub's entry may change.
 SETTLE_SECONDS = 20.0
 # No reachable hub stores older versions of an entry.
-KEPT_SECONDS = 6.0
+KEPT_REPORT_SECONDS = 6.0
 # An entry that is reported to again continues from its kept state.
-KEPT_ENTRIES = 64
+MAX_ENTRIES = 64
 
 
-class Given(NamedTuple):
+class Report(NamedTuple):
     """The amounts of one numbered report to an entry."""
 
     number: int
@@ -30,34 +30,34 @@
     amounts: dict[str, float]
 
 
-class EntryAccount:
+class EntryReports:
     """What was reported to one entry, and what it holds."""
 
     def __init__(self) -> None:
         self.held: dict[str, float] = {}
-        self.given: list[Given] = []
-        self.last_given_at_seconds = 0.0
+        self.reports: list[Report] = []
+        self.last_reported_at_seconds = 0.0
 
     def note_held(self, number: int) -> None:
         """Record which report the entry holds.
 
         :param number: of the last report that is included; 0 for none
         """
-        older = [given for given in self.given if given.number <= number]
-        if not number or not self.given:
+        older = [report for report in self.reports if report.number <= number]
+        if not number or not self.reports:
             self.held = {}
         else:
-            self.held = (older or self.given[:1])[-1].amounts
+            self.held = (older or self.reports[:1])[-1].amounts
 
     def drop_older(self, before_seconds: float) -> None:
         """Drop reports that can't be the last included one any more.
 
         :param before_seconds: reports whose successor is older are dropped
         """
-        self.given = [
-            given
-            for given, following in itertools.zip_longest(
-                self.given, self.given[1:]
+        self.reports = [
+            report
+            for report, following in itertools.zip_longest(
+                self.reports, self.reports[1:]
             )
             if following is None or following.at_seconds >= before_seconds
         ]
@@ -67,8 +67,8 @@
     """What this instance reported to each entry."""
 
     def __init__(self) -> None:
-        self._accounts: dict[str, EntryAccount] = {}
-        self._number = 0
+        self._entries: dict[str, EntryReports] = {}
+        self._last_number = 0
         self._held: dict[str, float] = {}
         self._held_by_dropped: dict[str, float] = {}
 
@@ -94,26 +94,28 @@
         :param now_seconds: reading of the process clock
         :return: the report for the entry's hub
         """
-        account = self._accounts.setdefault(counter, EntryAccount())
-        account.last_given_at_seconds = now_seconds
+        entry = self._entries.setdefault(counter, EntryReports())
+        entry.last_reported_at_seconds = now_seconds
         amounts = {
             workspace: amount
             - self.held(workspace)
-            + account.held.get(workspace, 0.0)
+            + entry.held.get(workspace, 0.0)
             for workspace, amount in admitted.items()
         }
-        if not account.given or account.given[-1].amounts != amounts:
-            self._number += 1
-            account.given.append(Given(self._number, now_seconds, amounts))
-        account.drop_older(now_seconds - KEPT_SECONDS)
+        if not entry.reports or entry.reports[-1].amounts != amounts:
+            self._last_number += 1
+            entry.reports.append(
+                Report(self._last_number, now_seconds, amounts)
+            )
+        entry.drop_older(now_seconds - KEPT_REPORT_SECONDS)
         unconfirmed = {
             workspace: amount
             for workspace, amount in amounts.items()
-            if amount != account.held.get(workspace, 0.0)
+            if amount != entry.held.get(workspace, 0.0)
         }
         return messages.Account(
             counter,
-            account.given[-1].number,
+            entry.reports[-1].number,
             unconfirmed,
             self.former(counter, now_seconds=now_seconds),
         )
@@ -128,9 +130,9 @@
         oldest_seconds = now_seconds - SETTLE_SECONDS
         return tuple(
             name
-            for name, account in self._accounts.items()
+            for name, entry in self._entries.items()
             if name != counter
-            and account.last_given_at_seconds >= oldest_seconds
+            and entry.last_reported_at_seconds >= oldest_seconds
         )
 
     def note_held(self, numbers: Mapping[str, int]) -> None:
@@ -139,23 +141,23 @@
         :param numbers: number of the last included report, by entry
         """
         for name, number in numbers.items():
-            if name in self._accounts:
-                self._accounts[name].note_held(number)
-        self._add_up()
+            if name in self._entries:
+                self._entries[name].note_held(number)
+        self._update_held()
 
     def forget(self) -> None:
         """Drop the entries that were reported to least recently."""
-        last_given = sorted(
-            self._accounts,
-            key=lambda name: self._accounts[name].last_given_at_seconds,
+        by_age = sorted(
+            self._entries,
+            key=lambda name: self._entries[name].last_reported_at_seconds,
         )
-        for name in last_given[:-KEPT_ENTRIES]:
-            _add(self._held_by_dropped, self._accounts.pop(name).held)
+        for name in by_age[:-MAX_ENTRIES]:
+            _add(self._held_by_dropped, self._entries.pop(name).held)
 
-    def _add_up(self) -> None:
+    def _update_held(self) -> None:
         held = dict(self._held_by_dropped)
-        for account in self._accounts.values():
-            _add(held, account.held)
+        for entry in self._entries.values():
+            _add(held, entry.held)
         self._held = held
 
 
--- a/src/boragefold/policy/heard_totals.py
+++ b/src/boragefold/policy/heard_totals.py
@@ -29,7 +29,7 @@
         self._of_others: dict[str, float] = {}
         self._late: dict[str, float] = {}
         self._era = messages.Era()
-        self._at_seconds = -math.inf
+        self._received_at_seconds = -math.inf
         self._lacks_whole = False
 
     @property
@@ -61,7 +61,7 @@
         :param whole: whether workspaces that aren't included have a total of 0
         :param now_seconds: reading of the process clock
         """
-        silent_seconds = now_seconds - self._at_seconds
+        silent_seconds = now_seconds - self._received_at_seconds
         follows = (
             era == self._era and silent_seconds <= shared_rate.FORGET_SECONDS
         )
@@ -72,7 +72,7 @@
             self._totals.clear()
         self._totals.update(amounts)
         self._era = era
-        self._at_seconds = now_seconds
+        self._received_at_seconds = now_seconds
         of_others = {
             workspace: amount - self._held(workspace)
             for workspace, amount in self._totals.items()
@@ -83,7 +83,7 @@
                 for workspace, amount in of_others.items()
             }
             is_late = silent_seconds > rate_ledger.LOST_SECONDS
-            self._take_out(
+            self._remove_from_buckets(
                 added, added if is_late else self._new_late(late), now_seconds
             )
         self._of_others = of_others
@@ -95,7 +95,7 @@
             for workspace, amount in late.items()
         }
 
-    def _take_out(
+    def _remove_from_buckets(
         self,
         added: Mapping[str, float],
         late: Mapping[str, float],
--- a/src/boragefold/policy/own_rate_entry.py
+++ b/src/boragefold/policy/own_rate_entry.py
@@ -32,8 +32,8 @@
         self._version = 0
         self._sums: dict[str, float] = {}
         self._counted: dict[int, int] = {}
-        self._given: dict[int, dict[str, float]] = {}
-        self._ended: set[int] = set()
+        self._amounts_by_giver: dict[int, dict[str, float]] = {}
+        self._ended_givers: set[int] = set()
         # Shorter than the givers' ids; an index is never reused.
         self._indexes: dict[int, int] = {}
         self._indexed_at_seconds: dict[int, float] = {}
@@ -54,7 +54,7 @@
             only those that changed
         :param now_seconds: reading of the process clock
         """
-        if giver in self._ended:
+        if giver in self._ended_givers:
             # A delayed report. What was counted of this instance is no longer
             # known, so its amounts would be counted twice.
             return
@@ -64,7 +64,7 @@
         index = self._indexes[giver]
         if number <= self._counted.get(index, 0):
             return
-        before = self._given.setdefault(giver, {})
+        before = self._amounts_by_giver.setdefault(giver, {})
         for workspace, amount in amounts.items():
             added = amount - before.get(workspace, 0.0)
             self._sums[workspace] = self._sums.get(workspace, 0.0) + added
@@ -78,8 +78,8 @@
 
         :param giver: the instance
         """
-        if self._given.pop(giver, None) is not None:
-            self._ended.add(giver)
+        if self._amounts_by_giver.pop(giver, None) is not None:
+            self._ended_givers.add(giver)
 
     def changed_lately(self, *, now_seconds: float) -> bool:
         """Return whether others may not know the newest version.
--- a/src/boragefold/policy/rate_accounts.py
+++ b/src/boragefold/policy/rate_accounts.py
@@ -17,7 +17,7 @@
 from boragefold.protocol import rate_ledger_messages as messages
 
 # Number of entries whose index for this instance is kept.
-KEPT_INDEXES = 64
+MAX_INDEXES = 64
 
 
 class RateAccounts:
@@ -39,16 +39,16 @@
         self._rate = rate
         self._incarnation = incarnation
         self._giver = own_rate_entry.giver_of(incarnation)
-        self._given = given_amounts.GivenAmounts()
+        self._reports = given_amounts.GivenAmounts()
         self._counter = ""
         self._ledger = rate_ledger.RateLedger()
         self._entry: own_rate_entry.OwnEntry | None = None
-        self._entries_begun = 0
-        self._former: dict[int, tuple[str, ...]] = {}
+        self._entries_created = 0
+        self._former_by_giver: dict[int, tuple[str, ...]] = {}
         # The index that each entry assigned to this instance.
         self._indexes: dict[str, int] = {}
-        self._heard = heard_totals.HeardTotals(
-            rate=rate, held=self._given.held
+        self._received_totals = heard_totals.HeardTotals(
+            rate=rate, held=self._reports.held
         )
 
     @property
@@ -65,7 +65,7 @@
 
         :return: whether the totals received last can't be used
         """
-        return self._heard.lacks_whole
+        return self._received_totals.lacks_whole
 
     @property
     def complete(self) -> bool:
@@ -86,12 +86,12 @@
         # reported to this one again.
         self._entry = own_rate_entry.OwnEntry(
             incarnation=self._incarnation,
-            serial=self._entries_begun,
+            serial=self._entries_created,
             now_seconds=now_seconds,
         )
-        self._entries_begun += 1
+        self._entries_created += 1
         self._ledger = rate_ledger.RateLedger()
-        self._former = {}
+        self._former_by_giver = {}
 
     def stop_counting(self) -> None:
         """Stop being a hub: write no entry any more."""
@@ -115,7 +115,7 @@
         :return: the report for the hub
         """
         self._counter = counter
-        return self._given.state(
+        return self._reports.state(
             counter, self._rate.admitted, now_seconds=now_seconds
         )
 
@@ -126,16 +126,16 @@
         """
         if self._entry is None or not self._ledger.complete:
             return
-        statement = self.state(self._entry.name, now_seconds=now_seconds)
-        if statement.amounts:
-            self._count(self._giver, statement, now_seconds)
+        report = self.state(self._entry.name, now_seconds=now_seconds)
+        if report.amounts:
+            self._count(self._giver, report, now_seconds)
         entry = self._entry.entry(whole=True, now_seconds=now_seconds)
         self._ledger.put_own(self._entry.name, entry, now_seconds=now_seconds)
         numbers = self._ledger.settled(
-            self._giver, (*statement.former, self._entry.name)
+            self._giver, (*report.former, self._entry.name)
         )
-        self._given.note_held(numbers)
-        self._heard.take(
+        self._reports.note_held(numbers)
+        self._received_totals.take(
             self._ledger.totals,
             self._ledger.era,
             late=self._ledger.late(now_seconds=now_seconds),
@@ -146,21 +146,21 @@
     def count(
         self,
         sender: str,
-        statement: messages.Account,
+        report: messages.Account,
         *,
         now_seconds: float,
     ) -> None:
         """Count the report of another instance.
 
         :param sender: its incarnation
-        :param statement: its report; ignored if meant for another entry
+        :param report: its report; ignored if meant for another entry
         :param now_seconds: reading of the process clock
         """
-        if self._entry is None or statement.counter != self._entry.name:
+        if self._entry is None or report.counter != self._entry.name:
             return
         giver = own_rate_entry.giver_of(sender)
-        self._former[giver] = statement.former
-        self._count(giver, statement, now_seconds)
+        self._former_by_giver[giver] = report.former
+        self._count(giver, report, now_seconds)
 
     def forget_instance(self, incarnation: str) -> None:
         """Remove an instance that has ended; its amounts stay counted.
@@ -168,7 +168,7 @@
         :param incarnation: of the instance
         """
         giver = own_rate_entry.giver_of(incarnation)
-        self._former.pop(giver, None)
+        self._former_by_giver.pop(giver, None)
         if self._entry is not None:
             self._entry.forget(giver)
 
@@ -237,14 +237,14 @@
             return None
         return self._ledger.contents(now_seconds=now_seconds)
 
-    def merge(self, theirs: messages.Ledger, *, now_seconds: float) -> None:
+    def merge(self, other: messages.Ledger, *, now_seconds: float) -> None:
         """Merge another hub's ledger into the own one.
 
-        :param theirs: the ledger received
+        :param other: the ledger received
         :param now_seconds: reading of the process clock
         """
-        if self._entry is not None and theirs.era.known:
-            self._ledger.merge(theirs, now_seconds=now_seconds)
+        if self._entry is not None and other.era.known:
+            self._ledger.merge(other, now_seconds=now_seconds)
             self.count_own(now_seconds=now_seconds)
 
     def told_totals(
@@ -260,7 +260,7 @@
         if own is None or not self._ledger.complete:
             return None
         entry = own.entry(whole=whole, now_seconds=now_seconds)
-        lately = whole or own.changed_lately(now_seconds=now_seconds)
+        is_recent = whole or own.changed_lately(now_seconds=now_seconds)
         return messages.Totals(
             serial=own.serial,
             era=self._ledger.era,
@@ -268,11 +268,11 @@
             amounts=self._ledger.told_totals(
                 whole=whole, now_seconds=now_seconds
             ),
-            counted=entry.counted if lately else {},
+            counted=entry.counted if is_recent else {},
             indexes=entry.indexes,
             settled={
                 giver: self._ledger.settled(giver, former)
-                for giver, former in self._former.items()
+                for giver, former in self._former_by_giver.items()
                 if former
             },
             late=self._ledger.late(now_seconds=now_seconds),
@@ -299,8 +299,8 @@
         number = totals.counted.get(self._indexes.get(counter, -1))
         if number is not None:
             numbers[counter] = number
-        self._given.note_held(numbers)
-        self._heard.take(
+        self._reports.note_held(numbers)
+        self._received_totals.take(
             totals.amounts,
             totals.era,
             late=totals.late,
@@ -313,22 +313,22 @@
 
         :param now_seconds: reading of the process clock
         """
-        self._given.forget()
-        for counter in list(self._indexes)[:-KEPT_INDEXES]:
+        self._reports.forget()
+        for counter in list(self._indexes)[:-MAX_INDEXES]:
             del self._indexes[counter]
         self._ledger.fold(now_seconds=now_seconds)
 
     def _count(
         self,
         giver: int,
-        statement: messages.Account,
+        report: messages.Account,
         now_seconds: float,
     ) -> None:
         assert self._entry is not None
         self._entry.count(
             giver,
-            statement.number,
-            statement.amounts,
+            report.number,
+            report.amounts,
             now_seconds=now_seconds,
         )
 
--- a/src/boragefold/policy/rate_ledger.py
+++ b/src/boragefold/policy/rate_ledger.py
@@ -26,11 +26,11 @@
 FOLD_SECONDS = 600.0
 
 
-class HeldEntry(NamedTuple):
+class StoredEntry(NamedTuple):
     """An entry, when its hub last sent it, and when it last changed here."""
 
     entry: messages.Entry
-    told_at_seconds: float
+    sent_at_seconds: float
     changed_at_seconds: float
 
 
@@ -41,7 +41,7 @@
         """Start without an era, as the entries of others aren't known yet."""
         self._era = messages.Era()
         self._era_began_at_seconds = -math.inf
-        self._held: dict[str, HeldEntry] = {}
+        self._stored: dict[str, StoredEntry] = {}
         self._folded = messages.Folded(0, {})
         self._totals = recent_sums.RecentSums()
         self._late = recent_sums.RecentSums()
@@ -118,7 +118,7 @@
         :param entry: the newest version
         :param now_seconds: reading of the process clock
         """
-        self._replace(name, HeldEntry(entry, now_seconds, now_seconds))
+        self._replace(name, StoredEntry(entry, now_seconds, now_seconds))
 
     def put(
         self, name: str, entry: messages.Entry, *, now_seconds: float
@@ -130,15 +130,15 @@
         :param now_seconds: reading of the process clock
         :return: whether the indexes of all its givers are known
         """
-        held = self._held.get(name)
-        if held is not None:
-            indexes = {**held.entry.indexes, **entry.indexes}
+        stored = self._stored.get(name)
+        if stored is not None:
+            indexes = {**stored.entry.indexes, **entry.indexes}
             entry = entry._replace(indexes=indexes)
-        if held is not None and entry.version < held.entry.version:
-            self._held[name] = held._replace(told_at_seconds=now_seconds)
+        if stored is not None and entry.version < stored.entry.version:
+            self._stored[name] = stored._replace(sent_at_seconds=now_seconds)
             return True
-        self._note_gap(held, entry, now_seconds)
-        self._replace(name, HeldEntry(entry, now_seconds, now_seconds))
+        self._note_gap(stored, entry, now_seconds)
+        self._replace(name, StoredEntry(entry, now_seconds, now_seconds))
         return len(entry.indexes) >= entry.givers_count
 
     def note_unchanged(
@@ -151,10 +151,10 @@
         :param now_seconds: reading of the process clock
         :return: whether that version is stored here
         """
-        held = self._held.get(name)
-        if held is None or held.entry.version < version:
+        stored = self._stored.get(name)
+        if stored is None or stored.entry.version < version:
             return version == 0
-        self._held[name] = held._replace(told_at_seconds=now_seconds)
+        self._stored[name] = stored._replace(sent_at_seconds=now_seconds)
         return True
 
     def settled(self, giver: int, names: Iterable[str]) -> dict[str, int]:
@@ -166,7 +166,7 @@
             which it is unknown are left out
             those of which that isn't known
         """
-        numbers = {name: self._counted(name, giver) for name in names}
+        numbers = {name: self._last_counted(name, giver) for name in names}
         return {
             name: number
             for name, number in numbers.items()
@@ -184,9 +184,9 @@
         """
         oldest_seconds = now_seconds - LOST_SECONDS
         lost = sorted(
-            f"{name}:{held.entry.version}"
-            for name, held in self._held.items()
-            if held.told_at_seconds < oldest_seconds
+            f"{name}:{stored.entry.version}"
+            for name, stored in self._stored.items()
+            if stored.sent_at_seconds < oldest_seconds
         )
         text = "\0".join([str(self._folded.entries_count), *lost])
         return xxhash.xxh3_64_intdigest(text.encode())
@@ -198,34 +198,36 @@
         :return: for hubs whose ledger is empty or differs
         """
         entries = {
-            name: (now_seconds - held.told_at_seconds, held.entry)
-            for name, held in self._held.items()
+            name: (now_seconds - stored.sent_at_seconds, stored.entry)
+            for name, stored in self._stored.items()
         }
         return messages.Ledger(self._era, self._folded, entries)
 
-    def merge(self, theirs: messages.Ledger, *, now_seconds: float) -> None:
+    def merge(self, other: messages.Ledger, *, now_seconds: float) -> None:
         """Merge the ledger of another hub.
 
-        :param theirs: its ledger
+        :param other: its ledger
         :param now_seconds: reading of the process clock
         """
         is_new = not self.complete
         if is_new:
-            self._change_era(theirs.era, now_seconds)
-        if theirs.era.founding != self._era.founding:
+            self._change_era(other.era, now_seconds)
+        if other.era.founding != self._era.founding:
             return
-        self.note_reunions(theirs.era, now_seconds=now_seconds)
-        self._take_folded(theirs, now_seconds)
-        for name, (age_seconds, entry) in theirs.entries.items():
-            held = self._held.get(name)
-            told_at_seconds = now_seconds - age_seconds
-            if held is not None and not _is_news(held.entry, entry):
+        self.note_reunions(other.era, now_seconds=now_seconds)
+        self._merge_folded(other, now_seconds)
+        for name, (age_seconds, entry) in other.entries.items():
+            stored = self._stored.get(name)
+            sent_at_seconds = now_seconds - age_seconds
+            if stored is not None and not _is_newer(stored.entry, entry):
                 continue
-            if held is not None:
-                told_at_seconds = max(told_at_seconds, held.told_at_seconds)
+            if stored is not None:
+                sent_at_seconds = max(sent_at_seconds, stored.sent_at_seconds)
             if not is_new:
-                self._note_gap(held, entry, now_seconds)
-            self._replace(name, HeldEntry(entry, told_at_seconds, now_seconds))
+                self._note_gap(stored, entry, now_seconds)
+            self._replace(
+                name, StoredEntry(entry, sent_at_seconds, now_seconds)
+            )
 
     def note_reunions(self, era: messages.Era, *, now_seconds: float) -> None:
         """Take over a greater number of reunions.
@@ -244,44 +246,44 @@
         oldest_seconds = now_seconds - FOLD_SECONDS
         old = [
             name
-            for name, held in self._held.items()
-            if held.told_at_seconds < oldest_seconds
+            for name, stored in self._stored.items()
+            if stored.sent_at_seconds < oldest_seconds
         ]
         if not old:
             return
         sums = dict(self._folded.sums)
         for name in old:
-            for workspace, amount in self._held.pop(name).entry.sums.items():
+            for workspace, amount in self._stored.pop(name).entry.sums.items():
                 sums[workspace] = sums.get(workspace, 0.0) + amount
         self._folded = messages.Folded(
             self._folded.entries_count + len(old), sums
         )
 
-    def _counted(self, name: str, giver: int) -> int | None:
-        held = self._held.get(name)
-        if held is None:
+    def _last_counted(self, name: str, giver: int) -> int | None:
+        stored = self._stored.get(name)
+        if stored is None:
             return 0
-        index = held.entry.indexes.get(giver)
+        index = stored.entry.indexes.get(giver)
         if index is not None:
-            return held.entry.counted.get(index, 0)
-        is_known = len(held.entry.indexes) >= held.entry.givers_count
+            return stored.entry.counted.get(index, 0)
+        is_known = len(stored.entry.indexes) >= stored.entry.givers_count
         return 0 if is_known else None
 
     def _note_gap(
         self,
-        held: HeldEntry | None,
+        stored: StoredEntry | None,
         entry: messages.Entry,
         now_seconds: float,
     ) -> None:
-        apart_seconds = _apart_seconds(held, entry, now_seconds)
-        if apart_seconds > shared_rate.FORGET_SECONDS:
+        gap_seconds = _gap_seconds(stored, entry, now_seconds)
+        if gap_seconds > shared_rate.FORGET_SECONDS:
             # Each side used the whole rate meanwhile, so what the other one
             # admitted must not be removed from the buckets.
             reunions = self._era.reunions + 1
             era = self._era._replace(reunions=reunions)
             self._change_era(era, now_seconds)
-        elif apart_seconds > LOST_SECONDS:
-            before = {} if held is None else held.entry.sums
+        elif gap_seconds > LOST_SECONDS:
+            before = {} if stored is None else stored.entry.sums
             late = {
                 workspace: amount - before.get(workspace, 0.0)
                 for workspace, amount in entry.sums.items()
@@ -292,29 +294,29 @@
         self._era = era
         self._era_began_at_seconds = now_seconds
 
-    def _take_folded(
-        self, theirs: messages.Ledger, now_seconds: float
+    def _merge_folded(
+        self, other: messages.Ledger, now_seconds: float
     ) -> None:
-        if theirs.folded.entries_count <= self._folded.entries_count:
+        if other.folded.entries_count <= self._folded.entries_count:
             return
         # Their folded sums include old entries that they no longer list.
         oldest_seconds = now_seconds - FOLD_SECONDS / 2
-        for name, held in list(self._held.items()):
-            is_old = held.told_at_seconds < oldest_seconds
-            if is_old and name not in theirs.entries:
-                self._add(held.entry.sums, -1.0, now_seconds)
-                del self._held[name]
+        for name, stored in list(self._stored.items()):
+            is_old = stored.sent_at_seconds < oldest_seconds
+            if is_old and name not in other.entries:
+                self._add(stored.entry.sums, -1.0, now_seconds)
+                del self._stored[name]
         self._add(self._folded.sums, -1.0, now_seconds)
-        self._add(theirs.folded.sums, 1.0, now_seconds)
-        self._folded = theirs.folded
+        self._add(other.folded.sums, 1.0, now_seconds)
+        self._folded = other.folded
 
-    def _replace(self, name: str, held: HeldEntry) -> None:
-        before = self._held.get(name)
-        now_seconds = held.changed_at_seconds
+    def _replace(self, name: str, stored: StoredEntry) -> None:
+        before = self._stored.get(name)
+        now_seconds = stored.changed_at_seconds
         if before is not None:
             self._add(before.entry.sums, -1.0, now_seconds)
-        self._add(held.entry.sums, 1.0, now_seconds)
-        self._held[name] = held
+        self._add(stored.entry.sums, 1.0, now_seconds)
+        self._stored[name] = stored
 
     def _add(
         self, sums: Mapping[str, float], sign: float, now_seconds: float
@@ -335,20 +337,20 @@
     return messages.Era(heard_count, xxhash.xxh32_intdigest(founder.encode()))
 
 
-def _apart_seconds(
-    held: HeldEntry | None, entry: messages.Entry, now_seconds: float
+def _gap_seconds(
+    stored: StoredEntry | None, entry: messages.Entry, now_seconds: float
 ) -> float:
     # How long amounts may have been counted without being received here.
-    if held is None:
+    if stored is None:
         return entry.age_seconds
-    told_at_seconds = max(held.told_at_seconds, held.changed_at_seconds)
-    return min(now_seconds - told_at_seconds, entry.age_seconds)
+    sent_at_seconds = max(stored.sent_at_seconds, stored.changed_at_seconds)
+    return min(now_seconds - sent_at_seconds, entry.age_seconds)
 
 
-def _is_news(held: messages.Entry, other: messages.Entry) -> bool:
-    if other.version == held.version:
-        return len(other.indexes) > len(held.indexes)
-    return other.version > held.version
+def _is_newer(stored: messages.Entry, other: messages.Entry) -> bool:
+    if other.version == stored.version:
+        return len(other.indexes) > len(stored.indexes)
+    return other.version > stored.version
 
 
 __all__ = [
--- a/src/boragefold/policy/rate_line.py
+++ b/src/boragefold/policy/rate_line.py
@@ -14,7 +14,7 @@
 from boragefold.policy import work as works
 
 # Polls the stock, as its callback is lost if a message is lost.
-ASK_SECONDS = 0.05
+POLL_SECONDS = 0.05
 
 
 class Entry(NamedTuple):
@@ -36,7 +36,7 @@
         self._began_at_seconds = now_seconds
         self._drain_rate = drain_rate.DrainRate()
         self._ready_at_seconds = 0.0
-        self._ask_at_seconds = 0.0
+        self._poll_at_seconds = 0.0
         self.asked(now_seconds=now_seconds, ready_in_seconds=ready_in_seconds)
 
     def __len__(self) -> int:
@@ -86,7 +86,7 @@
         :param ready_in_seconds: seconds until the head's tokens are expected
         """
         self._ready_at_seconds = now_seconds + ready_in_seconds
-        self._ask_at_seconds = now_seconds + ASK_SECONDS
+        self._poll_at_seconds = now_seconds + POLL_SECONDS
 
     def drained(self, tokens: float, *, now_seconds: float) -> None:
         """Record that the head got its tokens.
@@ -101,7 +101,7 @@
 
         :return: reading of the process clock
         """
-        return min(self._ask_at_seconds, self.head().until_seconds)
+        return min(self._poll_at_seconds, self.head().until_seconds)
 
     def wait_seconds(self, tokens: float, *, now_seconds: float) -> float:
         """Estimate the wait of a request that is added now.
@@ -112,19 +112,19 @@
         """
         head_seconds = max(0.0, self._ready_at_seconds - now_seconds)
         behind_tokens = self._tokens - self.head().tokens + tokens
-        return head_seconds + behind_tokens / self._speed(now_seconds)
+        return head_seconds + behind_tokens / self._rate(now_seconds)
 
-    def _speed(self, now_seconds: float) -> float:
+    def _rate(self, now_seconds: float) -> float:
         measured = self._drain_rate.tokens_per_second(now_seconds=now_seconds)
         if measured is not None:
             return measured
         # Too few requests were served to measure the rate.
         head_seconds = self._ready_at_seconds - self._began_at_seconds
-        return self.head().tokens / max(head_seconds, ASK_SECONDS)
+        return self.head().tokens / max(head_seconds, POLL_SECONDS)
 
 
 __all__ = [
-    "ASK_SECONDS",
     "Entry",
     "Line",
+    "POLL_SECONDS",
 ]
--- a/src/boragefold/policy/service_rate.py
+++ b/src/boragefold/policy/service_rate.py
@@ -11,9 +11,9 @@
 import math
 
 # Smooths out single requests, but follows an endpoint that is removed.
-MEMORY_SECONDS = 4.0
+TIME_CONSTANT_SECONDS = 4.0
 # With a shorter measurement the rate is infinite, so nothing is refused.
-LEAST_BUSY_SECONDS = 0.5
+MIN_BUSY_SECONDS = 0.5
 
 
 class ServiceRate:
@@ -31,7 +31,7 @@
         :param limited: whether any request waits
         :param now_seconds: reading of the process clock
         """
-        self._move(now_seconds)
+        self._advance(now_seconds)
         self._limited = limited
 
     def taken(self, tokens: float, *, now_seconds: float) -> None:
@@ -40,7 +40,7 @@
         :param tokens: what the queue charged for it
         :param now_seconds: reading of the process clock
         """
-        self._move(now_seconds)
+        self._advance(now_seconds)
         if self._limited:
             self._tokens += tokens
 
@@ -49,20 +49,20 @@
 
         :return: tokens per second; infinite while the measurement is too short
         """
-        if self._busy_seconds < LEAST_BUSY_SECONDS:
+        if self._busy_seconds < MIN_BUSY_SECONDS:
             return math.inf
         return self._tokens / self._busy_seconds
 
-    def _move(self, now_seconds: float) -> None:
+    def _advance(self, now_seconds: float) -> None:
         if self._at_seconds is None:
             self._at_seconds = now_seconds
         elapsed = now_seconds - self._at_seconds
         if elapsed <= 0:
             return
         self._at_seconds = now_seconds
-        kept = math.exp(-elapsed / MEMORY_SECONDS)
-        self._tokens *= kept
-        self._busy_seconds *= kept
+        decay = math.exp(-elapsed / TIME_CONSTANT_SECONDS)
+        self._tokens *= decay
+        self._busy_seconds *= decay
         if self._limited:
             self._busy_seconds += elapsed
 
--- a/src/boragefold/policy/shared_rate.py
+++ b/src/boragefold/policy/shared_rate.py
@@ -119,11 +119,11 @@
             bucket = self._buckets.get(workspace)
             if bucket is None:
                 continue
-            paid = 0.0
+            covered = 0.0
             if now_seconds <= bucket.withheld_until_seconds + FORGET_SECONDS:
-                paid = min(amount, bucket.withheld)
-            bucket.withheld -= paid
-            bucket.level -= amount - paid
+                covered = min(amount, bucket.withheld)
+            bucket.withheld -= covered
+            bucket.level -= amount - covered
 
     def admit(
         self,
@@ -144,16 +144,16 @@
         """
         if workspace.rate_per_second <= 0:
             return None
-        bucket = self._fill(workspace, share, now_seconds)
+        bucket = self._refill(workspace, share, now_seconds)
         # A request larger than the burst is admitted when the bucket is full.
-        need = min(amount, workspace.burst)
-        need -= self.tolerance.extra(workspace)
-        if bucket.level < need:
+        required = min(amount, workspace.burst)
+        required -= self.tolerance.extra(workspace)
+        if bucket.level < required:
             rate = workspace.rate_per_second * share
-            wait_seconds = (need - bucket.level) / max(rate, 1e-9)
+            wait_seconds = (required - bucket.level) / max(rate, 1e-9)
             return max(MIN_RETRY_AFTER_SECONDS, wait_seconds)
         bucket.level -= amount
-        self._count(workspace.name, amount)
+        self._add_admitted(workspace.name, amount)
         return None
 
     def give_back(self, workspace: str, amount: float) -> None:
@@ -164,13 +164,13 @@
         """
         if (bucket := self._buckets.get(workspace)) is not None:
             bucket.level += amount
-            self._count(workspace, -amount)
+            self._add_admitted(workspace, -amount)
 
-    def _count(self, workspace: str, amount: float) -> None:
+    def _add_admitted(self, workspace: str, amount: float) -> None:
         before = self._admitted.get(workspace, 0.0)
         self._admitted[workspace] = before + amount
 
-    def _fill(
+    def _refill(
         self,
         workspace: deployment.Workspace,
         share: float,
--- a/src/boragefold/policy/virtual_counter.py
+++ b/src/boragefold/policy/virtual_counter.py
@@ -34,7 +34,7 @@
         self._accounts: dict[str, Account] = {}
         self._virtual_time = 0.0
         self._largest_charge = 0.0
-        self._least = 0.0
+        self._min_counter = 0.0
         self._sweep_length = MIN_SWEEP_LENGTH
 
     def __len__(self) -> int:
@@ -67,8 +67,8 @@
         :return: its counter, which never decreases
         """
         account = self._accounts[workspace]
-        if account.counter < self._least:
-            account.counter = self._least
+        if account.counter < self._min_counter:
+            account.counter = self._min_counter
         return account.counter
 
     def charge(self, workspace: str, amount: float) -> None:
@@ -81,7 +81,7 @@
         self._largest_charge = max(self._largest_charge, amount)
         self._virtual_time = max(self._virtual_time, self.value(workspace))
         lag = MAX_LAG_CHARGES * self._largest_charge
-        self._least = max(self._least, self._virtual_time - lag)
+        self._min_counter = max(self._min_counter, self._virtual_time - lag)
         due = amount + account.correction
         account.correction = min(due, 0.0)
         account.counter += max(due, 0.0)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -50,7 +50,7 @@
     assert len(decisions.advance(now_seconds=0.02, workspace="quadro")) == 1
 
 
-def test_the_wait_is_bounded_by_the_callers_patience() -> None:
+def test_the_wait_is_bounded_by_the_callers_timeout() -> None:
     decisions, bucket = build(rate=1000, burst=1000)
     empty(bucket)
     request = workloads.work(tokens=500, patience=1.0)
@@ -59,7 +59,7 @@
     assert outcome.retry_after_seconds == 0.5
 
 
-def test_a_request_larger_than_the_burst_is_told_so() -> None:
+def test_a_request_larger_than_the_burst_is_refused_for_good() -> None:
     # Guards against a caller that is told to retry although its request needs
     # more tokens than its bucket ever holds: it would retry for ever.
     decisions, bucket = build(rate=1000, burst=1000)
@@ -98,7 +98,7 @@
     assert len(admitted) > 5
 
 
-def test_a_vanished_caller_doesnt_hold_up_the_line() -> None:
+def test_a_disconnected_caller_doesnt_block_the_queue() -> None:
     decisions, bucket = build(rate=1000, burst=1000)
     empty(bucket)
     large = workloads.work(tokens=900)
@@ -112,7 +112,7 @@
     assert decided.work == small
 
 
-def test_nobody_is_held_who_cant_be_served_in_time() -> None:
+def test_requests_that_cant_be_served_in_time_are_refused_early() -> None:
     # Guards against requests that wait until their limit for tokens that
     # can't come, as the holder of the rate is gone and nothing is refilled.
     decisions, bucket = build(rate=1000, burst=1000)
@@ -159,7 +159,7 @@
         for each in decisions.advance(now_seconds=bucket.now):
             note(each.work.request_id, each.work.workspace, each.outcome)
 
-    for workspace, tokens, pause, hangs_up in steps:
+    for workspace, tokens, pause, disconnects in steps:
         bucket.now += pause
         advance()
         request = workloads.work(workspace, tokens=tokens, at=bucket.now)
@@ -167,7 +167,7 @@
         outcome = decisions.offer(request, now_seconds=bucket.now)
         if not isinstance(outcome, admission.Waiting):
             note(request.request_id, workspace, outcome)
-        elif hangs_up and decisions.withdraw(request.request_id):
+        elif disconnects and decisions.withdraw(request.request_id):
             outcomes[request.request_id] += 1
     while (due := decisions.next_due_seconds()) is not None:
         bucket.now = max(due, bucket.now + 0.01)
@@ -184,15 +184,16 @@
     assert bucket.level("a") == bucket.level("b") == bucket.burst
 
 
-def test_without_a_holder_nobody_is_told_that_the_rate_is_exceeded() -> None:
+def test_without_a_rate_holder_the_rate_isnt_reported_as_exceeded() -> None:
     # Guards against callers within their rate that are refused for exceeding
     # it, when the instance has lost its lease and nobody grants tokens.
-    class Unheld(workloads.BucketStock):
+    class StockWithoutHolder(workloads.BucketStock):
         def reserve(self, *, workspace, tokens):
             return stock.Shortfall(ready_in_seconds=60.0, no_holder=True)
 
     decisions = admission.Admission(
-        stock=Unheld(rate=1000, burst=1000), counters=telemetry.Counters()
+        stock=StockWithoutHolder(rate=1000, burst=1000),
+        counters=telemetry.Counters(),
     )
     outcome = decisions.offer(workloads.work(tokens=10), now_seconds=0.0)
     assert isinstance(outcome, refusal.Refused)
--- a/tests/policy/test_heard_totals.py
+++ b/tests/policy/test_heard_totals.py
@@ -45,18 +45,20 @@
     )
 
 
-def test_what_a_hub_learned_late_is_late(heard, rate) -> None:
+def test_amounts_a_hub_received_late_are_late(heard, rate) -> None:
     take(heard, 130.0, late=20.0)
     assert (rate.in_time, rate.late) == (10.0, 20.0)
 
 
-def test_what_another_hub_once_learned_late_isnt_late_now(heard, rate) -> None:
+def test_amounts_once_late_at_another_hub_arent_late_again(
+    heard, rate
+) -> None:
     # A new hub sends everything that it ever received late.
     take(heard, 130.0, late=5_000.0)
     assert (rate.in_time, rate.late) == (0.0, 30.0)
 
 
-def test_all_is_late_for_who_heard_nothing(heard, rate) -> None:
+def test_everything_is_late_after_a_time_without_totals(heard, rate) -> None:
     # An isolated instance also had a part of the rate withheld.
     take(heard, 130.0, now_seconds=rate_ledger.LOST_SECONDS + 0.1)
     assert (rate.in_time, rate.late) == (0.0, 30.0)
--- a/tests/policy/test_rate_accounts.py
+++ b/tests/policy/test_rate_accounts.py
@@ -22,9 +22,9 @@
     in_tokens=True,
     plain_tokens=1.0,
 )
-BEAT_SECONDS = 0.5
+HEARTBEAT_SECONDS = 0.5
 # A hub sends its totals at once when instances start or end.
-NEWS_SECONDS = 0.05
+TOTALS_SECONDS = 0.05
 # An instance silent for longer no longer counts for anyone's share.
 LONG_SECONDS = shared_rate.FORGET_SECONDS + 1.0
 HUBS = ("hub-a", "hub-b")
@@ -40,12 +40,12 @@
         self.accounts = rate_accounts.RateAccounts(
             rate=self.rate, incarnation=name
         )
-        self.begun = 0.0
+        self.offset = 0.0
 
-    def believed(self):
+    def counted(self):
         level = self.rate.level(WORKSPACE.name)
         # Even the lowest rate refills a bucket a little over minutes.
-        return round(FULL_TOKENS - level - self.begun, 3)
+        return round(FULL_TOKENS - level - self.offset, 3)
 
 
 class Fleet:
@@ -55,7 +55,7 @@
         self.now_seconds = 0.0
         self.instances = {}
         self.hubs = []
-        self.chosen = {}
+        self.hub_of = {}
         self.cut_off = set()
         for name in HUBS:
             self.start(name)
@@ -65,16 +65,16 @@
         )
         for name in OTHERS:
             self.start(name)
-        self.level_out()
+        self.synchronize()
 
-    def begin(self):
+    def reset(self):
         """Reset the computed amounts of all instances to 0."""
         for instance in self.instances.values():
-            instance.begun += instance.believed()
+            instance.offset += instance.counted()
 
     def start(self, name):
         self.instances[name] = Instance(name)
-        self.chosen[name] = HUBS[0]
+        self.hub_of[name] = HUBS[0]
         self.admit(name, 0.0)
 
     def begin_counting(self, name):
@@ -91,7 +91,7 @@
     def step_down(self, name):
         self.hubs.remove(name)
         self.instances[name].accounts.stop_counting()
-        self.chosen[name] = HUBS[0]
+        self.hub_of[name] = HUBS[0]
 
     def lose(self, name):
         self.hubs.remove(name)
@@ -106,12 +106,12 @@
         )
         assert wait_seconds is None
 
-    def hear_each_other(self, one, other):
+    def connected(self, one, other):
         return (one in self.cut_off) == (other in self.cut_off)
 
-    def give(self, name):
+    def create_report(self, name):
         """Create a report, which the caller may drop."""
-        hub = self.instances.get(self.chosen[name])
+        hub = self.instances.get(self.hub_of[name])
         totals = hub and self.totals(hub.name)
         if totals is None:
             return None
@@ -120,28 +120,28 @@
             now_seconds=self.now_seconds,
         )
 
-    def take(self, name, account):
-        self.instances[self.chosen[name]].accounts.count(
+    def deliver_report(self, name, account):
+        self.instances[self.hub_of[name]].accounts.count(
             name, account, now_seconds=self.now_seconds
         )
 
-    def tell_account(self, name):
-        account = self.give(name)
-        if account and self.hear_each_other(name, self.chosen[name]):
-            self.take(name, account)
+    def send_report(self, name):
+        account = self.create_report(name)
+        if account and self.connected(name, self.hub_of[name]):
+            self.deliver_report(name, account)
 
-    def tell_hubs(self, hub, others=None):
+    def send_entry(self, hub, others=None):
         accounts = self.instances[hub].accounts
         accounts.count_own(now_seconds=self.now_seconds)
         told = accounts.told_entry(now_seconds=self.now_seconds)
         for name in self.hubs if others is None else others:
-            if name == hub or not self.hear_each_other(hub, name):
+            if name == hub or not self.connected(hub, name):
                 continue
             other = self.instances[name].accounts
             if other.hear_entry(hub, told, now_seconds=self.now_seconds):
-                self.tell_ledger(hub, name)
+                self.send_ledger(hub, name)
 
-    def tell_ledger(self, hub, other):
+    def send_ledger(self, hub, other):
         ledger = self.instances[hub].accounts.ledger(
             now_seconds=self.now_seconds
         )
@@ -155,338 +155,336 @@
             whole=whole, now_seconds=self.now_seconds
         )
 
-    def hear_totals(self, name, hub, totals):
+    def deliver_totals(self, name, hub, totals):
         self.instances[name].accounts.hear_totals(
             hub, totals, now_seconds=self.now_seconds
         )
 
-    def tell_totals(self, hub):
+    def send_totals(self, hub):
         for name in self.instances.keys() - set(self.hubs):
             lacks = self.instances[name].accounts.lacks_totals
             totals = self.totals(hub, whole=lacks)
-            if totals is not None and self.hear_each_other(hub, name):
-                self.hear_totals(name, hub, totals)
+            if totals is not None and self.connected(hub, name):
+                self.deliver_totals(name, hub, totals)
 
-    def beat(self):
+    def exchange(self):
         """Let every instance send its messages once."""
-        self.now_seconds += BEAT_SECONDS
+        self.now_seconds += HEARTBEAT_SECONDS
         for name in sorted(self.instances.keys() - set(self.hubs)):
-            self.tell_account(name)
+            self.send_report(name)
         for hub in sorted(self.hubs):
-            self.tell_hubs(hub)
+            self.send_entry(hub)
         for hub in sorted(self.hubs):
-            self.tell_totals(hub)
+            self.send_totals(hub)
 
-    def level_out(self):
+    def synchronize(self):
         for _ in range(6):
-            self.beat()
+            self.exchange()
 
-    def believed(self):
-        self.level_out()
+    def counted(self):
+        self.synchronize()
         return {
-            name: instance.believed()
+            name: instance.counted()
             for name, instance in self.instances.items()
         }
 
-    def all_believe(self, amount):
-        return self.believed() == dict.fromkeys(self.instances, amount)
+    def all_counted(self, amount):
+        return self.counted() == dict.fromkeys(self.instances, amount)
 
     def choose_second_hub(self):
-        self.chosen.update(dict.fromkeys(OTHERS, HUBS[1]))
+        self.hub_of.update(dict.fromkeys(OTHERS, HUBS[1]))
 
 
-def test_the_first_word_of_a_workspace_is_counted() -> None:
+def test_the_first_amount_of_a_workspace_is_counted() -> None:
     # Guards against a first amount that is only taken as a baseline.
     fleet = Fleet()
     for name in sorted(fleet.instances):
         fleet.admit(name, 1.0)
-    assert fleet.all_believe(5.0)
+    assert fleet.all_counted(5.0)
 
 
-def test_a_fresh_instance_isnt_charged_for_what_was_admitted_before() -> None:
+def test_a_new_instance_isnt_charged_for_earlier_amounts() -> None:
     # Guards against a new instance that removes all amounts ever admitted by
     # the fleet from its buckets.
     fleet = Fleet()
     fleet.admit("one", 1_000.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.start("late")
-    fleet.level_out()
+    fleet.synchronize()
     fleet.admit("one", 5.0)
-    assert fleet.believed()["late"] == 5.0
+    assert fleet.counted()["late"] == 5.0
 
 
-def test_who_returns_to_a_counter_loses_nothing() -> None:
+def test_returning_to_a_hub_loses_nothing() -> None:
     # Guards against a report after a return that is taken for an earlier one.
     fleet = Fleet()
     for counter in (HUBS[1], HUBS[0], HUBS[1]):
         fleet.admit("one", 10.0)
-        fleet.level_out()
-        fleet.chosen["one"] = counter
+        fleet.synchronize()
+        fleet.hub_of["one"] = counter
     fleet.admit("one", 5.0)
-    assert fleet.all_believe(35.0)
+    assert fleet.all_counted(35.0)
 
 
-def test_who_returns_to_a_counter_after_long_loses_nothing() -> None:
+def test_returning_to_a_hub_after_a_long_time_loses_nothing() -> None:
     # Guards against amounts in an entry that their giver has forgotten.
     fleet = Fleet()
     fleet.admit("one", 10.0)
-    fleet.level_out()
-    fleet.chosen["one"] = HUBS[1]
+    fleet.synchronize()
+    fleet.hub_of["one"] = HUBS[1]
     for _ in range(60):
-        fleet.beat()
-    fleet.chosen["one"] = HUBS[0]
+        fleet.exchange()
+    fleet.hub_of["one"] = HUBS[0]
     fleet.admit("one", 5.0)
-    assert fleet.all_believe(15.0)
+    assert fleet.all_counted(15.0)
 
 
-def test_who_is_a_hub_again_counts_nothing_twice() -> None:
+def test_becoming_a_hub_again_counts_nothing_twice() -> None:
     # Guards against a hub that continues its former entry, whose amounts were
     # reported to other hubs meanwhile.
     fleet = Fleet()
     fleet.add_hub("one")
-    fleet.level_out()
+    fleet.synchronize()
     fleet.step_down("one")
-    fleet.level_out()
+    fleet.synchronize()
     fleet.admit("two", 10.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.add_hub("one")
-    fleet.level_out()
+    fleet.synchronize()
     fleet.admit("two", 5.0)
-    assert fleet.all_believe(15.0)
+    assert fleet.all_counted(15.0)
 
 
-def test_what_a_hub_counted_and_didnt_tell_is_given_to_the_next() -> None:
+def test_amounts_counted_but_not_sent_are_reported_to_the_next_hub() -> None:
     # Guards against amounts lost with the last version of an entry that was
     # never sent, when its hub stops being one and becomes one again.
     fleet = Fleet()
     fleet.add_hub("one")
-    fleet.level_out()
-    fleet.chosen["two"] = "one"
+    fleet.synchronize()
+    fleet.hub_of["two"] = "one"
     fleet.admit("one", 3.0)
     fleet.admit("two", 10.0)
-    fleet.tell_account("two")
+    fleet.send_report("two")
     fleet.instances["one"].accounts.count_own(now_seconds=fleet.now_seconds)
     fleet.step_down("one")
-    fleet.chosen["two"] = HUBS[0]
-    fleet.level_out()
+    fleet.hub_of["two"] = HUBS[0]
+    fleet.synchronize()
     fleet.add_hub("one")
-    assert fleet.all_believe(13.0)
+    assert fleet.all_counted(13.0)
 
 
-def test_what_a_hub_heard_isnt_heard_again_when_it_is_none() -> None:
+def test_a_former_hub_removes_no_amount_twice() -> None:
     # Guards against totals compared with those from before the time as a hub:
     # what was removed from the buckets meanwhile would be removed twice.
     fleet = Fleet()
     fleet.add_hub("one")
     fleet.admit("one", 1.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.step_down("one")
-    fleet.level_out()
-    fleet.begin()
+    fleet.synchronize()
+    fleet.reset()
     fleet.add_hub("one")
-    fleet.level_out()
-    fleet.chosen["three"] = "one"
+    fleet.synchronize()
+    fleet.hub_of["three"] = "one"
     for name in OTHERS:
         fleet.admit(name, 10.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.step_down("one")
-    fleet.chosen["three"] = HUBS[0]
-    assert fleet.all_believe(30.0)
+    fleet.hub_of["three"] = HUBS[0]
+    assert fleet.all_counted(30.0)
 
 
-def test_who_stood_in_for_a_hub_learns_what_it_missed() -> None:
+def test_a_temporary_hub_removes_what_it_missed() -> None:
     # Guards against a new baseline after a time as a hub: amounts admitted
     # before it received the other entries would never be removed.
     fleet = Fleet()
     fleet.admit("two", 10.0)
     for name in ("two", "three"):
-        fleet.tell_account(name)
+        fleet.send_report(name)
     for hub in HUBS:
-        fleet.tell_hubs(hub)
+        fleet.send_entry(hub)
     fleet.add_hub("one")
-    fleet.level_out()
+    fleet.synchronize()
     fleet.admit("two", 5.0)
-    fleet.level_out()
-    assert fleet.instances["one"].believed() == 15.0
+    fleet.synchronize()
+    assert fleet.instances["one"].counted() == 15.0
     fleet.step_down("one")
-    assert fleet.all_believe(15.0)
+    assert fleet.all_counted(15.0)
 
 
-def test_what_a_lost_counter_never_got_is_given_to_the_next() -> None:
+def test_reports_lost_with_a_hub_are_sent_to_the_next() -> None:
     # Guards against a lost report that is taken for a delivered one.
     fleet = Fleet()
     fleet.admit("one", 10.0)
-    fleet.give("one")
+    fleet.create_report("one")
     fleet.lose_first_hub()
     fleet.choose_second_hub()
-    assert fleet.all_believe(10.0)
+    assert fleet.all_counted(10.0)
 
 
-def test_what_a_lost_counter_had_told_nobody_is_given_to_the_next() -> None:
+def test_amounts_a_lost_hub_never_sent_are_reported_to_the_next() -> None:
     # Guards against amounts that are lost with the hub that confirmed them.
     fleet = Fleet()
     fleet.admit("one", 10.0)
-    fleet.tell_account("one")
-    fleet.tell_totals(HUBS[0])
+    fleet.send_report("one")
+    fleet.send_totals(HUBS[0])
     fleet.lose_first_hub()
     fleet.choose_second_hub()
-    assert fleet.all_believe(10.0)
+    assert fleet.all_counted(10.0)
 
 
-def test_what_a_lost_counter_told_hubs_alone_isnt_counted_twice() -> None:
+def test_amounts_a_lost_hub_sent_only_to_hubs_count_once() -> None:
     # Guards against amounts that are reported again to the next hub, as the
     # lost one never confirmed them to their giver.
     fleet = Fleet()
     fleet.admit("one", 10.0)
-    fleet.tell_account("one")
-    fleet.tell_hubs(HUBS[0])
+    fleet.send_report("one")
+    fleet.send_entry(HUBS[0])
     fleet.lose_first_hub()
     fleet.choose_second_hub()
-    assert fleet.all_believe(10.0)
+    assert fleet.all_counted(10.0)
 
 
-def test_the_last_word_of_a_lost_hub_reaches_all_hubs() -> None:
+def test_the_last_version_of_a_lost_hubs_entry_reaches_all_hubs() -> None:
     # Guards against permanently different totals if only one hub received the
     # lost hub's last version.
     fleet = Fleet()
     fleet.add_hub("hub-c")
-    fleet.level_out()
+    fleet.synchronize()
     fleet.admit(HUBS[0], 10.0)
-    fleet.tell_hubs(HUBS[0], others=["hub-c"])
+    fleet.send_entry(HUBS[0], others=["hub-c"])
     fleet.lose_first_hub()
     fleet.choose_second_hub()
-    assert fleet.all_believe(10.0)
+    assert fleet.all_counted(10.0)
 
 
-def test_totals_that_cross_an_account_dont_confirm_it() -> None:
+def test_totals_that_cross_a_report_dont_confirm_it() -> None:
     # Guards against a report taken for counted because of totals that the hub
     # created before it arrived; the report is lost with the hub.
     fleet = Fleet()
     totals = fleet.totals(HUBS[0])
     fleet.admit("one", 10.0)
-    fleet.give("one")
-    fleet.hear_totals("one", HUBS[0], totals)
+    fleet.create_report("one")
+    fleet.deliver_totals("one", HUBS[0], totals)
     fleet.lose_first_hub()
     fleet.choose_second_hub()
-    assert fleet.all_believe(10.0)
+    assert fleet.all_counted(10.0)
 
 
-def test_who_changes_the_counter_misses_nothing_meanwhile() -> None:
+def test_switching_hubs_misses_nothing() -> None:
     # Guards against a baseline set when the new hub is chosen, which misses
     # what was admitted just before.
     fleet = Fleet()
-    fleet.chosen["two"] = HUBS[1]
-    fleet.level_out()
+    fleet.hub_of["two"] = HUBS[1]
+    fleet.synchronize()
     fleet.lose_first_hub()
     fleet.admit("two", 10.0)
-    fleet.beat()
+    fleet.exchange()
     fleet.choose_second_hub()
-    assert fleet.all_believe(10.0)
+    assert fleet.all_counted(10.0)
 
 
-def test_news_while_a_counter_is_silent_makes_nobody_forget() -> None:
+def test_frequent_totals_of_another_hub_keep_the_baseline() -> None:
     # Guards against frequent totals of the next hub that displace those which
     # the last totals of the former one have to be compared with.
     fleet = Fleet()
-    fleet.chosen["two"] = HUBS[1]
-    fleet.level_out()
+    fleet.hub_of["two"] = HUBS[1]
+    fleet.synchronize()
     fleet.lose_first_hub()
     fleet.admit("two", 10.0)
-    fleet.beat()
+    fleet.exchange()
     for _ in range(20):
-        fleet.now_seconds += NEWS_SECONDS
-        fleet.tell_totals(HUBS[1])
+        fleet.now_seconds += TOTALS_SECONDS
+        fleet.send_totals(HUBS[1])
     fleet.choose_second_hub()
-    assert fleet.all_believe(10.0)
+    assert fleet.all_counted(10.0)
 
 
-def test_a_hub_that_began_later_changes_no_sum() -> None:
+def test_a_hub_that_started_later_changes_no_total() -> None:
     # Guards against totals that depend on when their hub started.
     fleet = Fleet()
     fleet.admit("one", 100.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.add_hub("late")
-    fleet.instances["late"].begun = -100.0
-    fleet.level_out()
-    fleet.chosen["two"] = "late"
+    fleet.instances["late"].offset = -100.0
+    fleet.synchronize()
+    fleet.hub_of["two"] = "late"
     fleet.admit("one", 5.0)
-    assert fleet.all_believe(105.0)
+    assert fleet.all_counted(105.0)
 
 
-def test_a_late_account_takes_nothing_back() -> None:
+def test_a_late_report_reverts_nothing() -> None:
     # Guards against a report that is overtaken by the next one.
     fleet = Fleet()
     fleet.admit("one", 10.0)
-    late = fleet.give("one")
-    fleet.now_seconds += BEAT_SECONDS
+    late = fleet.create_report("one")
+    fleet.now_seconds += HEARTBEAT_SECONDS
     fleet.admit("one", 5.0)
-    fleet.tell_account("one")
-    fleet.take("one", late)
-    fleet.tell_hubs(HUBS[0])
-    assert fleet.instances[HUBS[1]].believed() == 15.0
+    fleet.send_report("one")
+    fleet.deliver_report("one", late)
+    fleet.send_entry(HUBS[0])
+    assert fleet.instances[HUBS[1]].counted() == 15.0
 
 
-def test_the_last_word_of_an_instance_that_ended_counts_nothing_twice() -> (
-    None
-):
+def test_a_late_report_of_an_ended_instance_isnt_counted_twice() -> None:
     # Guards against a report delayed by a network partition: everything its
     # giver ever reported would be removed from all buckets once more.
     fleet = Fleet()
     fleet.admit("one", 10.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.admit("one", 5.0)
-    late = fleet.give("one")
+    late = fleet.create_report("one")
     fleet.instances[HUBS[0]].accounts.forget_instance("one")
-    fleet.take("one", late)
+    fleet.deliver_report("one", late)
     del fleet.instances["one"]
-    assert fleet.all_believe(10.0)
+    assert fleet.all_counted(10.0)
 
 
-def test_what_is_given_back_is_given_back_everywhere() -> None:
+def test_returned_amounts_are_returned_everywhere() -> None:
     # Guards against sums that can't decrease, also after a change of hubs.
     fleet = Fleet()
     fleet.admit("one", 10.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.instances["one"].rate.give_back(WORKSPACE.name, 4.0)
     fleet.lose_first_hub()
     fleet.choose_second_hub()
-    assert fleet.all_believe(6.0)
+    assert fleet.all_counted(6.0)
 
 
-def test_a_short_cut_hides_nothing() -> None:
+def test_a_short_partition_loses_nothing() -> None:
     # Guards against entries of the other side that stay outdated after a
     # network partition.
     fleet = Fleet()
-    fleet.chosen["two"] = HUBS[1]
-    fleet.level_out()
+    fleet.hub_of["two"] = HUBS[1]
+    fleet.synchronize()
     fleet.cut_off = {HUBS[1], "two"}
     fleet.admit("one", 10.0)
     fleet.admit("two", 5.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.cut_off = set()
-    assert fleet.all_believe(15.0)
+    assert fleet.all_counted(15.0)
 
 
-def test_only_what_was_learned_late_is_paid_from_what_was_withheld() -> None:
+def test_only_late_amounts_are_covered_by_the_withheld_part() -> None:
     # Guards against a part of the rate that is admitted twice: the withheld
     # part covers what the other side admitted in the partition, not this one.
     fleet = Fleet()
-    fleet.chosen["two"] = HUBS[1]
-    fleet.level_out()
-    paid = {name: [] for name in fleet.instances}
+    fleet.hub_of["two"] = HUBS[1]
+    fleet.synchronize()
+    covered = {name: [] for name in fleet.instances}
     for name, instance in fleet.instances.items():
-        instance.rate.take_out_late = lambda late, name=name, **_: paid[
+        instance.rate.take_out_late = lambda late, name=name, **_: covered[
             name
         ].append(late.get(WORKSPACE.name, 0.0))
     fleet.cut_off = {HUBS[1], "two"}
     fleet.admit("one", 10.0)
-    fleet.level_out()
-    assert not any(map(sum, paid.values()))
+    fleet.synchronize()
+    assert not any(map(sum, covered.values()))
     fleet.admit("two", 5.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.cut_off = set()
-    fleet.level_out()
-    assert {name: sum(late) for name, late in paid.items()} == {
+    fleet.synchronize()
+    assert {name: sum(late) for name, late in covered.items()} == {
         HUBS[0]: 5.0,
         "one": 5.0,
         "three": 5.0,
@@ -495,34 +493,34 @@
     }
 
 
-def test_who_went_on_alone_for_long_owes_nothing() -> None:
+def test_a_long_partition_leaves_no_debt() -> None:
     # Guards against removing all that the other side of a long partition
     # admitted at the whole rate: callers would be refused for as long again.
     fleet = Fleet()
-    fleet.chosen["two"] = HUBS[1]
-    fleet.level_out()
+    fleet.hub_of["two"] = HUBS[1]
+    fleet.synchronize()
     fleet.cut_off = {HUBS[1], "two"}
-    for _ in range(int(LONG_SECONDS / BEAT_SECONDS)):
+    for _ in range(int(LONG_SECONDS / HEARTBEAT_SECONDS)):
         fleet.admit("one", 100.0)
         fleet.admit("two", 100.0)
-        fleet.beat()
+        fleet.exchange()
     before = {
-        name: instance.believed() for name, instance in fleet.instances.items()
+        name: instance.counted() for name, instance in fleet.instances.items()
     }
     fleet.cut_off = set()
-    fleet.level_out()
+    fleet.synchronize()
     fleet.admit("one", 7.0)
-    after = fleet.believed()
+    after = fleet.counted()
     assert {name: after[name] - before[name] for name in after} == (
         dict.fromkeys(after, 7.0)
     )
 
 
-def test_of_two_eras_the_greater_goes_on() -> None:
+def test_the_greater_of_two_eras_wins() -> None:
     # Guards against adding up the sums of fleets that were never connected.
     fleet = Fleet()
     fleet.admit("one", 100.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.start("lone")
     fleet.begin_counting("lone")
     fleet.cut_off = {"lone"}
@@ -530,24 +528,24 @@
         heard_count=0, now_seconds=fleet.now_seconds
     )
     fleet.admit("lone", 500.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.cut_off = set()
-    fleet.level_out()
-    fleet.begin()
+    fleet.synchronize()
+    fleet.reset()
     fleet.admit("lone", 3.0)
     fleet.admit("two", 4.0)
-    assert fleet.all_believe(7.0)
+    assert fleet.all_counted(7.0)
 
 
 def test_entries_of_hubs_that_ended_long_ago_still_count() -> None:
     # Guards against totals that decrease when old entries are dropped.
     fleet = Fleet()
     fleet.admit(HUBS[0], 10.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.lose_first_hub()
     fleet.choose_second_hub()
     for _ in range(1_300):
-        fleet.beat()
+        fleet.exchange()
     for instance in fleet.instances.values():
         instance.accounts.forget(now_seconds=fleet.now_seconds)
     ledger = fleet.instances[HUBS[1]].accounts.ledger(
@@ -556,18 +554,18 @@
     assert ledger.folded.entries_count == 1
     assert all(name.startswith(HUBS[1]) for name in ledger.entries)
     fleet.add_hub("late")
-    fleet.instances["late"].begun = -10.0
-    fleet.level_out()
-    fleet.chosen.update(dict.fromkeys(OTHERS, "late"))
+    fleet.instances["late"].offset = -10.0
+    fleet.synchronize()
+    fleet.hub_of.update(dict.fromkeys(OTHERS, "late"))
     fleet.admit("one", 5.0)
-    assert fleet.all_believe(15.0)
+    assert fleet.all_counted(15.0)
 
 
-def test_a_hub_that_knows_nobodys_entries_tells_no_totals() -> None:
+def test_a_hub_without_the_entries_of_others_sends_no_totals() -> None:
     # Guards against totals that contain only what one hub has counted itself.
     fleet = Fleet()
     fleet.admit("one", 10.0)
-    fleet.level_out()
+    fleet.synchronize()
     fleet.start("late")
     fleet.begin_counting("late")
     assert fleet.totals("late") is None
@@ -587,14 +585,14 @@
         heard_count=0, now_seconds=fleet.now_seconds
     )
     fleet.admit("lone", 500.0)
-    fleet.tell_hubs("lone")
+    fleet.send_entry("lone")
     ledger = fleet.instances[HUBS[0]].accounts.ledger(
         now_seconds=fleet.now_seconds
     )
     assert not any(name.startswith("lone") for name in ledger.entries)
 
 
-def test_all_hubs_are_in_the_era_of_those_that_met_again() -> None:
+def test_all_hubs_take_over_the_era_after_a_reunion() -> None:
     # Guards against totals that are compared across a reunion, sent by a hub
     # that was connected to both sides of the partition all the time.
     fleet = Fleet()
@@ -608,18 +606,18 @@
     assert fleet.totals(HUBS[1]).era == era
 
 
-def test_an_account_for_a_former_entry_isnt_counted() -> None:
+def test_a_report_for_a_former_entry_isnt_counted() -> None:
     # Guards against counting a report for an entry that its hub has replaced.
     fleet = Fleet()
     fleet.admit("one", 10.0)
-    late = fleet.give("one")
+    late = fleet.create_report("one")
     fleet.step_down(HUBS[0])
     fleet.begin_counting(HUBS[0])
-    fleet.level_out()
+    fleet.synchronize()
     before = fleet.totals(HUBS[0], whole=True).amounts
     amounts = {WORKSPACE.name: 25.0}
-    fleet.take("one", late._replace(number=1_000, amounts=amounts))
-    fleet.tell_hubs(HUBS[0])
+    fleet.deliver_report("one", late._replace(number=1_000, amounts=amounts))
+    fleet.send_entry(HUBS[0])
     assert fleet.totals(HUBS[0], whole=True).amounts == before
 
 
@@ -636,12 +634,12 @@
         assert asks == (version is newer)
 
 
-def test_a_hub_that_missed_givers_asks_who_they_are() -> None:
+def test_a_hub_that_missed_giver_indexes_asks_for_them() -> None:
     # Guards against reports taken for lost because the index of their giver
     # is unknown.
     fleet = Fleet()
     fleet.admit("one", 10.0)
-    fleet.tell_account("one")
+    fleet.send_report("one")
     fleet.add_hub("late")
     accounts = fleet.instances[HUBS[0]].accounts
     accounts.count_own(now_seconds=fleet.now_seconds)
@@ -653,7 +651,7 @@
         entries={name: (age_seconds, entry._replace(indexes={}))}
     )
     late.merge(without, now_seconds=fleet.now_seconds)
-    account = fleet.give("one")._replace(former=(name,), number=1_000)
+    account = fleet.create_report("one")._replace(former=(name,), number=1_000)
     own_name = messages.entry_name("late", 0)
     late.count(
         "one",
@@ -673,21 +671,21 @@
     assert numbers[name] > 0
 
 
-def test_who_missed_the_first_whole_totals_says_so() -> None:
+def test_missing_initial_totals_are_requested() -> None:
     # Guards against an instance that never removes what others admit.
     fleet = Fleet()
     fleet.start("late")
-    fleet.hear_totals("late", HUBS[0], fleet.totals(HUBS[0]))
+    fleet.deliver_totals("late", HUBS[0], fleet.totals(HUBS[0]))
     changes = fleet.totals(HUBS[0])._replace(whole=False)
     fleet.start("later")
-    fleet.hear_totals("later", HUBS[0], changes)
+    fleet.deliver_totals("later", HUBS[0], changes)
     assert fleet.instances["later"].accounts.lacks_totals
-    fleet.hear_totals("later", HUBS[0], fleet.totals(HUBS[0], whole=True))
+    fleet.deliver_totals("later", HUBS[0], fleet.totals(HUBS[0], whole=True))
     assert not fleet.instances["later"].accounts.lacks_totals
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_any_course_of_events_counts_all_once(seed) -> None:
+def test_any_sequence_of_events_counts_all_once(seed) -> None:
     # Guards against any order of hub losses, hub changes and messages.
     fleet = Fleet()
     chance = random.Random(seed)
@@ -700,25 +698,25 @@
         admitted += amount
         event = chance.random()
         if event < 0.1:
-            fleet.level_out()
+            fleet.synchronize()
             fleet.add_hub(late := next(spare))
-            fleet.instances[late].begun = -admitted
-            fleet.level_out()
+            fleet.instances[late].offset = -admitted
+            fleet.synchronize()
         elif event < 0.2 and len(fleet.hubs) > 2:
             fleet.lose(chance.choice(fleet.hubs))
-            fleet.chosen.update(
+            fleet.hub_of.update(
                 (other, chance.choice(fleet.hubs)) for other in OTHERS
             )
         elif event < 0.5:
-            fleet.chosen[name] = chance.choice(fleet.hubs)
+            fleet.hub_of[name] = chance.choice(fleet.hubs)
         if chance.random() < 0.5:
-            fleet.tell_account(chance.choice(OTHERS))
+            fleet.send_report(chance.choice(OTHERS))
         if chance.random() < 0.5:
-            fleet.tell_hubs(chance.choice(fleet.hubs))
+            fleet.send_entry(chance.choice(fleet.hubs))
         if chance.random() < 0.5:
-            fleet.tell_totals(chance.choice(fleet.hubs))
+            fleet.send_totals(chance.choice(fleet.hubs))
         if chance.random() < 0.3:
-            fleet.beat()
-    believed = fleet.believed()
-    assert {believed[name] for name in OTHERS} == {admitted}
-    assert all(believed[name] == admitted for name in fleet.hubs)
+            fleet.exchange()
+    counted = fleet.counted()
+    assert {counted[name] for name in OTHERS} == {admitted}
+    assert all(counted[name] == admitted for name in fleet.hubs)
--- a/tests/policy/test_service_rate.py
+++ b/tests/policy/test_service_rate.py
@@ -7,7 +7,7 @@
 from boragefold.policy import service_rate
 
 
-def test_an_idle_queue_says_nothing_of_the_rate() -> None:
+def test_the_rate_isnt_measured_on_an_idle_queue() -> None:
     # Guards against a burst that is refused after a time of little load: the
     # demand of an idle instance would be taken for its capacity.
     rate = service_rate.ServiceRate()
@@ -24,7 +24,7 @@
     assert rate.tokens_per_second() == pytest.approx(500.0, rel=0.05)
 
 
-def test_what_passed_while_nothing_waited_is_not_counted() -> None:
+def test_requests_taken_while_none_waited_arent_counted() -> None:
     rate = service_rate.ServiceRate()
     for tick in range(10):
         rate.taken(5000.0, now_seconds=tick / 10)
--- a/tests/policy/test_shared_rate.py
+++ b/tests/policy/test_shared_rate.py
@@ -6,7 +6,7 @@
 from boragefold.policy import shared_rate
 from boragefold.state import deployment
 
-BEAT_SECONDS = 0.25
+HEARTBEAT_SECONDS = 0.25
 STEP_SECONDS = 0.01
 
 
@@ -34,7 +34,7 @@
         self.refused = 0
         self.now = 0.0
         self.rng = random.Random(seed)
-        self._beat_at = 0.0
+        self._heartbeat_at = 0.0
         self._heard = collections.defaultdict(float)
 
     def share(self, number):
@@ -57,9 +57,9 @@
 
     def step(self):
         self.now += STEP_SECONDS
-        if self.now < self._beat_at:
+        if self.now < self._heartbeat_at:
             return
-        self._beat_at = self.now + BEAT_SECONDS
+        self._heartbeat_at = self.now + HEARTBEAT_SECONDS
         for one, sender in enumerate(self.rates):
             for other, rate in enumerate(self.rates):
                 if one != other and self.sides[one] == self.sides[other]:
@@ -68,7 +68,7 @@
                     rate.take_out({"press": amount - before})
                     self._heard[one, other] = amount
 
-    def most_in(self, window):
+    def max_admitted(self, window):
         return max(
             sum(
                 amount
@@ -98,7 +98,7 @@
     for _ in range(3_000):
         fleet.step()
         fleet.offer(100.0)
-    assert fleet.most_in(8.0) <= 1.25 * (8 * 1_000 + 1_000)
+    assert fleet.max_admitted(8.0) <= 1.25 * (8 * 1_000 + 1_000)
     assert sum(amount for _, amount in fleet.admitted) >= 0.9 * 30 * 1_000
 
 
@@ -111,7 +111,7 @@
             fleet.sides = [0, 0, 1, 1, 2, 2]
         fleet.step()
         fleet.offer(100.0)
-    assert fleet.most_in(8.0) <= 1.25 * (8 * 1_000 + 1_000)
+    assert fleet.max_admitted(8.0) <= 1.25 * (8 * 1_000 + 1_000)
 
 
 def test_the_tolerance_serves_a_burst() -> None:
@@ -128,7 +128,7 @@
     assert lenient.refused == 0
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_a_refusal_says_when_to_retry() -> None:
     fleet = Instances(1)
     fleet.offer(1_000.0)
     wait = fleet.offer(500.0)
@@ -137,7 +137,7 @@
     assert fleet.offer(500.0) is None
 
 
-def test_what_never_ran_is_given_back() -> None:
+def test_amounts_of_requests_that_never_ran_are_returned() -> None:
     fleet = Instances(1)
     fleet.offer(1_000.0)
     fleet.rates[0].give_back("press", 1_000.0)
@@ -145,25 +145,25 @@
     assert fleet.rates[0].admitted == {"press": 1_000.0}
 
 
-def cut_for(rate, seconds):
+def partition_for(rate, seconds):
     # The bucket is filled with half of the rate meanwhile.
     rate.admit(workspace(), 1_000.0, share=1.0, now_seconds=0.0)
     rate.admit(workspace(), 0.0, share=0.5, now_seconds=seconds)
 
 
-def test_what_was_withheld_pays_for_what_others_admitted() -> None:
+def test_the_withheld_part_covers_late_amounts() -> None:
     rate = shared_rate.SharedRate()
-    cut_for(rate, 1.0)
+    partition_for(rate, 1.0)
     rate.take_out_late({"press": 500.0}, now_seconds=1.5)
     assert rate.level("press") == 500.0
     rate.take_out_late({"press": 30.0}, now_seconds=1.5)
     assert rate.level("press") == 470.0
 
 
-def test_what_was_withheld_long_ago_pays_for_nothing() -> None:
+def test_a_part_withheld_long_ago_covers_nothing() -> None:
     # The unreachable instances had ended; others were cut off later.
     rate = shared_rate.SharedRate()
-    cut_for(rate, 1.0)
+    partition_for(rate, 1.0)
     late_seconds = 1.5 + shared_rate.FORGET_SECONDS
     rate.take_out_late({"press": 500.0}, now_seconds=late_seconds)
     assert rate.level("press") == 0.0
