--- a/src/boragefold/policy/rate_ledger.py
+++ b/src/boragefold/policy/rate_ledger.py
@@ -100,9 +100,9 @@
         return self._totals.recent(now_seconds=now_seconds)
 
     def is_whole(self, *, whole: bool, now_seconds: float) -> bool:
-        """Return whether :meth:`told_totals` includes all totals.
+        """Return whether all totals are sent, not only recent changes.
 
-        :param whole: as for :meth:`told_totals`
+        :param whole: whether receivers know none
         :param now_seconds: reading of the process clock
         :return: whether a workspace that isn't included has a sum of 0
         """
