--- a/src/boragefold/policy/given_amounts.py
+++ b/src/boragefold/policy/given_amounts.py
@@ -1,9 +1,9 @@
-"""What one instance gave hubs to count, and how much of it they hold.
+"""What one instance reported to hubs, and how much of it their entries hold.
 
-An instance gives each amount to one hub. Where that one is lost, the others
-hold an older version of its entry, or have heard less of it than the instance
-was told: what is missing there is given to the next hub, and what shows after
-all is taken back from it.
+An instance reports each amount to one hub. If that hub is lost, the other
+hubs hold an older version of its entry, or received less of it than was
+confirmed to the instance: the missing amounts are reported to the next hub,
+and amounts that turn out to be held after all are subtracted there again.
 """
 
 from __future__ import annotations
@@ -14,68 +14,68 @@
 
 from boragefold.protocol import rate_ledger_messages as messages
 
-# For so long it may still turn out what the entry of a former hub holds.
+# During this time, the amounts known of an earlier hub's entry may change.
 SETTLE_SECONDS = 20.0
-# No living hub holds older versions of an entry.
-KEPT_SECONDS = 6.0
-# Entries that are given something again go on where they were left.
-KEPT_ENTRIES = 64
+# No reachable hub stores older versions of an entry.
+KEPT_REPORT_SECONDS = 6.0
+# An entry that is reported to again continues from its kept state.
+MAX_ENTRIES = 64
 
 
-class Given(NamedTuple):
-    """What was given to an entry with the account of a number."""
+class Report(NamedTuple):
+    """The amounts of one numbered report to an entry."""
 
     number: int
     at_seconds: float
     amounts: dict[str, float]
 
 
-class EntryAccount:
-    """What one entry was given and holds."""
+class EntryReports:
+    """What was reported to one entry, and what it holds."""
 
     def __init__(self) -> None:
         self.held: dict[str, float] = {}
-        self.given: list[Given] = []
-        self.last_given_at_seconds = 0.0
+        self.reports: list[Report] = []
+        self.last_reported_at_seconds = 0.0
 
     def note_held(self, number: int) -> None:
-        """Note which account the entry holds.
+        """Record which report the entry holds.
 
-        :param number: the last one that it does
+        :param number: of the last report that is included; 0 for none
         """
-        older = [given for given in self.given if given.number <= number]
-        if not number or not self.given:
+        older = [report for report in self.reports if report.number <= number]
+        if not number or not self.reports:
             self.held = {}
         else:
-            self.held = (older or self.given[:1])[-1].amounts
+            self.held = (older or self.reports[:1])[-1].amounts
 
     def drop_older(self, before_seconds: float) -> None:
-        """Drop accounts that can't be the last any more.
+        """Drop reports that can't be the last included one any more.
 
-        :param before_seconds: those that were followed before this
+        :param before_seconds: reports whose successor is older are dropped
         """
-        self.given = [
-            given
-            for given, following in itertools.zip_longest(
-                self.given, self.given[1:]
+        self.reports = [
+            report
+            for report, following in itertools.zip_longest(
+                self.reports, self.reports[1:]
             )
             if following is None or following.at_seconds >= before_seconds
         ]
 
 
 class GivenAmounts:
-    """What this instance gave to each entry."""
+    """What this instance reported to each entry."""
 
     def __init__(self) -> None:
-        self._accounts: dict[str, EntryAccount] = {}
-        self._number = 0
+        self._entries: dict[str, EntryReports] = {}
+        self._last_number = 0
         self._held: dict[str, float] = {}
         self._held_by_dropped: dict[str, float] = {}
 
     def held(self, workspace: str) -> float:
-        """Tell how much of what was admitted here all entries hold.
+        """Return how much of what was admitted here all entries hold.
 
-        :param workspace: whose
+        :param workspace: its name
         :return: tokens or requests
         """
         return self._held.get(workspace, 0.0)
@@ -87,75 +87,77 @@
         *,
         now_seconds: float,
     ) -> messages.Account:
-        """Give an entry what no other one holds.
+        """Report to an entry all amounts that no other entry holds.
 
         :param counter: the entry's name
-        :param admitted: what was admitted here in all, by workspace
+        :param admitted: everything admitted here, by workspace
         :param now_seconds: reading of the process clock
-        :return: what to tell its hub
+        :return: the report for the entry's hub
         """
-        account = self._accounts.setdefault(counter, EntryAccount())
-        account.last_given_at_seconds = now_seconds
+        entry = self._entries.setdefault(counter, EntryReports())
+        entry.last_reported_at_seconds = now_seconds
         amounts = {
             workspace: amount
             - self.held(workspace)
-            + account.held.get(workspace, 0.0)
+            + entry.held.get(workspace, 0.0)
             for workspace, amount in admitted.items()
         }
-        if not account.given or account.given[-1].amounts != amounts:
-            self._number += 1
-            account.given.append(Given(self._number, now_seconds, amounts))
-        account.drop_older(now_seconds - KEPT_SECONDS)
+        if not entry.reports or entry.reports[-1].amounts != amounts:
+            self._last_number += 1
+            entry.reports.append(
+                Report(self._last_number, now_seconds, amounts)
+            )
+        entry.drop_older(now_seconds - KEPT_REPORT_SECONDS)
         unconfirmed = {
             workspace: amount
             for workspace, amount in amounts.items()
-            if amount != account.held.get(workspace, 0.0)
+            if amount != entry.held.get(workspace, 0.0)
         }
         return messages.Account(
             counter,
-            account.given[-1].number,
+            entry.reports[-1].number,
             unconfirmed,
             self.former(counter, now_seconds=now_seconds),
         )
 
     def former(self, counter: str, *, now_seconds: float) -> tuple[str, ...]:
-        """List the entries that were given something lately, and aren't now.
+        """List the entries recently reported to, without the current one.
 
-        :param counter: the entry that is
+        :param counter: the current entry
         :param now_seconds: reading of the process clock
         :return: their names
         """
         oldest_seconds = now_seconds - SETTLE_SECONDS
         return tuple(
             name
-            for name, account in self._accounts.items()
+            for name, entry in self._entries.items()
             if name != counter
-            and account.last_given_at_seconds >= oldest_seconds
+            and entry.last_reported_at_seconds >= oldest_seconds
         )
 
     def note_held(self, numbers: Mapping[str, int]) -> None:
-        """Note which accounts the entries hold, as a hub has them.
+        """Record which reports the entries hold, as received from a hub.
 
-        :param numbers: by entry that of the last account
+        :param numbers: number of the last included report, by entry
         """
         for name, number in numbers.items():
-            if name in self._accounts:
-                self._accounts[name].note_held(number)
-        self._add_up()
+            if name in self._entries:
+                self._entries[name].note_held(number)
+        self._update_held()
 
     def forget(self) -> None:
-        """Drop the entries that were given nothing for longest."""
-        last_given = sorted(
-            self._accounts,
-            key=lambda name: self._accounts[name].last_given_at_seconds,
+        """Drop the entries that were reported to least recently."""
+        by_age = sorted(
+            self._entries,
+            key=lambda name: self._entries[name].last_reported_at_seconds,
         )
-        for name in last_given[:-KEPT_ENTRIES]:
-            _add(self._held_by_dropped, self._accounts.pop(name).held)
+        for name in by_age[:-MAX_ENTRIES]:
+            _add(self._held_by_dropped, self._entries.pop(name).held)
 
-    def _add_up(self) -> None:
+    def _update_held(self) -> None:
         held = dict(self._held_by_dropped)
-        for account in self._accounts.values():
-            _add(held, account.held)
+        for entry in self._entries.values():
+            _add(held, entry.held)
         self._held = held
 
 
--- a/tests/policy/test_shared_rate.py
+++ b/tests/policy/test_shared_rate.py
@@ -6,7 +6,7 @@
 from boragefold.policy import shared_rate
 from boragefold.state import deployment
 
-BEAT_SECONDS = 0.25
+HEARTBEAT_SECONDS = 0.25
 STEP_SECONDS = 0.01
 
 
@@ -23,7 +23,7 @@
 
 
 class Instances:
-    """Some instances that tell each other what they admitted."""
+    """Several instances that send each other what they admitted."""
 
     def __init__(self, count, *, tolerance=None, seed=1):
         self.rates = [
@@ -34,7 +34,7 @@
         self.refused = 0
         self.now = 0.0
         self.rng = random.Random(seed)
-        self._beat_at = 0.0
+        self._heartbeat_at = 0.0
         self._heard = collections.defaultdict(float)
 
     def share(self, number):
@@ -57,9 +57,9 @@
 
     def step(self):
         self.now += STEP_SECONDS
-        if self.now < self._beat_at:
+        if self.now < self._heartbeat_at:
             return
-        self._beat_at = self.now + BEAT_SECONDS
+        self._heartbeat_at = self.now + HEARTBEAT_SECONDS
         for one, sender in enumerate(self.rates):
             for other, rate in enumerate(self.rates):
                 if one != other and self.sides[one] == self.sides[other]:
@@ -68,7 +68,7 @@
                     rate.take_out({"press": amount - before})
                     self._heard[one, other] = amount
 
-    def most_in(self, window):
+    def max_admitted(self, window):
         return max(
             sum(
                 amount
@@ -80,8 +80,9 @@
 
 
 def test_uneven_callers_inside_the_rate_are_never_refused() -> None:
-    # All callers of a workspace come through one of seven instances. A part
-    # of the rate for each instance would refuse six of seven requests.
+    # Guards against a fixed part of the rate for each instance: with all
+    # callers of a workspace at one of seven instances, six of seven requests
+    # would be refused.
     fleet = Instances(7)
     for number in range(2_000):
         fleet.step()
@@ -91,31 +92,31 @@
 
 
 def test_a_hot_workspace_gets_its_rate_over_all_instances() -> None:
-    # One workspace sends ten times its rate through all instances. Over any
-    # eight seconds it may get its rate and burst, and a quarter on top.
+    # One workspace sends ten times its rate through all instances. In any
+    # eight seconds it may get at most its rate and burst plus a quarter.
     fleet = Instances(7)
     for _ in range(3_000):
         fleet.step()
         fleet.offer(100.0)
-    assert fleet.most_in(8.0) <= 1.25 * (8 * 1_000 + 1_000)
+    assert fleet.max_admitted(8.0) <= 1.25 * (8 * 1_000 + 1_000)
     assert sum(amount for _, amount in fleet.admitted) >= 0.9 * 30 * 1_000
 
 
 def test_a_cut_doesnt_double_the_rate() -> None:
-    # The data centres lose each other while a workspace sends far too much
-    # everywhere. Each side must go on with its part, not with the whole rate.
+    # Guards against a network partition in which each data centre admits the
+    # whole rate of an overloading workspace instead of its part.
     fleet = Instances(6)
     for number in range(3_000):
         if number == 1_000:
             fleet.sides = [0, 0, 1, 1, 2, 2]
         fleet.step()
         fleet.offer(100.0)
-    assert fleet.most_in(8.0) <= 1.25 * (8 * 1_000 + 1_000)
+    assert fleet.max_admitted(8.0) <= 1.25 * (8 * 1_000 + 1_000)
 
 
 def test_the_tolerance_serves_a_burst() -> None:
     # Three requests of half the burst at once: the rate alone refuses one,
-    # though the deployment tolerates it.
+    # although the tolerance allows it.
     tolerance = shared_rate.Tolerance(
         window_seconds=8.0, overage=0.25, slack=0.0
     )
@@ -127,7 +128,7 @@
     assert lenient.refused == 0
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_a_refusal_says_when_to_retry() -> None:
     fleet = Instances(1)
     fleet.offer(1_000.0)
     wait = fleet.offer(500.0)
@@ -136,7 +137,7 @@
     assert fleet.offer(500.0) is None
 
 
-def test_what_never_ran_is_given_back() -> None:
+def test_amounts_of_requests_that_never_ran_are_returned() -> None:
     fleet = Instances(1)
     fleet.offer(1_000.0)
     fleet.rates[0].give_back("press", 1_000.0)
@@ -144,25 +145,25 @@
     assert fleet.rates[0].admitted == {"press": 1_000.0}
 
 
-def cut_for(rate, seconds):
-    # Half of the rate fills the bucket meanwhile.
+def partition_for(rate, seconds):
+    # The bucket is filled with half of the rate meanwhile.
     rate.admit(workspace(), 1_000.0, share=1.0, now_seconds=0.0)
     rate.admit(workspace(), 0.0, share=0.5, now_seconds=seconds)
 
 
-def test_what_was_withheld_pays_for_what_others_admitted() -> None:
+def test_the_withheld_part_covers_late_amounts() -> None:
     rate = shared_rate.SharedRate()
-    cut_for(rate, 1.0)
+    partition_for(rate, 1.0)
     rate.take_out_late({"press": 500.0}, now_seconds=1.5)
     assert rate.level("press") == 500.0
     rate.take_out_late({"press": 30.0}, now_seconds=1.5)
     assert rate.level("press") == 470.0
 
 
-def test_what_was_withheld_long_ago_pays_for_nothing() -> None:
-    # The silent ones had ended, and others were cut off later.
+def test_a_part_withheld_long_ago_covers_nothing() -> None:
+    # The unreachable instances had ended; others were cut off later.
     rate = shared_rate.SharedRate()
-    cut_for(rate, 1.0)
+    partition_for(rate, 1.0)
     late_seconds = 1.5 + shared_rate.FORGET_SECONDS
     rate.take_out_late({"press": 500.0}, now_seconds=late_seconds)
     assert rate.level("press") == 0.0
