--- a/src/boragefold/policy/engine_asks.py
+++ b/src/boragefold/policy/engine_asks.py
@@ -1,4 +1,7 @@
-"""What is asked of an engine's schedule, and what it decides."""
+"""Requests that are submitted to an engine's schedule, and its decisions.
+
+An order is a command to the engine to load or to unload an adapter or a model.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +12,16 @@
 
 
 class Ask(NamedTuple):
-    """A request that wants to run at an engine.
-
-    Times are readings of the process clock: it is on time if it starts by
-    ``on_time_by_seconds``, useless from ``give_up_at_seconds`` on, and over by
-    ``ends_by_seconds`` whatever happens. ``sender`` is the instance that will
-    send it, ``priority`` is lower for what is more urgent. An ``eager`` one
-    would rather go elsewhere than wait until it is late. ``event_gap_seconds``
-    is the longest pause that its answer may make; 0 where it names none.
+    """A request that is to run on an engine.
+
+    Times are readings of the process clock: the response is on time if it
+    starts by ``on_time_by_seconds``, the request is dropped from the queue at
+    ``give_up_at_seconds``, and it has certainly ended by ``ends_by_seconds``.
+    ``sender`` is the instance that forwards it to the engine; a lower
+    ``priority`` is more urgent. An ``eager`` request is refused at once if it
+    would start late, so that the sender can try another engine.
+    ``event_gap_seconds`` is the longest pause between two events of the
+    response that its caller tolerates; 0 if unspecified.
     """
 
     request_id: str
@@ -33,18 +38,19 @@
 
     @property
     def total_tokens(self) -> int:
-        """Tell how much of an engine's memory the request may fill.
+        """Compute how much KV cache the request may fill.
 
-        :return: tokens of prompt and answer
+        :return: tokens of prompt and response
         """
         return self.prompt_tokens + self.output_tokens
 
 
 class Waits(NamedTuple):
-    """What a request waited for at an engine's owner, in this order.
+    """Times that a request spent in the queue of an engine, in this order.
 
-    ``place_seconds`` until its adapter was ordered, ``load_seconds`` until it
-    was there, ``turn_seconds`` until the engine had room for the request.
+    ``place_seconds`` until the load of its adapter was ordered,
+    ``load_seconds`` until the adapter was loaded, ``turn_seconds`` until the
+    engine had capacity for the request.
     """
 
     place_seconds: float = 0.0
@@ -53,7 +59,7 @@
 
 
 class Grant(NamedTuple):
-    """The request may be sent now; ``version`` is that of its adapter."""
+    """The request may be sent now, with this version of its adapter."""
 
     ask: Ask
     version: int
@@ -61,9 +67,9 @@
 
 
 class TurnAway(NamedTuple):
-    """The request will not run at this engine.
+    """The request is refused by this engine's schedule.
 
-    ``wait_seconds`` is what an eager one would have had to wait here.
+    ``wait_seconds`` is the estimated wait of an eager request here.
     """
 
     ask: Ask
@@ -73,14 +79,14 @@
 
 
 class Load(NamedTuple):
-    """Order the engine to load an adapter, or a model where it names none."""
+    """Order the engine to load an adapter, or a model if it names none."""
 
     key: deployment.AdapterKey
     version: int
 
 
 class Unload(NamedTuple):
-    """Order the engine to drop an adapter that nothing uses."""
+    """Order the engine to unload an adapter that no request uses."""
 
     key: deployment.AdapterKey
 
--- a/src/boragefold/policy/engine_choice.py
+++ b/src/boragefold/policy/engine_choice.py
@@ -1,11 +1,12 @@
-"""Which engine a request is asked of.
-
-Load pattern: thousands of adapters, a few of them popular, in front of a
-handful of engines with few places each. Sent wherever there is room, each
-adapter is loaded again and again all over the fleet, and an engine's own
-copies of adapters that it had before are of no use. Here each adapter has an
-order of engines of its own, the same at every instance without a word, and
-leaves its first one only for as long as waiting there would cost more.
+"""Ranks the engines that may run a request.
+
+Load pattern: thousands of adapters, a few of them popular, share a handful of
+engines with few adapter slots each. If requests go wherever there is capacity,
+each adapter is loaded again and again all over the fleet, and the copies in an
+engine's host memory go unused. Rendezvous hashing therefore gives each adapter
+its own order of engines, which all instances compute alike without
+communicating. A request leaves the first engine of that order only while
+waiting there would cost more.
 """
 
 from __future__ import annotations
@@ -20,29 +21,29 @@
 from boragefold.policy import load_times
 from boragefold.state import deployment
 
-# The backlog that is preferred to the next engine in an adapter's order.
+# Backlog that is accepted before the next engine in an adapter's order.
 STEP_SECONDS = 0.08
-# Beyond this the adapter is a guest at any engine.
+# Engines further down the order all cost the same.
 MAX_STEPS = 4
 FAR_SECONDS = 0.01
-# Multiplied by the part of requests that an engine fails.
+# Multiplied by the fraction of requests that an engine fails.
 UNHEALTHY_SECONDS = 2.0
 
-# Adapters that are asked for again and again.
+# Sized for the adapters that are requested again and again.
 REMEMBERED_HOMES = 256
-# Without an owner the backlog isn't known.
+# The backlog of an engine that no instance schedules is unknown.
 UNSCHEDULED_SECONDS = 0.1
-# A model has to be loaded first.
+# An engine without the model has to load it first.
 EMPTY_SECONDS = 2.0
 
 
 class EngineView(NamedTuple):
-    """What an instance knows of an engine that some instance schedules.
+    """What an instance knows about an engine.
 
-    ``health`` is 1 when nothing failed lately and 0 when everything did.
-    Where nobody is known to schedule the engine, nothing is loaded there;
-    where somebody does, nothing for the next ``orders_in_seconds``. ``copies``
-    are digests of the adapters that it loads quickly.
+    ``health`` is 1 if no request failed lately and 0 if all did. An engine
+    that no instance is known to schedule loads nothing; a scheduled one loads
+    nothing for the next ``orders_in_seconds``. ``copies`` are digests of the
+    adapters that it can load from its host memory.
     """
 
     name: str
@@ -63,14 +64,14 @@
     """Order engines by how soon a request would start there.
 
     :param key: the adapter that the request needs
-    :param engines: those that may be asked
-    :return: the best first
+    :param engines: the candidates
+    :return: the engines that can run the request, best first
     """
     by_name = {engine.name: engine for engine in engines}
     homes = [by_name[name] for name in _homes(key, tuple(by_name))]
     able = [engine for engine in homes if _is_able(key, engine)]
     costs = _costs(key, able)
-    # Of two alike the first home goes first: sorting keeps their order.
+    # A stable sort: engines of equal cost stay in the adapter's order.
     order = sorted(range(len(able)), key=costs.__getitem__)
     return [able[place] for place in order]
 
@@ -84,7 +85,8 @@
 
 
 def _costs(key: deployment.AdapterKey, homes: list[EngineView]) -> list[float]:
-    # One expression over unpacked fields: it runs for each engine at each ask.
+    # One expression over unpacked fields: it is evaluated for each engine on
+    # each ranking.
     model = key.model
     digest = engine_copies.digest(key)
     needs_adapter = bool(key.adapter)
--- a/src/boragefold/policy/engine_copies.py
+++ b/src/boragefold/policy/engine_copies.py
@@ -1,10 +1,10 @@
-"""Which adapters engines keep copies of, told in a few bytes.
+"""Short digests of the adapters in an engine's host memory.
 
-Load pattern: an adapter is asked for again after its place went to another.
-An engine that held it lately loads it from its own memory ten times as fast
-as from the store, and only the engine's owner knows. Without a word of it,
-others send the request to wherever places are idle, and the store delivers
-the adapter a second time.
+Load pattern: an adapter is requested again after its slot was given to
+another. An engine that had it lately loads it from host memory ten times as
+fast as from the weight store, but only the instance that schedules the engine
+knows this. Unless that instance announces it, the others send the request to
+any engine with idle slots, and the store delivers the adapter a second time.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 from boragefold.state import deployment
 
-# Short, as it travels with each heartbeat; a collision costs one load.
+# Short, since digests are part of each heartbeat; a collision costs one load.
 DIGEST_BITS = 16
-# An engine's copies change more slowly than they are told.
+# The same copies are announced many times before they change.
 REMEMBERED_DIGESTS = 4_096
 
 
 @functools.lru_cache(maxsize=REMEMBERED_DIGESTS)
 def digest(key: deployment.AdapterKey) -> int:
-    """Name an adapter briefly.
+    """Compute a short digest of an adapter.
 
     :param key: the adapter
-    :return: a number that a few other adapters share
+    :return: a number; a few other adapters have the same
     """
     text = "\0".join(key).encode()
     return xxhash.xxh3_64_intdigest(text) % (1 << DIGEST_BITS)
 
 
 def digests(keys: Iterable[deployment.AdapterKey]) -> tuple[int, ...]:
-    """Name the adapters that an engine keeps copies of.
+    """Compute the digests of the adapters that an engine has copies of.
 
     :param keys: the adapters
-    :return: a number for each
+    :return: a digest for each
     """
     return tuple(map(digest, keys))
 
--- a/src/boragefold/policy/engine_pace.py
+++ b/src/boragefold/policy/engine_pace.py
@@ -1,38 +1,38 @@
-"""How quickly one engine reads prompts, and how long its answers take.
+"""Estimates the prefill speed and the response time of one engine.
 
 Load pattern: prompts of very different lengths, on engines of different
-speeds. A prompt costs a fixed time, whatever its length, and a time for each
-of its tokens. Taken for one speed, the fixed part of short prompts makes an
-engine look half as fast as it is: long prompts are refused before a backlog
-that the engine would have read in time. Here both parts are fitted to the
-starts that the engine has shown.
+speeds. The prefill of a prompt takes a fixed time plus a time per token. With
+one speed for both, the fixed part of short prompts makes an engine look half
+as fast as it is, and long prompts are refused although the engine would have
+worked off its backlog in time. Both parts are therefore fitted to the times to
+first token that the engine showed.
 """
 
 from __future__ import annotations
 
 import dataclasses
 
-# Assumed until starts were seen.
+# Assumed before the first response started.
 FIRST_FIXED_SECONDS = 0.03
 FIRST_TOKENS_PER_SECOND = 20_000.0
-# The assumption weighs as much as starts of these lengths.
+# The assumption weighs as much as measured prefills of these lengths.
 FIRST_PROMPTS_TOKENS = (300, 4_000) * 5
-# Limits outliers: a prompt read from the cache, or a pause of the engine.
+# Limits outliers: a prompt in the prefix cache, or a pause of the engine.
 MOST_STRETCH = 2.0
 LEAST_SPEED = 2_000.0
 MOST_SPEED = 200_000.0
 MOST_FIXED_SECONDS = 0.5
-# Exponential forgetting with each start.
+# Exponential decay per measured prefill.
 FADING = 0.93
-# Assumed before the first answer.
+# Assumed before the first response ended.
 FIRST_RUN_SECONDS = 0.8
-# One long answer must not make the engine look blocked.
+# Low, so that one long response doesn't make the engine look blocked.
 RUN_SMOOTHING = 0.1
 
 
 @dataclasses.dataclass(kw_only=True)
 class Sums:
-    """Faded sums over starts, for a line through them by least squares."""
+    """Exponentially decayed sums for a least-squares line through prefills."""
 
     count: float = 0.0
     tokens: float = 0.0
@@ -41,10 +41,10 @@
     tokens_seconds: float = 0.0
 
     def add(self, tokens: float, seconds: float) -> None:
-        """Count a start; those before count less.
+        """Add a prefill and decay the earlier ones.
 
         :param tokens: of its prompt
-        :param seconds: that reading it took
+        :param seconds: its duration
         """
         self.count = FADING * self.count + 1
         self.tokens = FADING * self.tokens + tokens
@@ -54,11 +54,11 @@
 
 
 class EnginePace:
-    """What the starts and ends of answers have shown.
+    """Running estimates of an engine's speed.
 
-    ``fixed_seconds`` is what each prompt takes whatever its length,
-    ``tokens_per_second`` how quickly the rest is read, and ``run_seconds``
-    how long an answer holds its place.
+    ``fixed_seconds`` is the part of a prefill that doesn't depend on the
+    length of the prompt, ``tokens_per_second`` the speed of the rest, and
+    ``run_seconds`` how long a request occupies the engine.
     """
 
     def __init__(self) -> None:
@@ -70,16 +70,16 @@
             self._sums.add(tokens, self.reading_seconds(tokens))
 
     def reading_seconds(self, tokens: int, prompts: int = 1) -> float:
-        """Estimate how long prompts take to read.
+        """Estimate how long the prefill of some prompts takes.
 
-        :param tokens: of all of them
-        :param prompts: how many they are
+        :param tokens: of all prompts together
+        :param prompts: how many there are
         :return: seconds
         """
         return prompts * self.fixed_seconds + tokens / self.tokens_per_second
 
     def blocking_seconds(self, tokens: int) -> float:
-        """Estimate how long a prompt holds up the answers that run.
+        """Estimate how long a prefill holds up the running responses.
 
         :param tokens: of the prompt
         :return: seconds
@@ -87,11 +87,11 @@
         return tokens / self.tokens_per_second
 
     def started(self, tokens: int, took_seconds: float) -> None:
-        """Note the first event of an answer.
+        """Record the first event of a response.
 
         :param tokens: of its prompt
-        :param took_seconds: since it was granted or, if that was later,
-            since the start before it
+        :param took_seconds: since the request was granted or, if that was
+            later, since the previous response started
         """
         expected_seconds = self.reading_seconds(tokens)
         shortest_seconds = expected_seconds / MOST_STRETCH
@@ -103,9 +103,9 @@
         self._fit()
 
     def ended(self, took_seconds: float) -> None:
-        """Note the end of an answer.
+        """Record the end of a response.
 
-        :param took_seconds: since it was granted
+        :param took_seconds: since the request was granted
         """
         self.run_seconds += RUN_SMOOTHING * (took_seconds - self.run_seconds)
 
--- a/src/boragefold/policy/engine_places.py
+++ b/src/boragefold/policy/engine_places.py
@@ -1,10 +1,10 @@
-"""Which adapters an engine holds, and which makes way for which.
+"""Tracks the adapters that an engine has loaded, and chooses what to evict.
 
-Load pattern: a few popular adapters, and a long tail of which each is asked
-for once, in front of five places. Of those that nobody uses or waits for, the
-one with the fewest requests lately makes way. By the time of the last request
-alone, five cold adapters in a row push every popular one out, and each is
-loaded again for its next request.
+Load pattern: a few popular adapters, and a long tail of adapters that are
+requested once each, share five slots. The adapter with the fewest recent
+requests is evicted, among those that no request uses or waits for. With
+eviction of the least recently used one, five cold adapters in a row push out
+all popular ones, and each is loaded again for its next request.
 """
 
 from __future__ import annotations
@@ -25,16 +25,17 @@
 
 AdapterKey = deployment.AdapterKey
 
-# A load that was not there when it was expected is expected again after this.
+# When a load is late, the requests that wait for it are tried again after this
+# time.
 RETRY_LOAD_SECONDS = 0.06
-# From then on a report is asked for: the load may have failed.
+# When a load is this late, it may have failed: the engine is asked to report.
 OVERDUE_SECONDS = 0.1
-# An order that failed or was refused is not repeated sooner.
+# Delay after an order that failed or was refused.
 ORDER_PAUSE_SECONDS = 0.1
 
 
 class Places:
-    """The models and adapters of one engine."""
+    """The models and adapters of one engine, and the slots they occupy."""
 
     def __init__(
         self,
@@ -45,13 +46,14 @@
         engines: Callable[[], int] = lambda: 1,
         giver: int = 0,
     ) -> None:
-        """Begin with nothing held.
+        """Start with nothing loaded.
 
-        :param engine: what the engine can hold
+        :param engine: the capacity of the engine
         :param newest: the newest version of each adapter that has several
-        :param loads_elsewhere: how many loads other engines have on the way
-        :param engines: how many engines share the store
-        :param giver: the number of the instance that gives the orders
+        :param loads_elsewhere: returns how many loads other engines have in
+            progress
+        :param engines: returns how many engines share the weight store
+        :param giver: the number of the instance that issues the orders
         """
         self._giver = giver
         self._load_times = load_times.LoadTimes(
@@ -67,23 +69,23 @@
             model.name: model.load_seconds for model in engine.models
         }
         self._not_before_seconds = 0.0
-        # Whether an order may be given now, and how long none can be expected:
-        # right after the start, and while another instance gives them.
+        # Whether orders are allowed now, and for how long none will be: right
+        # after the start, and while another instance issues them.
         self._busy = False
         self.may_order = False
         self.orders_in_seconds = 0.0
 
     def held(self) -> tuple[AdapterKey, ...]:
-        """List the adapters that are held or on their way.
+        """List the adapters that are loaded or loading.
 
         :return: their keys
         """
         return tuple(self._places)
 
     def copies(self) -> tuple[AdapterKey, ...]:
-        """List the adapters that could be held again quickly.
+        """List the adapters that the engine could load from host memory.
 
-        :return: those that the engine should have copies of
+        :return: the keys of those that aren't loaded but have a copy there
         """
         return tuple(
             key
@@ -92,10 +94,10 @@
         )
 
     def summary(self) -> dict[str, str]:
-        """Tell what each place does, for the log.
+        """Describe the adapter slots for the log.
 
-        :return: running requests by adapter; "?" marks what is not there yet,
-            "-" what leaves
+        :return: running requests by adapter; "?" marks an adapter that is not
+            confirmed as loaded, "-" one that is being unloaded
         """
         return {
             key.adapter: (
@@ -107,17 +109,17 @@
         }
 
     def models(self) -> tuple[str, ...]:
-        """List the models that are held or on their way.
+        """List the models that are loaded or loading.
 
         :return: their names
         """
         return tuple(self._models)
 
     def holds(self, key: AdapterKey) -> bool:
-        """Tell whether an adapter needs no place any more.
+        """Check whether an adapter has its slot.
 
         :param key: the adapter or model
-        :return: whether it is held or on its way, in its newest version
+        :return: whether its newest version is loaded or loading
         """
         if key.model not in self._models:
             return False
@@ -131,11 +133,11 @@
         )
 
     def ready(self, key: AdapterKey, *, now_seconds: float) -> bool:
-        """Tell whether a request of an adapter can run.
+        """Check whether requests of an adapter can run.
 
         :param key: the adapter or model
         :param now_seconds: reading of the process clock
-        :return: whether it is there
+        :return: whether it should be loaded by now
         """
         if not self.holds(key) or self._models[key.model] > now_seconds:
             return False
@@ -145,11 +147,11 @@
     def until_ready_seconds(
         self, key: AdapterKey, *, now_seconds: float
     ) -> float:
-        """Estimate when an adapter is there that gets its place now.
+        """Estimate when an adapter is loaded if it gets a slot now.
 
         :param key: the adapter or model
         :param now_seconds: reading of the process clock
-        :return: seconds; 0 for what is there
+        :return: seconds; 0 if it is loaded
         """
         if not self.holds(key):
             loading = self.loading(now_seconds=now_seconds)
@@ -161,7 +163,7 @@
         return max(0.0, ready_at_seconds - now_seconds)
 
     def version(self, key: AdapterKey) -> int:
-        """Tell which version of an adapter is held.
+        """Look up which version of an adapter is loaded.
 
         :param key: the adapter
         :return: its version; 0 for a base model
@@ -170,7 +172,7 @@
         return 0 if place is None else place.version
 
     def enter(self, key: AdapterKey, *, now_seconds: float) -> None:
-        """Note that a request of an adapter runs.
+        """Record that a request of an adapter starts running.
 
         :param key: the adapter or model
         :param now_seconds: reading of the process clock
@@ -181,7 +183,7 @@
             self._popularity.note(key, now_seconds=now_seconds)
 
     def leave(self, key: AdapterKey, *, now_seconds: float) -> None:
-        """Note that a request of an adapter has ended.
+        """Record that a request of an adapter has ended.
 
         :param key: the adapter or model
         :param now_seconds: reading of the process clock
@@ -190,10 +192,10 @@
             place.running = max(0, place.running - 1)
 
     def free(self, wanted: Mapping[AdapterKey, int]) -> int:
-        """Count the places that further adapters could have at once.
+        """Count the slots that further adapters could have at once.
 
         :param wanted: how many requests wait for each adapter
-        :return: those that are free or idle
+        :return: the slots that are empty or hold an idle adapter
         """
         free = self.capacity - self._taken()
         return max(0, free + sum(1 for _ in self._idle(wanted)))
@@ -205,12 +207,12 @@
         *,
         now_seconds: float,
     ) -> bool:
-        """Tell whether one more adapter could be loaded now.
+        """Check whether one more adapter could be loaded now.
 
-        :param waiting: adapters that wait for a place already
+        :param waiting: how many adapters wait for a slot already
         :param wanted: how many requests wait for each adapter
         :param now_seconds: reading of the process clock
-        :return: whether a place is left, and the engine loads few enough
+        :return: whether a slot is left and the limit of loads isn't reached
         """
         if self.loading(now_seconds=now_seconds) >= load_times.MAX_LOADING:
             return False
@@ -224,14 +226,14 @@
         now_seconds: float,
         renews: bool = True,
     ) -> engine_asks.Order | None:
-        """Choose the order to give now.
+        """Choose the next order.
 
-        :param unplaced: requests whose adapter isn't held, most urgent first
+        :param unplaced: requests whose adapter has no slot, most urgent first
         :param wanted: how many requests wait for each adapter
         :param now_seconds: reading of the process clock
-        :param renews: whether newer versions are loaded before they are asked
-            for
-        :return: the order; None when nothing can be ordered
+        :param renews: whether newer versions of loaded adapters are loaded
+            before a request needs them
+        :return: the order; None if there is nothing to order now
         """
         if not self.may_order or now_seconds < self._not_before_seconds:
             return None
@@ -249,13 +251,13 @@
         now_seconds: float,
         count: int = 0,
     ) -> None:
-        """Note that the engine accepted an order.
+        """Record that the engine accepted an order.
 
-        :param order: which
-        :param done: whether it is carried out already; an adapter that is
-            still used keeps its place until its requests have ended
+        :param order: the order
+        :param done: whether the engine has carried it out; an adapter that is
+            still used keeps its slot until its requests have ended
         :param now_seconds: reading of the process clock
-        :param count: the engine's count of orders after it
+        :param count: the number of orders that the engine has accepted since
         """
         key = order.key
         if isinstance(order, engine_asks.Unload):
@@ -270,7 +272,7 @@
             load_seconds = self._load_times.seconds(
                 key, loading=self.loading(now_seconds=now_seconds)
             )
-            # The requests of an older version go on beside the newer one.
+            # Requests of an older version go on running beside the newer one.
             before = self._places.get(key)
             self._places[key] = adapter_places.Place(
                 version=order.version,
@@ -283,14 +285,14 @@
         self._load_times.remember(key)
 
     def order_failed(self, *, now_seconds: float) -> None:
-        """Note that the engine refused an order, or gave no answer.
+        """Record that the engine refused an order, or didn't reply.
 
         :param now_seconds: reading of the process clock
         """
         self._not_before_seconds = now_seconds + ORDER_PAUSE_SECONDS
 
     def not_there(self, key: AdapterKey, *, now_seconds: float) -> None:
-        """Note that the engine refused a request for want of its adapter.
+        """Record that the engine refused a request: its adapter isn't loaded.
 
         :param key: the adapter or model
         :param now_seconds: reading of the process clock
@@ -299,7 +301,7 @@
             return
         delay_seconds = RETRY_LOAD_SECONDS
         if place.warm:
-            # The engine had dropped its copy: this load is a cold one.
+            # The engine had dropped its copy: it loads from the store.
             delay_seconds = load_times.COLD_LOAD_SECONDS
         elif not place.confirmed:
             self._load_times.late()
@@ -307,7 +309,7 @@
         place.ready_at_seconds = now_seconds + delay_seconds
 
     def confirm(self, key: AdapterKey) -> None:
-        """Note that a request ran on an adapter.
+        """Record that an adapter is loaded, since a request ran on it.
 
         :param key: the adapter or model
         """
@@ -319,7 +321,7 @@
         place.replaces = False
 
     def overdue(self, *, now_seconds: float) -> bool:
-        """Tell whether a load should be there and nothing has shown it.
+        """Check for a load that should have finished and is unconfirmed.
 
         :param now_seconds: reading of the process clock
         :return: whether to ask the engine for a report
@@ -331,7 +333,7 @@
         )
 
     def loading(self, *, now_seconds: float) -> int:
-        """Count the loads that are on their way.
+        """Count the loads in progress.
 
         :param now_seconds: reading of the process clock
         :return: a count
@@ -349,16 +351,16 @@
         now_seconds: float,
         busy: bool = False,
     ) -> None:
-        """Take over what the engine reports that it holds.
+        """Replace the state by what the engine reports as loaded.
 
-        Only for the report whose count of orders the next order expects:
-        places from another one would be too few or too many for that count.
+        Only for a report whose order count is the one that the next order
+        expects: after another report, the slots wouldn't match that count.
 
         :param held: versions by adapter by model
-        :param coming: versions of the adapters on their way
+        :param coming: versions of the adapters that are loading
         :param now_seconds: reading of the process clock
-        :param busy: whether it loads or drops a model, which it lists only
-            when it is done
+        :param busy: whether the engine loads or unloads a model, which it
+            lists only when that is done
         """
         self._busy = busy
         self._places = adapter_places.learned(
@@ -373,15 +375,15 @@
     def learn_former(
         self, held: Mapping[str, Mapping[str, int]], *, count: int
     ) -> None:
-        """Take over what a report shows that doesn't know of our last orders.
+        """Confirm loads by a report that is older than the last orders.
 
         :param held: versions by adapter by model
-        :param count: how many orders the engine had accepted
+        :param count: how many orders the engine had accepted by then
         """
         adapter_places.confirm_former(self._places, held, count=count)
 
     def dues(self, *, now_seconds: float) -> Iterator[float]:
-        """List when something that is on its way should be there.
+        """List the times at which a load or a delay should be over.
 
         :param now_seconds: reading of the process clock
         :return: later readings of the process clock
@@ -423,16 +425,16 @@
         )
 
     def _model_order(self, model: str) -> engine_asks.Order | None:
-        # An engine that restarted is empty. One that holds another model has
-        # no room for this one.
-        # While it loads one, a second order is answered as if it were new and
-        # isn't counted: two givers would use one fencing number.
+        # An engine that restarted is empty; one that holds another model has
+        # no room for this one. While an engine loads a model, it accepts a
+        # second order for it without counting it, so that two instances would
+        # use the same fencing number.
         if self._busy or self._models or model not in self._model_seconds:
             return None
         return engine_asks.Load(AdapterKey(model, ""), 0)
 
     def outdated(self) -> AdapterKey | None:
-        """Find an adapter that is held in an older version.
+        """Find a loaded adapter of which a newer version was published.
 
         :return: one of them, or None
         """
@@ -446,8 +448,8 @@
     def _renewal(
         self, wanted: Mapping[AdapterKey, int], now_seconds: float
     ) -> engine_asks.Order | None:
-        # A newer version of an adapter that is held: nothing of the older may
-        # begin much later, so it is replaced before it is asked for.
+        # No request may start on the older version much later, so it is
+        # replaced before a request needs the adapter.
         key = self.outdated()
         if key is None:
             return None
@@ -466,9 +468,9 @@
         )
 
     def _tie_break(self, key: AdapterKey) -> int:
-        # Two instances that take an engine up at once know of no popularity.
-        # If both dropped the same adapter, the engine would answer the second
-        # order without a look at its count.
+        # Two instances that take over an engine at once have counted no
+        # requests yet. If both unloaded the same adapter, the engine would
+        # accept the second order without checking the count it expects.
         text = f"{self._giver}\0{key.model}\0{key.adapter}"
         return xxhash.xxh3_64_intdigest(text.encode())
 
--- a/src/boragefold/policy/engine_requests.py
+++ b/src/boragefold/policy/engine_requests.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an engine, or run there."""
+"""State of the requests that are queued for an engine or run on it."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Waiting:
-    """A request that waits, and since when it has what.
+    """A queued request, and the progress of its adapter.
 
-    ``placed_at_seconds`` is when its adapter was ordered, and
-    ``ready_at_seconds`` when that was there; None before.
+    ``placed_at_seconds`` is when the load of its adapter was ordered, and
+    ``ready_at_seconds`` when the adapter was loaded; None until then.
     """
 
     ask: engine_asks.Ask
@@ -24,10 +24,10 @@
     ready_at_seconds: float | None = None
 
     def note(self, *, placed: bool, ready: bool, now_seconds: float) -> None:
-        """Note how far its adapter is.
+        """Record the progress of its adapter.
 
-        :param placed: whether it was ordered
-        :param ready: whether it is there
+        :param placed: whether the load was ordered
+        :param ready: whether the adapter is loaded
         :param now_seconds: reading of the process clock
         """
         if placed and self.placed_at_seconds is None:
@@ -36,10 +36,10 @@
             self.ready_at_seconds = now_seconds
 
     def waits(self, now_seconds: float) -> engine_asks.Waits:
-        """Tell what it waited for until now.
+        """Split its time in the queue until now by what it waited for.
 
         :param now_seconds: reading of the process clock
-        :return: its parts
+        :return: the parts
         """
         ready_at_seconds = _or(self.ready_at_seconds, now_seconds)
         placed_at_seconds = _or(self.placed_at_seconds, ready_at_seconds)
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Run:
-    """A request that was granted."""
+    """A request that was granted and has not ended."""
 
     ask: engine_asks.Ask
     granted_at_seconds: float
@@ -60,17 +60,17 @@
 
 
 class Prompts(NamedTuple):
-    """Some prompts that are to be read."""
+    """The size of some prompts that the engine has yet to prefill."""
 
     number: int
     tokens: int
 
 
 def prompts_of(asks: Iterable[engine_asks.Ask]) -> Prompts:
-    """Sum the prompts of some requests.
+    """Sum up the prompts of some requests.
 
     :param asks: the requests
-    :return: how many they are, and their tokens
+    :return: their number and their tokens
     """
     tokens = [ask.prompt_tokens for ask in asks]
     return Prompts(number=len(tokens), tokens=sum(tokens))
--- a/src/boragefold/policy/engine_runs.py
+++ b/src/boragefold/policy/engine_runs.py
@@ -1,4 +1,4 @@
-"""The requests that run on one engine, and the room that they leave."""
+"""Tracks the requests that run on one engine, and its free capacity."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from boragefold.policy import prompt_spacing
 from boragefold.state import deployment
 
-# Part of the memory for prompts that grants may fill. Beyond it the engine
-# preempts running answers and reads their prompts anew.
+# Part of the KV cache that granted requests may fill. Beyond it the engine
+# preempts running responses and prefills their prompts again.
 MEMORY_SHARE = 0.9
-# A grant whose start nobody reported by then has started or was lost.
+# If the start of a granted request is unreported for this long, the request
+# has started or was lost.
 START_REPORT_SECONDS = 3.0
 
 
 class EngineRuns:
-    """What was granted at one engine and has not ended."""
+    """The requests that were granted at one engine and have not ended."""
 
     def __init__(
         self, *, engine: deployment.Engine, pace: engine_pace.EnginePace
     ) -> None:
-        """Begin with nothing granted.
+        """Start with no requests.
 
-        :param engine: what it has room for
-        :param pace: learns from starts and ends
+        :param engine: the capacity of the engine
+        :param pace: updated by the starts and ends of responses
         """
         self._engine = engine
         self._pace = pace
@@ -39,23 +40,23 @@
         return len(self._runs)
 
     def asks(self) -> Iterator[engine_asks.Ask]:
-        """List what runs.
+        """List the running requests.
 
         :return: the requests
         """
         return (run.ask for run in self._runs.values())
 
     def find(self, request_id: str) -> engine_asks.Ask | None:
-        """Find a request that runs.
+        """Look up a running request.
 
-        :param request_id: which
-        :return: the request; None when it doesn't run
+        :param request_id: id of the request
+        :return: the request; None if it doesn't run
         """
         run = self._runs.get(request_id)
         return None if run is None else run.ask
 
     def begin(self, ask: engine_asks.Ask, *, now_seconds: float) -> None:
-        """Note that a request was granted.
+        """Record that a request was granted.
 
         :param ask: the request
         :param now_seconds: reading of the process clock
@@ -71,11 +72,11 @@
     def end(
         self, request_id: str, *, now_seconds: float
     ) -> engine_asks.Ask | None:
-        """Note that a request has ended.
+        """Record that a request has ended.
 
-        :param request_id: which
+        :param request_id: id of the request
         :param now_seconds: reading of the process clock
-        :return: the request; None when it didn't run
+        :return: the request; None if it didn't run
         """
         run = self._runs.pop(request_id, None)
         if run is None:
@@ -86,24 +87,25 @@
     def started(
         self, request_id: str, *, now_seconds: float
     ) -> engine_asks.Ask | None:
-        """Note the first event of an answer.
+        """Record the first event of a response.
 
-        :param request_id: whose
+        :param request_id: id of the request
         :param now_seconds: reading of the process clock
-        :return: the request; None when that was known, or it doesn't run
+        :return: the request; None if it doesn't run or had started already
         """
         run = self._runs.get(request_id)
         if run is None or run.started:
             return None
         run.started = True
-        # It was read since the one before it had been.
+        # The engine prefills one prompt after another: this prefill began
+        # when the one before it ended, or when the request was granted.
         since_seconds = max(run.granted_at_seconds, self._started_at_seconds)
         self._started_at_seconds = now_seconds
         self._pace.started(run.ask.prompt_tokens, now_seconds - since_seconds)
         return run.ask
 
     def unstarted(self) -> engine_requests.Prompts:
-        """Add up the prompts that the engine has not read yet.
+        """Sum up the prompts that the engine has not prefilled yet.
 
         :return: their number and tokens
         """
@@ -112,10 +114,11 @@
         )
 
     def has_room(self, ask: engine_asks.Ask) -> bool:
-        """Tell whether a request could run beside those that do.
+        """Check whether one more request could run.
 
         :param ask: the request
-        :return: whether slots, memory and the answers under way allow it
+        :return: whether request slots, KV cache and the pauses of running
+            responses allow it
         """
         if len(self._runs) >= self._engine.slots:
             return False
@@ -126,7 +129,7 @@
         return not used or used + ask.total_tokens <= bound
 
     def take_for_started(self, *, now_seconds: float) -> None:
-        """Give up the reports of starts that are long overdue.
+        """Take requests as started whose start is long unreported.
 
         :param now_seconds: reading of the process clock
         """
--- a/src/boragefold/policy/engine_schedule.py
+++ b/src/boragefold/policy/engine_schedule.py
@@ -1,13 +1,13 @@
-"""What one engine runs next, and which adapters it holds for that.
-
-Load pattern: thousands of adapters for a handful of places, and requests for
-all of them at every instance. Decided by each sender alone, two senders take
-each other's place away, rare adapters that run long shut out the popular
-ones, and the engine's own queue fills with requests that it serves in the
-order in which they came. Here one instance decides for an engine: a request
-waits until its adapter is there and the engine has few requests that it has
-not begun, so that the urgent can still overtake and a slow engine can be
-avoided. Nothing here is read from a clock or a socket.
+"""Decides what one engine runs next, and which adapters it loads for that.
+
+Load pattern: thousands of adapters for a handful of adapter slots, and
+requests for all of them at every instance. If each instance decided alone, two
+of them would evict each other's adapters, rare adapters with long requests
+would shut out the popular ones, and the engine's own queue, which is first in
+first out, would fill up. Therefore one instance schedules an engine: a request
+is queued until its adapter is loaded and the engine has few prompts left to
+prefill, so that urgent requests can still overtake and a slow engine can be
+avoided. This module reads no clock and no socket.
 """
 
 from __future__ import annotations
@@ -31,30 +31,29 @@
 Prompts = engine_requests.Prompts
 Waiting = engine_requests.Waiting
 
-# Part of a caller's patience that the wait for a start may use up; the rest
-# is for the answer.
+# Part of the time until a request gives up that it may spend in the queue; the
+# rest is for the response.
 START_PATIENCE_SHARE = 0.8
-# Those that will be late start when nobody can be on time any more. They may
-# wait behind a backlog of this part of their patience, which a burst leaves
-# behind and which is worked off after it. Behind a longer one they would wait
-# for nothing: the overload lasts.
+# Requests that will start late run when none can start on time any more. They
+# may wait behind a backlog of this part of the time until they give up: such a
+# backlog remains after a burst and is worked off after it. Behind a longer one
+# they would wait in vain, since the overload lasts.
 LATE_SHARE = 0.3
-# Changes of a queue take this long; to come back sooner is to be refused
-# again.
+# A queue takes this long to change: earlier retries would be refused again.
 MIN_RETRY_AFTER_SECONDS = 0.2
-# Why an eager request is sent elsewhere.
+# Reason of the refusal of an eager request.
 BUSY = "busy"
 
 
 class EngineSchedule:
-    """The waiting, the running and the adapters of one engine."""
+    """The queue, the running requests and the adapters of one engine."""
 
     def __init__(
         self, *, engine: deployment.Engine, places: engine_places.Places
     ) -> None:
         self.engine = engine
         self.places = places
-        # How long a request waits before an order is given for it.
+        # How long a request is queued before a load is ordered for it.
         self.order_delay_seconds = 0.0
         self._queue: dict[str, Waiting] = {}
         self._arrivals = itertools.count()
@@ -63,7 +62,7 @@
 
     @property
     def running(self) -> int:
-        """Tell how many requests were granted and have not ended.
+        """Count the requests that were granted and have not ended.
 
         :return: a count
         """
@@ -71,14 +70,14 @@
 
     @property
     def queued(self) -> int:
-        """Tell how many requests wait.
+        """Count the queued requests.
 
         :return: a count
         """
         return len(self._queue)
 
     def summary(self) -> dict[str, object]:
-        """Tell what decides about requests, for the log.
+        """Collect the figures behind the decisions, for the log.
 
         :return: counts, tokens and seconds, by name
         """
@@ -95,13 +94,13 @@
         }
 
     def backlog_seconds(self) -> float:
-        """Estimate when a request that came now would start.
+        """Estimate how long the prefill of the prompts ahead takes.
 
-        :return: seconds; without the time that its adapter takes
+        :return: seconds; without the load of an adapter
         """
-        # Those that wait for a place are read when they have one: counted
-        # here, they would send callers of held adapters elsewhere, where each
-        # takes a further place.
+        # Without the requests that wait for an adapter slot, which are
+        # prefilled when they have one: counted here, they would send requests
+        # of loaded adapters to other engines, where each takes a further slot.
         soon = self._soon_placed()
         waiting = (ask for ask in self._asks() if ask.needs in soon)
         return self._reading_seconds(
@@ -109,23 +108,24 @@
         )
 
     def place_wait_seconds(self) -> float:
-        """Estimate how long an adapter that isn't held waits for a place.
+        """Estimate how long an adapter that isn't loaded waits for a slot.
 
-        :return: seconds; 0 when a place is free or idle
+        :return: seconds; 0 if a slot is empty or its adapter idle
         """
         return self._place_seconds(self._unplaced_adapters())
 
     def offer(
         self, ask: Ask, *, now_seconds: float
     ) -> engine_asks.TurnAway | None:
-        """Let a request wait unless it would start too late.
+        """Queue a request unless it would start too late.
 
         :param ask: the request
         :param now_seconds: reading of the process clock
-        :return: the refusal; None when it waits
+        :return: the refusal; None if the request is queued
         """
         if ask.request_id in self._queue:
-            # The asker repeats what may have been lost; it keeps its turn.
+            # Senders retry in case a message was lost; the request keeps its
+            # position in the queue.
             return None
         waiting = Waiting(
             ask=ask, turn=next(self._arrivals), since_seconds=now_seconds
@@ -145,10 +145,10 @@
         return None
 
     def granted(self, request_id: str) -> engine_asks.Grant | None:
-        """Find what was granted to a request, to tell it again.
+        """Look up the grant of a running request, to send it again.
 
-        :param request_id: which
-        :return: the grant; None when it waits or is unknown
+        :param request_id: id of the request
+        :return: the grant; None if the request is queued or unknown
         """
         ask = self._runs.find(request_id)
         if ask is None:
@@ -157,9 +157,9 @@
         return engine_asks.Grant(ask=ask, version=version)
 
     def withdraw(self, request_id: str, *, now_seconds: float) -> None:
-        """Forget a request that has ended, or whose caller has gone.
+        """Remove a request that has ended or was cancelled.
 
-        :param request_id: which
+        :param request_id: id of the request
         :param now_seconds: reading of the process clock
         """
         self._queue.pop(request_id, None)
@@ -170,11 +170,11 @@
     def withdraw_where(
         self, gone: Callable[[Ask], bool], *, now_seconds: float
     ) -> int:
-        """Forget the requests of an instance that is no more.
+        """Remove the requests of an instance that has stopped.
 
-        :param gone: tells whether a request was its
+        :param gone: tells whether a request came from it
         :param now_seconds: reading of the process clock
-        :return: how many there were
+        :return: how many were removed
         """
         asks = [
             *self._asks(),
@@ -186,9 +186,9 @@
         return len(lost)
 
     def started(self, request_id: str, *, now_seconds: float) -> None:
-        """Note the first event of an answer.
+        """Record the first event of a response.
 
-        :param request_id: whose
+        :param request_id: id of the request
         :param now_seconds: reading of the process clock
         """
         ask = self._runs.started(request_id, now_seconds=now_seconds)
@@ -196,7 +196,7 @@
             self.places.confirm(ask.needs)
 
     def advance(self, *, now_seconds: float) -> list[Action]:
-        """Decide what to do now; call it after each event and when due.
+        """Make the decisions that are due; call it after each event as well.
 
         :param now_seconds: reading of the process clock
         :return: grants, refusals and at most one order
@@ -212,8 +212,8 @@
             if self.places.ready(ask.needs, now_seconds=now_seconds)
         )
         for ask in ready:
-            # One that doesn't fit holds those behind it back: passed over by
-            # every shorter one, a long prompt would never be read.
+            # Requests behind one that doesn't fit wait too: if shorter ones
+            # could pass it, a long prompt would starve.
             if not self._runs.has_room(ask):
                 break
             actions.append(self._grant(ask, now_seconds))
@@ -221,16 +221,16 @@
         return actions if order is None else [*actions, order]
 
     def wants_order(self) -> bool:
-        """Tell whether the engine lacks something, whoever may order it.
+        """Check whether the engine lacks an adapter, whoever may order it.
 
-        :return: whether a request waits for what isn't held, or a newer
-            version of what is held was published
+        :return: whether a queued request needs an adapter that isn't loaded,
+            or a newer version of a loaded one was published
         """
         lacking = any(not self.places.holds(ask.needs) for ask in self._asks())
         return lacking or self.places.outdated() is not None
 
     def next_due_seconds(self, *, now_seconds: float) -> float | None:
-        """Tell when :meth:`advance` has something to do, at the latest.
+        """Compute when :meth:`advance` has to be called at the latest.
 
         :param now_seconds: reading of the process clock
         :return: reading of the process clock, or None
@@ -287,16 +287,16 @@
     def _urgency(
         self, waiting: Waiting, now_seconds: float
     ) -> tuple[bool, int, float, int]:
-        # Those that can still be on time go first. In overload the one that
-        # waited longest is late already; served before the others, it would
-        # make each of them late in its turn.
+        # Requests that can start on time go first. In overload the one that
+        # waited longest is late already; if it went first, it would make each
+        # of the others late in turn.
         ask = waiting.ask
         late = self._is_late(ask, now_seconds)
         return (late, ask.priority, ask.on_time_by_seconds, waiting.turn)
 
     def _is_late(self, ask: Ask, now_seconds: float) -> bool:
-        # One whose adapter can't be there in time is late too: given the next
-        # place, it would keep it from one that could still be on time.
+        # A request whose adapter can't be loaded in time is late too: if it
+        # got the next slot, one that could start on time would miss it.
         starts_at_seconds = (
             now_seconds
             + self.places.until_ready_seconds(
@@ -323,8 +323,8 @@
 
     def _must_be_late(self, waiting: Waiting, now_seconds: float) -> bool:
         ask = waiting.ask
-        # What other instances know of this engine is half a second old; by
-        # then the place that they saw idle is taken, or a queue has formed.
+        # Other instances know the state of this engine as of half a second
+        # ago; since then, the idle slot may be taken or a queue have formed.
         held = self.places.holds(ask.needs)
         if not held and not self.places.has_place_for(
             self._unplaced_adapters(), self._wanted(), now_seconds=now_seconds
@@ -353,7 +353,7 @@
         )
         if not self.places.holds(needs):
             place_seconds += self.place_wait_seconds()
-        # Other prompts are read while the adapter is on its way.
+        # The engine prefills other prompts while it loads the adapter.
         return max(wait_seconds, place_seconds)
 
     def _refusal(
@@ -362,8 +362,8 @@
         orders_in_seconds = self.places.orders_in_seconds
         if not orders_in_seconds or self.places.holds(ask.needs):
             return _too_long(ask, excess_seconds)
-        # Back before orders can be given it would be refused again, and most
-        # callers come back once.
+        # A retry before orders are allowed would be refused again, and most
+        # callers retry only once.
         return engine_asks.TurnAway(
             ask=ask,
             reason="orders_wait",
@@ -373,8 +373,9 @@
     def _shed(
         self, in_turn: Iterable[Waiting], now_seconds: float
     ) -> Iterator[engine_asks.TurnAway]:
-        # Others that are more urgent came since. Whoever can't start any more
-        # before it gives up is told now, while it can still go elsewhere.
+        # More urgent requests may have come since. A request that can't start
+        # any more before it gives up is refused now, while its caller has time
+        # to try another engine.
         reading_seconds = self._reading_seconds(self._runs.unstarted())
         unplaced: set[AdapterKey] = set()
         for waiting in in_turn:
@@ -395,14 +396,14 @@
                 yield _too_long(ask, wait_seconds - patience_seconds)
 
     def _place_seconds(self, ahead: int) -> float:
-        # Until a place is free for an adapter behind so many others.
+        # Until a slot is free for an adapter with so many others ahead of it.
         behind = 1 + ahead - self.places.free(self._wanted())
         if behind <= 0:
             return 0.0
         return self._pace.run_seconds * behind / max(1, self.places.capacity)
 
     def _soon_placed(self) -> set[AdapterKey]:
-        # The adapters that are held, and those that get an idle place now.
+        # The adapters that have a slot, and those that get an idle one now.
         wanted = self._wanted()
         unplaced = (key for key in wanted if not self.places.holds(key))
         coming = set(itertools.islice(unplaced, self.places.free(wanted)))
@@ -452,7 +453,7 @@
 
     def _forget_unreported(self, now_seconds: float) -> None:
         # The report of a start or an end may be lost with its message or its
-        # sender. Kept for ever, it would take the engine's room away.
+        # sender. Such a request must not occupy the engine for ever.
         self._runs.take_for_started(now_seconds=now_seconds)
         for request_id in self._runs.overdue(now_seconds=now_seconds):
             self.withdraw(request_id, now_seconds=now_seconds)
--- a/src/boragefold/policy/load_times.py
+++ b/src/boragefold/policy/load_times.py
@@ -1,9 +1,9 @@
-"""How long an adapter takes to load, and how many are loaded at once.
+"""Estimates how long adapter loads take, and limits how many run at once.
 
-Load pattern: adapters that nobody asked for in a while are asked for at all
-engines at once. The store of weights delivers a few at full speed; with more,
-each takes longer and none arrives sooner, so popular adapters that are missed
-wait behind many that one request needs.
+Load pattern: adapters that were not requested for a while are requested at
+all engines at once. The weight store delivers a few loads at full speed; with
+more, each takes longer and none finishes sooner, so that popular adapters
+wait behind many that one request each needs.
 """
 
 from __future__ import annotations
@@ -13,33 +13,34 @@
 
 from boragefold.state import deployment
 
-# Loads of adapters that one engine has on the way at once, of the four that
-# it takes: the fifth place stays for what it holds already.
+# An engine accepts four concurrent loads of adapters and has five slots; fewer
+# loads at once leave more slots to the adapters that it has loaded already.
 MAX_LOADING = 3
 # Loads that the store delivers at full speed to all engines of a service
-# together, as the deployments' sheets give it: about one an engine, eight at
-# the least. With more, each takes longer in proportion, none arrives sooner.
+# together, by the data sheets of the deployments: about one per engine, and at
+# least eight. With more, each takes longer in proportion and none finishes
+# sooner.
 FULL_SPEED_LOADS = 8
-# Time for an adapter that comes from the store, as the sheets give it, and
-# for one that the engine still has in its own memory: a tenth.
+# Load time from the store, by the data sheets, and from the host memory of the
+# engine: a tenth.
 COLD_LOAD_SECONDS = 0.25
 WARM_LOAD_SECONDS = 0.025
 # An engine notices the end of a load between two steps of its batch.
 LOAD_SLACK_SECONDS = 0.012
-# How much longer than worked out loads are taken to be, learned from those
-# that weren't there in time: what others load is known half a second late, and
-# some stores are slower. A late load raises it by ten times what one in time
-# lowers it by, so that one in eleven is late; beyond the bound something else
-# is wrong. Without it, requests reach engines before their adapters do.
+# Correction factor of the estimate, learned from late loads, since loads of
+# other engines are known half a second late and some stores are slower. A late
+# load raises it by ten times what one in time lowers it by, so that one load
+# in eleven is late; beyond the bound something else is wrong. Without it,
+# requests reach engines before their adapters do.
 STRETCH_UP = 0.05
 STRETCH_DOWN = 0.005
 MAX_STRETCH = 3.0
-# Adapters that an engine keeps copies of in its own memory after an unload.
+# How many adapters an engine keeps copies of in host memory after an unload.
 REMEMBERED = 30
 
 
 class LoadTimes:
-    """Expected times of one engine's loads."""
+    """Load time estimates for one engine."""
 
     def __init__(
         self,
@@ -47,10 +48,11 @@
         loads_elsewhere: Callable[[], int],
         engines: Callable[[], int],
     ) -> None:
-        """Begin with nothing remembered.
+        """Start with no adapter in host memory.
 
-        :param loads_elsewhere: how many loads other engines have on the way
-        :param engines: how many engines share the store
+        :param loads_elsewhere: returns how many loads other engines have in
+            progress
+        :param engines: returns how many engines share the store
         """
         self._loads_elsewhere = loads_elsewhere
         self._engines = engines
@@ -60,33 +62,33 @@
         self._stretch = 1.0
 
     def is_warm(self, key: deployment.AdapterKey) -> bool:
-        """Tell whether the engine should have a copy of its own.
+        """Check whether the engine should have an adapter in host memory.
 
         :param key: the adapter
-        :return: whether it had the adapter lately
+        :return: whether it had the adapter loaded lately
         """
         return key in self._remembered
 
     def remembered(self) -> tuple[deployment.AdapterKey, ...]:
-        """List the adapters that the engine should have copies of.
+        """List the adapters that the engine should have in host memory.
 
-        :return: their keys, the one had longest ago first
+        :return: their keys, least recently loaded first
         """
         return tuple(self._remembered)
 
     def late(self) -> None:
-        """Note that an adapter from the store wasn't there in time."""
+        """Record that a load from the store was late."""
         self._stretch = min(MAX_STRETCH, self._stretch + STRETCH_UP)
 
     def in_time(self) -> None:
-        """Note that an adapter from the store was there in time."""
+        """Record that a load from the store was in time."""
         self._stretch = max(1.0, self._stretch - STRETCH_DOWN)
 
     def seconds(self, key: deployment.AdapterKey, *, loading: int) -> float:
         """Estimate how long a load takes that begins now.
 
         :param key: the adapter
-        :param loading: how many loads the engine has on the way already
+        :param loading: how many loads the engine has in progress
         :return: seconds
         """
         if self.is_warm(key):
@@ -97,11 +99,11 @@
         return self._stretch * worked_out_seconds + LOAD_SLACK_SECONDS
 
     def may_load(self, key: deployment.AdapterKey, *, loading: int) -> bool:
-        """Tell whether a further load may begin.
+        """Check whether one more load may begin.
 
         :param key: the adapter
-        :param loading: how many loads the engine has on the way already
-        :return: whether engine and store have room for it
+        :param loading: how many loads the engine has in progress
+        :return: whether the engine and the store have capacity for it
         """
         if loading >= MAX_LOADING:
             return False
@@ -110,9 +112,9 @@
         return loading + self._loads_elsewhere() < self._full_speed()
 
     def remember(self, key: deployment.AdapterKey) -> None:
-        """Note that the engine has, or had, an adapter.
+        """Record that the engine has, or had, an adapter loaded.
 
-        :param key: the adapter; a base model is never loaded so quickly
+        :param key: the adapter; base models have no copies in host memory
         """
         if key.adapter:
             self._remembered[key] = None
--- a/src/boragefold/policy/prefixes.py
+++ b/src/boragefold/policy/prefixes.py
@@ -1,7 +1,7 @@
-"""Where a prompt's beginning was last sent.
+"""Remembers to which endpoint a prompt prefix was last sent.
 
-Load pattern: many prompts of a workspace begin alike. Without this, each
-endpoint computes the same beginning, and the caches hold it several times.
+Load pattern: many prompts of a workspace have the same prefix. Without prefix
+affinity, each endpoint computes it again and the caches hold it several times.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 
 from boragefold.policy import work as works
 
-# Engines' caches keep a prefix for less time.
+# More than the prefix caches of engines hold.
 MAX_PREFIXES = 8192
 
 
 class PrefixKey(NamedTuple):
-    """A beginning is cached with the adapter that computed it."""
+    """A prefix and its adapter; adapters can't share cached prefixes."""
 
     adapter: works.AdapterVersion
     prefix: str
 
 
 class Prefixes:
-    """The endpoints of the most recently used prefixes."""
+    """Maps the most recently used prefixes to endpoints."""
 
     def __init__(self) -> None:
         self._endpoints: collections.OrderedDict[PrefixKey, str] = (
@@ -34,7 +34,7 @@
         return len(self._endpoints)
 
     def get(self, work: works.Work) -> str | None:
-        """Look up where a request's prefix is likely to be cached.
+        """Look up the endpoint that is likely to have a request's prefix.
 
         :param work: the request
         :return: an endpoint, or None
@@ -44,10 +44,10 @@
         return self._endpoints.get(PrefixKey(work.needs, work.prefix))
 
     def note(self, work: works.Work, endpoint: str) -> None:
-        """Remember where a request is sent.
+        """Remember the endpoint that a request is sent to.
 
         :param work: the request
-        :param endpoint: where it goes
+        :param endpoint: its endpoint
         """
         if not work.prefix:
             return
--- a/src/boragefold/policy/prompt_spacing.py
+++ b/src/boragefold/policy/prompt_spacing.py
@@ -1,13 +1,14 @@
-"""How many prompts an engine gets back to back.
-
-Load pattern: long prompts arrive in a row at an engine that answers others.
-It reads a prompt in pieces, one in each step of its batch, and the running
-answers make one token a step. With prompts in every step, each event of each
-answer takes as many long steps as it has tokens, and all of them come later
-than callers tolerate. With one prompt at a time the engine idles until it
-gets the next, a third of the time when prompts are short. Here it gets as
-many as it reads within part of the pause that its answers may make, and the
-next when it has read them: answers then make a step between the rows.
+"""Limits how many prompts an engine prefills back to back.
+
+Load pattern: long prompts arrive in a row at an engine that generates
+responses. It prefills a prompt in chunks, one in each step of its batch, and
+each running response gets one token a step. With a chunk in every step, each
+event of each response takes as many long steps as it has tokens, and all of
+them come later than callers tolerate. With one prompt at a time, the engine
+idles until it gets the next one, a third of the time when prompts are short.
+An engine therefore gets as many prompts as it prefills within a part of the
+pause that its responses may make, and the next ones when these are done: in
+between, responses get steps without prefill.
 """
 
 from __future__ import annotations
@@ -16,30 +17,30 @@
 
 from boragefold.policy import engine_pace
 
-# The rest of the pause is for the steps of running answers.
+# The rest of the pause is for decode steps.
 PAUSE_SHARE = 0.6
-# Where no answer names one.
+# Applies if no response specifies a pause.
 DEFAULT_PAUSE_SECONDS = 0.4
 
 
 class PromptSpacing:
-    """The prompts that an engine got since it last had none to read."""
+    """The prompts sent to an engine since it last had none to prefill."""
 
     def __init__(self, *, pace: engine_pace.EnginePace) -> None:
-        """Begin with none.
+        """Start with no prompts.
 
-        :param pace: how quickly the engine reads
+        :param pace: estimates the prefill speed of the engine
         """
         self._pace = pace
         self._row_seconds = 0.0
 
     def allows(self, tokens: int, pauses_seconds: Iterable[float]) -> bool:
-        """Tell whether a further prompt may go to an engine that reads.
+        """Check whether one more prompt may go to an engine in prefill.
 
         :param tokens: of the prompt
-        :param pauses_seconds: the pause that each answer there may make, 0
-            where it names none
-        :return: whether the answers go on soon enough
+        :param pauses_seconds: the longest pause that each response may make;
+            0 if unspecified
+        :return: whether no response would pause too long
         """
         pause_seconds = min(
             filter(None, pauses_seconds), default=DEFAULT_PAUSE_SECONDS
@@ -48,10 +49,10 @@
         return row_seconds <= PAUSE_SHARE * pause_seconds
 
     def gave(self, tokens: int, *, reads: bool) -> None:
-        """Note that the engine got a prompt.
+        """Record that a prompt was sent to the engine.
 
         :param tokens: of the prompt
-        :param reads: whether it had others to read still
+        :param reads: whether the engine had other prompts left to prefill
         """
         if not reads:
             self._row_seconds = 0.0
--- a/src/boragefold/policy/recent_sums.py
+++ b/src/boragefold/policy/recent_sums.py
@@ -1,15 +1,15 @@
-"""Sums by workspace, told while they are recent."""
+"""Sums per workspace that are sent to peers while they change."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-# Several heartbeats, so that a lost one leaves no error.
+# Covers several heartbeats, so that a lost one causes no error.
 TELL_SECONDS = 4.0
 
 
 class RecentSums:
-    """Amounts that were added up since the process started."""
+    """Amounts per workspace, summed up since the process started."""
 
     def __init__(self) -> None:
         self.amounts: dict[str, float] = {}
@@ -20,7 +20,7 @@
     ) -> None:
         """Add an amount, which may be negative.
 
-        :param workspace: whose
+        :param workspace: the workspace that it counts for
         :param amount: tokens or requests
         :param now_seconds: reading of the process clock
         """
@@ -41,9 +41,9 @@
             self.add(workspace, amount, now_seconds=now_seconds)
 
     def recent(self, *, now_seconds: float) -> dict[str, float]:
-        """Tell the sums that changed lately.
+        """List the sums that changed lately.
 
-        Of one that stood still for a while every peer has heard several times.
+        Every peer has received the other sums several times.
 
         :param now_seconds: reading of the process clock
         :return: sums since the start, by workspace
--- a/tests/policy/test_engine_choice.py
+++ b/tests/policy/test_engine_choice.py
@@ -84,7 +84,7 @@
 
 
 def plain_rank(key, views):
-    """Rank as the first version did: each engine by itself, nothing kept."""
+    """Compute the rank of each engine by itself, without caches."""
     able = [
         view
         for view in views
@@ -124,7 +124,7 @@
 
 @given(strategies.integers(min_value=0), strategies.integers(1, 70))
 def test_what_is_remembered_changes_no_rank(seed, count) -> None:
-    # An order of homes that was kept must not outlive a change of engines.
+    # A cached order of engines must not be used for another set of engines.
     rng = random.Random(seed)
     key = engine_loads.key(f"a{rng.randrange(3)}")
     digest = engine_copies.digest(key)
--- a/tests/policy/test_engine_copies.py
+++ b/tests/policy/test_engine_copies.py
@@ -10,9 +10,9 @@
 
 
 def test_an_adapter_goes_where_a_copy_of_it_is() -> None:
-    # An adapter left its home in a busy moment and was dropped since. Sent
-    # home again, it comes from the store a second time; the engine that had
-    # it lately loads it ten times as fast.
+    # The adapter was loaded away from its first engine during a peak and
+    # evicted since. The first engine would load it from the store once more;
+    # the one that had it lately loads it from host memory ten times as fast.
     key = engine_loads.key("a1")
     ranked = engine_choice.rank(key, map(view, NAMES))
     copies = frozenset(engine_copies.digests([key]))
@@ -24,7 +24,7 @@
 
 
 def test_few_of_many_adapters_share_a_digest() -> None:
-    # Each engine tells of some sixty. A shared digest costs one load.
+    # Each engine announces about sixty digests. A shared one costs a load.
     told = engine_copies.digests(
         engine_loads.key(f"a{number}") for number in range(60)
     )
--- a/tests/policy/test_engine_pace.py
+++ b/tests/policy/test_engine_pace.py
@@ -12,9 +12,9 @@
 
 
 def test_short_prompts_dont_make_an_engine_look_slow() -> None:
-    # Most prompts are short, and each takes a fixed time whatever its length.
-    # Taken for one speed, the engine looks half as fast as it is, and long
-    # prompts are refused that it would have read in time.
+    # Most prompts are short, and each prefill has a fixed part. Without it,
+    # the engine looks half as fast as it is, and long prompts are refused
+    # that it would have prefilled in time.
     pace = engine_pace.EnginePace()
     for prompt in (600, 800, 9_000, 500, 1_200, 700, 4_000) * 5:
         pace.started(prompt, 0.04 + prompt / 38_000)
@@ -34,8 +34,8 @@
 
 
 def test_one_odd_start_says_little() -> None:
-    # A prompt whose parts the engine had kept starts at once; one that met a
-    # pause of the engine after seconds. Neither is the engine's pace.
+    # A prompt in the prefix cache starts at once, and one during a pause of
+    # the engine after seconds. Neither shows the engine's speed.
     pace = engine_pace.EnginePace()
     before = pace.tokens_per_second
     pace.started(6_000, 0.0)
--- a/tests/policy/test_engine_places.py
+++ b/tests/policy/test_engine_places.py
@@ -40,8 +40,8 @@
 
 
 def test_loads_that_are_late_again_and_again_are_given_more_time() -> None:
-    # What others load is known late, and some stores are slower than others:
-    # requests that are sent too early are refused by the engine and lost.
+    # Loads of other engines are known late, and some stores are slower than
+    # others. An engine refuses requests that reach it before their adapter.
     places = held_places()
     for number in range(20):
         key = engine_loads.key(f"x{number}")
@@ -54,8 +54,8 @@
 
 
 def test_a_copy_that_the_engine_had_dropped_is_waited_for() -> None:
-    # The adapter should have come back in a tenth of the time and didn't: it
-    # comes from the store, and trying every moment would only be refused.
+    # A load that was expected from host memory comes from the store instead.
+    # Requests that were retried every moment would only be refused.
     places = held_places()
     places.ordered(engine_asks.Load(B, 0), done=False, now_seconds=10.0)
     places.ordered(engine_asks.Unload(B), done=True, now_seconds=11.0)
@@ -66,8 +66,8 @@
 
 
 def test_loads_take_longer_while_the_whole_fleet_loads() -> None:
-    # Twice as many loads as the store delivers at full speed: each takes
-    # twice as long. Granted earlier, the engine would refuse the requests.
+    # With twice as many loads as the store delivers at full speed, each takes
+    # twice as long. The engine would refuse requests granted before that.
     places = engine_places.Places(
         engine=engine_loads.ENGINE,
         newest={},
@@ -92,9 +92,9 @@
 
 
 def test_only_an_adapter_that_was_seen_there_makes_way() -> None:
-    # An adapter that should have arrived and was not seen yet may still be on
-    # its way. The engine answers an order to drop it with "done" and loads it
-    # all the same: with the next load it would hold more than it can.
+    # An adapter that should be loaded but is unconfirmed may still be loading.
+    # The engine replies "done" to its unload order and loads it all the same:
+    # after the next load it would exceed its capacity.
     places = held_places()
     for each in "bcde":
         places.ordered(
@@ -117,8 +117,8 @@
 
 
 def test_a_report_that_is_older_than_an_order_shows_what_was_there() -> None:
-    # Not seen there, an adapter never made way for another while orders were
-    # given faster than reports can follow.
+    # Unless older reports confirm a load too, no adapter can be evicted while
+    # orders follow each other faster than reports.
     places = held_places()
     places.ordered(
         engine_asks.Load(B, 0), done=False, now_seconds=11.0, count=1
@@ -140,8 +140,8 @@
 
 
 def test_a_report_that_is_older_than_an_order_undoes_nothing() -> None:
-    # Reports lag. One that was made before an order would bring back what was
-    # dropped, and requests would be sent to an adapter that isn't there.
+    # Reports lag. One from before an order would restore what was unloaded,
+    # and requests would be sent to an adapter that isn't loaded.
     places = held_places()
     places.ordered(engine_asks.Unload(A), done=True, now_seconds=11.0, count=1)
     places.ordered(
@@ -196,10 +196,10 @@
 
 
 def test_a_model_on_its_way_isnt_ordered_again() -> None:
-    # An engine restarted empty and was ordered to load its model, which takes
-    # two seconds. Its reports list the model only when it is there. A second
-    # order is answered as if it were new, without being counted; the next
-    # giver's number was then below one used before.
+    # An engine that restarted empty loads its model for two seconds, and its
+    # reports list the model only after that. It accepts a second order
+    # without counting it, so that the next instance to issue orders would
+    # use a lower number than one used before.
     places = engine_places.Places(engine=engine_loads.ENGINE, newest={})
     places.learn({}, {}, now_seconds=0.0)
     places.may_order = True
@@ -216,8 +216,9 @@
 
 
 def test_two_that_take_an_engine_up_at_once_drop_different_adapters() -> None:
-    # Neither has heard a request yet. Dropped by both, an adapter's second
-    # unload is answered whatever count it expects: two give orders at once.
+    # Two instances take over an engine and have counted no requests yet. If
+    # both unloaded the same adapter, the engine would accept the second order
+    # whatever count it expects, and both would go on issuing orders.
     dropped = set()
     for giver in range(20):
         places = engine_places.Places(
@@ -232,9 +233,9 @@
 
 
 def test_what_is_loaded_again_isnt_dropped_by_an_old_report() -> None:
-    # A report from before the unload lists the adapter, which is on its way
-    # again. The engine answers its unload, but doesn't count it: the next
-    # instance gives orders with the same count.
+    # A report from before the unload lists the adapter, which is loading
+    # again. The engine accepts its unload order without counting it, so that
+    # the next instance would issue orders with the same count.
     places = held_places()
     held = {"base": dict.fromkeys("abcde", 1)}
     places.learn(held, {}, now_seconds=10.4)
@@ -253,8 +254,9 @@
 def test_a_newer_version_on_its_way_is_neither_ordered_again_nor_dropped() -> (
     None
 ):
-    # While it came, reports listed the older one too: the load was repeated,
-    # which the engine didn't count, and the adapter looked idle.
+    # During the load, reports still list the older version. Taken for the
+    # newer one, the adapter would look idle and the load would be repeated,
+    # which the engine doesn't count.
     places = held_places({A: 2})
     places.ordered(engine_asks.Load(A, 2), done=False, now_seconds=11.0)
     places.learn({"base": {"a": 1}}, {A: 2}, now_seconds=11.1)
@@ -263,14 +265,14 @@
 
 
 def test_an_older_version_that_still_runs_needs_a_place_of_its_own() -> None:
-    # All places were taken: the newer version that was loaded beside the
-    # older one was one adapter too many.
+    # With all slots taken, loading the newer version beside the older one
+    # would exceed the capacity of the engine.
     newest = {A: 1}
     places = held_places(newest)
     places.learn({"base": dict.fromkeys("abcde", 1)}, {}, now_seconds=10.5)
     for key in (A, B):
         places.enter(key, now_seconds=10.5)
-    # So that it is clear which of the idle ones is asked for least.
+    # Makes C the idle adapter with the fewest requests.
     for key in map(engine_loads.key, "dee"):
         places.enter(key, now_seconds=10.5)
         places.leave(key, now_seconds=10.5)
@@ -287,7 +289,7 @@
 
 
 def test_an_older_version_that_nothing_uses_makes_way_for_the_newer() -> None:
-    # All places were taken: see above. Nothing else is dropped for it.
+    # All slots are taken, as above, but no other adapter needs to be unloaded.
     newest = {A: 1}
     places = held_places(newest)
     places.learn({"base": dict.fromkeys("abcde", 1)}, {}, now_seconds=10.5)
@@ -297,7 +299,7 @@
 
 
 def test_no_place_is_free_while_more_are_taken_than_there_are() -> None:
-    # With fewer than none a request that asked ended in an exception.
+    # A negative count raised an exception when a request was offered.
     places = held_places()
     places.learn({"base": dict.fromkeys("abcdef", 1)}, {}, now_seconds=10.5)
     for each in "abcdef":
--- a/tests/policy/test_engine_schedule.py
+++ b/tests/policy/test_engine_schedule.py
@@ -1,4 +1,4 @@
-"""One engine under load, judged by what its callers receive."""
+"""One engine under load, judged by the start or refusal of its requests."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 def test_requests_of_one_adapter_join_one_load() -> None:
-    # Ten callers ask for one cold adapter within a few milliseconds. They
-    # must wait for one load together, not cause ten.
+    # Ten requests for one cold adapter within a few milliseconds must share
+    # one load instead of causing ten.
     bench = engine_loads.Bench()
     for number in range(10):
         bench.submit(0.001 * number, engine_loads.ask(f"r{number}", "a1"))
@@ -29,8 +29,8 @@
 
 
 def test_an_adapter_in_use_is_never_dropped_for_another() -> None:
-    # Five long answers hold the five places when a sixth adapter is asked
-    # for. Dropping one of the five would break its answer off or stall.
+    # Five long responses use all five slots when a sixth adapter is requested.
+    # Unloading one of the five would abort or stall its response.
     bench = engine_loads.Bench()
     for number in range(5):
         bench.submit(
@@ -49,7 +49,7 @@
 
 def test_popular_adapters_keep_their_places_beside_a_cold_tail() -> None:
     # Half of the requests are for three adapters, the rest for hundreds that
-    # are asked for once. Dropped by the time of their last request, the
+    # are requested once. With eviction of the least recently used one, the
     # popular ones would be loaded 39 times.
     rng = random.Random(7)
     bench = engine_loads.Bench()
@@ -67,8 +67,8 @@
 
 
 def test_the_urgent_overtake_what_waits() -> None:
-    # A burst of drafts fills the engine; an editor's note of a more urgent
-    # class arrives behind it. Its first token must not wait for the burst.
+    # A burst of drafts fills the engine; a request of a more urgent class
+    # arrives behind it. Its first token must not wait for the burst.
     bench = engine_loads.Bench()
     for number in range(30):
         bench.submit(0.5, engine_loads.ask(f"draft{number}", "a1", at=0.5))
@@ -84,10 +84,10 @@
 
 
 def test_overload_is_refused_at_once_and_not_after_a_wait() -> None:
-    # Three times what the engine can read arrives for four seconds. Whoever
-    # can't start within its patience must hear so at once: a refusal after
-    # seconds of waiting leaves the caller no time to go elsewhere. Only the
-    # few that were let wait to be late may lose that hope.
+    # For four seconds, three times what the engine can prefill arrives. A
+    # request that can't start before it gives up must be refused at once: a
+    # refusal after seconds leaves its caller no time to try another engine.
+    # Only the few that were queued though late may be refused later.
     bench = engine_loads.Bench()
     arrivals = {}
     for number in range(120):
@@ -112,8 +112,8 @@
 
 
 def test_a_grant_is_told_again_while_it_runs() -> None:
-    # The message with the grant was lost; the asker repeats its ask. Asked a
-    # second time, the schedule must not count the request twice.
+    # The message with the grant was lost and the sender repeats its request.
+    # The schedule must not count the request twice.
     bench = engine_loads.Bench()
     bench.submit(0.0, engine_loads.ask("r", "a1"))
     bench.run(0.3)
@@ -123,8 +123,8 @@
 
 
 def test_a_run_that_nobody_ends_gives_its_room_back() -> None:
-    # The instance that sent a request was killed; no end is ever reported.
-    # Kept for good, its place and its memory would be lost to the engine.
+    # The instance that sent a request was killed, and no end is ever reported.
+    # The adapter slot and the memory of the request must not stay taken.
     bench = engine_loads.Bench()
     one = engine_loads.ask("lost", "a1", patience=2.0)
     bench.schedule.offer(one, now_seconds=0.0)
@@ -138,8 +138,8 @@
 
 
 def test_what_an_incarnation_asked_for_ends_with_it() -> None:
-    # An instance restarts. Its former asks must not hold places for callers
-    # whose connections are gone.
+    # An instance restarts. Its earlier requests must not hold slots for
+    # callers whose connections are gone.
     bench = engine_loads.Bench()
     bench.schedule.offer(engine_loads.ask("r", "a1"), now_seconds=0.0)
     bench.schedule.withdraw_where(
@@ -149,8 +149,8 @@
 
 
 def test_few_prompts_wait_inside_the_engine() -> None:
-    # What the engine has not begun can't be overtaken or sent elsewhere. It
-    # never has more than it reads within the pause that answers tolerate.
+    # Prompts in the engine's own queue can't be overtaken or sent to another
+    # engine. It never has more than it prefills within the tolerated pause.
     bench = engine_loads.Bench()
     for number in range(20):
         wanted = engine_loads.ask(f"r{number}", "a1")
@@ -161,8 +161,8 @@
 
 
 def test_what_is_not_there_yet_holds_nothing_back() -> None:
-    # A long prompt waits for its adapter, which is on its way. Others whose
-    # adapter is there must not wait with it.
+    # A long prompt waits while its adapter loads. Requests of a loaded adapter
+    # must not wait behind it.
     bench = engine_loads.Bench()
     bench.submit(0.0, engine_loads.ask("warm", "a1", output=200))
     bench.submit(0.5, engine_loads.ask("here1", "a1", at=0.5, output=200))
@@ -174,9 +174,9 @@
 
 
 def test_a_repeated_ask_keeps_its_turn_in_an_overload() -> None:
-    # A request waits; the queue behind it grows until new ones are refused.
-    # Its ask is repeated because an answer could have been lost. It must
-    # neither be refused nor make the schedule forget when it came.
+    # The queue grows behind a request until new ones are refused. The sender
+    # repeats the request in case a reply was lost. This must neither refuse it
+    # nor reset its arrival.
     bench = engine_loads.Bench()
     for number in range(9):
         bench.submit(0.0, engine_loads.ask(f"r{number}", "a1"))
@@ -189,10 +189,10 @@
 
 
 def test_who_can_outwait_a_stop_of_orders_waits_and_others_hear_when() -> None:
-    # All instances were restarted; nothing can be loaded for two seconds. A
-    # caller that leaves sooner is told when to come back: refused for a moment
-    # only, it would be refused again, and callers come back once. One that
-    # stays longer waits, and starts when its adapter was loaded.
+    # All instances were restarted, and nothing can be loaded for two seconds.
+    # A request that gives up sooner is told when to retry: after a shorter
+    # delay it would be refused again, and callers retry once. One that gives
+    # up later is queued, and starts when its adapter is loaded.
     bench = engine_loads.Bench()
     bench.places.orders_in_seconds = 2.0
     hasty = engine_loads.ask("hasty", "a1", patience=1.5)
@@ -204,9 +204,9 @@
 
 
 def test_an_eager_request_is_sent_on_where_it_would_be_late() -> None:
-    # Other instances see an engine as it was half a second ago. Meanwhile a
-    # queue has formed: whoever comes now would be late here, while the next
-    # engine is idle. It hears so at once; only the last ask may wait.
+    # Other instances know an engine as of half a second ago. Since then a
+    # queue has formed, in which a new request would start late while the next
+    # engine is idle. Unless it isn't eager, it is refused at once.
     bench = engine_loads.Bench()
     for number in range(9):
         queued = engine_loads.ask(f"r{number}", "a1")
@@ -222,8 +222,8 @@
 
 
 def test_an_eager_request_leaves_an_engine_without_an_idle_place() -> None:
-    # Five adapters run. A sixth would wait for a place here, whatever the
-    # queue says, while another engine has an idle one.
+    # Five adapters are in use. A sixth would wait for a slot here, however
+    # short the queue is, while another engine has an idle one.
     bench = engine_loads.Bench()
     for number in range(5):
         held = engine_loads.ask(f"r{number}", f"a{number}", output=400)
@@ -237,9 +237,9 @@
 
 
 def test_a_place_goes_to_who_can_be_on_time_with_it() -> None:
-    # Five places are taken. Two callers wait for the next; the first is due
-    # sooner, but its adapter would take until after that to load. Given the
-    # place, it makes the second late as well.
+    # Five slots are taken, and two requests wait for the next one. The first
+    # is due sooner, but its adapter can't be loaded by then. If it got the
+    # slot, the second would start late as well.
     bench = engine_loads.Bench()
     for number in range(4):
         long = engine_loads.ask(f"long{number}", f"a{number}", output=800)
@@ -253,9 +253,9 @@
 
 
 def test_who_waits_for_a_place_in_vain_hears_so_soon() -> None:
-    # Places are held by long answers, and more adapters are asked for than
-    # get one. Whoever missed its target is never served before those that
-    # come later; kept until its patience ends, it can't go elsewhere.
+    # Long responses use all slots, and more adapters are requested than get
+    # one. A request that is late is never served before later ones; if it was
+    # queued until it gives up, its caller couldn't try another engine.
     bench = engine_loads.Bench()
     arrivals = {}
     for number in range(60):
@@ -276,9 +276,9 @@
 
 
 def test_a_queue_for_places_keeps_no_caller_of_a_held_adapter_away() -> None:
-    # Eight callers wait for places, and nobody for the engine's reading. One
-    # that needs an adapter which runs there can join it at once; sent on, it
-    # would take a place at another engine too.
+    # Eight requests wait for adapter slots, and none for prefill. A request
+    # whose adapter is loaded can start at once; sent to another engine, it
+    # would take a slot there too.
     bench = engine_loads.Bench()
     for number in range(5):
         held = engine_loads.ask(f"r{number}", f"a{number}", output=400)
--- a/tests/policy/test_prompt_spacing.py
+++ b/tests/policy/test_prompt_spacing.py
@@ -1,4 +1,4 @@
-"""Prompts in rows, judged by what the answers beside them receive."""
+"""Prompt spacing, judged by the pauses of the responses beside the prompts."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 def test_prompts_in_a_row_neither_hold_answers_up_nor_idle_the_engine():
-    # Four callers read long answers when forty prompts come at once. Read
-    # back to back, they hold each event of the four up for over half a
-    # second. Sent one by one, the engine idles for more than a third of the
-    # time until it gets the next, and the last callers leave.
+    # Four long responses run when forty prompts come at once. Prefilled back
+    # to back, they delay each event of the four by over half a second. Sent
+    # one by one, they leave the engine idle for more than a third of the time,
+    # and the last callers give up.
     engine = chunked_engine.ChunkedEngine(
         tokens_per_second=SPEED, event_tokens=5
     )
@@ -39,8 +39,8 @@
 
 
 def test_a_long_prompt_is_read_though_it_exceeds_the_bound() -> None:
-    # A document of 30,000 tokens takes longer than any pause that answers may
-    # make. It waits for its turn, and then it is read.
+    # The prefill of 30,000 tokens takes longer than any pause that responses
+    # may make. Such a prompt waits for its turn but is not held back for ever.
     engine = chunked_engine.ChunkedEngine(
         tokens_per_second=SPEED, event_tokens=5
     )
