--- a/src/boragefold/policy/engine_choice.py
+++ b/src/boragefold/policy/engine_choice.py
@@ -30,7 +30,7 @@
 UNHEALTHY_SECONDS = 2.0
 
 # Sized for the adapters that are requested again and again.
-REMEMBERED_HOMES = 256
+RANK_CACHE_SIZE = 256
 # The backlog of an engine that no instance schedules is unknown.
 UNSCHEDULED_SECONDS = 0.1
 # An engine without the model has to load it first.
@@ -68,15 +68,17 @@
     :return: the engines that can run the request, best first
     """
     by_name = {engine.name: engine for engine in engines}
-    homes = [by_name[name] for name in _homes(key, tuple(by_name))]
-    able = [engine for engine in homes if _is_able(key, engine)]
-    costs = _costs(key, able)
+    ordered = [
+        by_name[name] for name in _rendezvous_order(key, tuple(by_name))
+    ]
+    capable = [engine for engine in ordered if _can_serve(key, engine)]
+    costs = _costs(key, capable)
     # A stable sort: engines of equal cost stay in the adapter's order.
-    order = sorted(range(len(able)), key=costs.__getitem__)
-    return [able[place] for place in order]
+    order = sorted(range(len(capable)), key=costs.__getitem__)
+    return [capable[position] for position in order]
 
 
-def _is_able(key: deployment.AdapterKey, engine: EngineView) -> bool:
+def _can_serve(key: deployment.AdapterKey, engine: EngineView) -> bool:
     if key.model not in engine.models and engine.models:
         return False
     if engine.scheduled:
@@ -84,13 +86,15 @@
     return key in engine.held if key.adapter else bool(engine.models)
 
 
-def _costs(key: deployment.AdapterKey, homes: list[EngineView]) -> list[float]:
+def _costs(
+    key: deployment.AdapterKey, ordered: list[EngineView]
+) -> list[float]:
     # One expression over unpacked fields: it is evaluated for each engine on
     # each ranking.
     model = key.model
     digest = engine_copies.digest(key)
     needs_adapter = bool(key.adapter)
-    steps = _steps_seconds(len(homes), needs_adapter)
+    position_costs = _position_costs(len(ordered), needs_adapter)
     return [
         backlog_seconds
         + (0.0 if near else FAR_SECONDS)
@@ -120,27 +124,27 @@
             scheduled,
             orders_in_seconds,
             copies,
-        ) in zip(steps, homes, strict=True)
+        ) in zip(position_costs, ordered, strict=True)
     ]
 
 
 @functools.lru_cache
-def _steps_seconds(count: int, has_homes: bool) -> tuple[float, ...]:
-    step_seconds = STEP_SECONDS if has_homes else 0.0
+def _position_costs(count: int, has_order: bool) -> tuple[float, ...]:
+    step_seconds = STEP_SECONDS if has_order else 0.0
     return tuple(
-        step_seconds * min(place, MAX_STEPS) for place in range(count)
+        step_seconds * min(position, MAX_STEPS) for position in range(count)
     )
 
 
-@functools.lru_cache(maxsize=REMEMBERED_HOMES)
-def _homes(
+@functools.lru_cache(maxsize=RANK_CACHE_SIZE)
+def _rendezvous_order(
     key: deployment.AdapterKey, names: tuple[str, ...]
 ) -> tuple[str, ...]:
-    before = "\0".join((*key, "")).encode()
+    prefix = "\0".join((*key, "")).encode()
     return tuple(
         sorted(
             names,
-            key=lambda name: xxhash.xxh3_64_intdigest(before + name.encode()),
+            key=lambda name: xxhash.xxh3_64_intdigest(prefix + name.encode()),
         )
     )
 
--- a/src/boragefold/policy/engine_copies.py
+++ b/src/boragefold/policy/engine_copies.py
@@ -19,10 +19,10 @@
 # Short, since digests are part of each heartbeat; a collision costs one load.
 DIGEST_BITS = 16
 # The same copies are announced many times before they change.
-REMEMBERED_DIGESTS = 4_096
+DIGEST_CACHE_SIZE = 4_096
 
 
-@functools.lru_cache(maxsize=REMEMBERED_DIGESTS)
+@functools.lru_cache(maxsize=DIGEST_CACHE_SIZE)
 def digest(key: deployment.AdapterKey) -> int:
     """Compute a short digest of an adapter.
 
--- a/src/boragefold/policy/engine_pace.py
+++ b/src/boragefold/policy/engine_pace.py
@@ -13,25 +13,25 @@
 import dataclasses
 
 # Assumed before the first response started.
-FIRST_FIXED_SECONDS = 0.03
-FIRST_TOKENS_PER_SECOND = 20_000.0
+INITIAL_FIXED_SECONDS = 0.03
+INITIAL_TOKENS_PER_SECOND = 20_000.0
 # The assumption weighs as much as measured prefills of these lengths.
-FIRST_PROMPTS_TOKENS = (300, 4_000) * 5
+INITIAL_PROMPTS_TOKENS = (300, 4_000) * 5
 # Limits outliers: a prompt in the prefix cache, or a pause of the engine.
-MOST_STRETCH = 2.0
-LEAST_SPEED = 2_000.0
-MOST_SPEED = 200_000.0
-MOST_FIXED_SECONDS = 0.5
+MAX_DEVIATION = 2.0
+MIN_TOKENS_PER_SECOND = 2_000.0
+MAX_TOKENS_PER_SECOND = 200_000.0
+MAX_FIXED_SECONDS = 0.5
 # Exponential decay per measured prefill.
-FADING = 0.93
+DECAY = 0.93
 # Assumed before the first response ended.
-FIRST_RUN_SECONDS = 0.8
+INITIAL_RUN_SECONDS = 0.8
 # Low, so that one long response doesn't make the engine look blocked.
 RUN_SMOOTHING = 0.1
 
 
 @dataclasses.dataclass(kw_only=True)
-class Sums:
+class DecayedSums:
     """Exponentially decayed sums for a least-squares line through prefills."""
 
     count: float = 0.0
@@ -46,11 +46,11 @@
         :param tokens: of its prompt
         :param seconds: its duration
         """
-        self.count = FADING * self.count + 1
-        self.tokens = FADING * self.tokens + tokens
-        self.seconds = FADING * self.seconds + seconds
-        self.tokens_squared = FADING * self.tokens_squared + tokens**2
-        self.tokens_seconds = FADING * self.tokens_seconds + tokens * seconds
+        self.count = DECAY * self.count + 1
+        self.tokens = DECAY * self.tokens + tokens
+        self.seconds = DECAY * self.seconds + seconds
+        self.tokens_squared = DECAY * self.tokens_squared + tokens**2
+        self.tokens_seconds = DECAY * self.tokens_seconds + tokens * seconds
 
 
 class EnginePace:
@@ -62,11 +62,11 @@
     """
 
     def __init__(self) -> None:
-        self.fixed_seconds = FIRST_FIXED_SECONDS
-        self.tokens_per_second = FIRST_TOKENS_PER_SECOND
-        self.run_seconds = FIRST_RUN_SECONDS
-        self._sums = Sums()
-        for tokens in FIRST_PROMPTS_TOKENS:
+        self.fixed_seconds = INITIAL_FIXED_SECONDS
+        self.tokens_per_second = INITIAL_TOKENS_PER_SECOND
+        self.run_seconds = INITIAL_RUN_SECONDS
+        self._sums = DecayedSums()
+        for tokens in INITIAL_PROMPTS_TOKENS:
             self._sums.add(tokens, self.reading_seconds(tokens))
 
     def reading_seconds(self, tokens: int, prompts: int = 1) -> float:
@@ -94,8 +94,8 @@
             later, since the previous response started
         """
         expected_seconds = self.reading_seconds(tokens)
-        shortest_seconds = expected_seconds / MOST_STRETCH
-        longest_seconds = expected_seconds * MOST_STRETCH
+        shortest_seconds = expected_seconds / MAX_DEVIATION
+        longest_seconds = expected_seconds * MAX_DEVIATION
         counted_seconds = min(
             max(took_seconds, shortest_seconds), longest_seconds
         )
@@ -111,13 +111,21 @@
 
     def _fit(self) -> None:
         sums = self._sums
-        spread = sums.count * sums.tokens_squared - sums.tokens**2
-        common = sums.count * sums.tokens_seconds - sums.tokens * sums.seconds
-        slope = common / spread if spread > 0 else 1 / self.tokens_per_second
-        slope = min(max(slope, 1 / MOST_SPEED), 1 / LEAST_SPEED)
+        variance = sums.count * sums.tokens_squared - sums.tokens**2
+        covariance = (
+            sums.count * sums.tokens_seconds - sums.tokens * sums.seconds
+        )
+        slope = (
+            covariance / variance
+            if variance > 0
+            else 1 / self.tokens_per_second
+        )
+        slope = min(
+            max(slope, 1 / MAX_TOKENS_PER_SECOND), 1 / MIN_TOKENS_PER_SECOND
+        )
         fixed_seconds = (sums.seconds - slope * sums.tokens) / sums.count
         self.tokens_per_second = 1 / slope
-        self.fixed_seconds = min(max(fixed_seconds, 0.0), MOST_FIXED_SECONDS)
+        self.fixed_seconds = min(max(fixed_seconds, 0.0), MAX_FIXED_SECONDS)
 
 
 __all__ = [
--- a/src/boragefold/policy/engine_places.py
+++ b/src/boragefold/policy/engine_places.py
@@ -27,11 +27,11 @@
 
 # When a load is late, the requests that wait for it are tried again after this
 # time.
-RETRY_LOAD_SECONDS = 0.06
+LATE_LOAD_RETRY_SECONDS = 0.06
 # When a load is this late, it may have failed: the engine is asked to report.
-OVERDUE_SECONDS = 0.1
+LOAD_OVERDUE_SECONDS = 0.1
 # Delay after an order that failed or was refused.
-ORDER_PAUSE_SECONDS = 0.1
+ORDER_RETRY_SECONDS = 0.1
 
 
 class Places:
@@ -55,7 +55,7 @@
         :param engines: returns how many engines share the weight store
         :param giver: the number of the instance that issues the orders
         """
-        self._giver = giver
+        self._issuer = giver
         self._load_times = load_times.LoadTimes(
             loads_elsewhere=loads_elsewhere, engines=engines
         )
@@ -68,10 +68,10 @@
         self._model_seconds = {
             model.name: model.load_seconds for model in engine.models
         }
-        self._not_before_seconds = 0.0
+        self._next_order_at_seconds = 0.0
         # Whether orders are allowed now, and for how long none will be: right
         # after the start, and while another instance issues them.
-        self._busy = False
+        self._is_changing_model = False
         self.may_order = False
         self.orders_in_seconds = 0.0
 
@@ -197,8 +197,8 @@
         :param wanted: how many requests wait for each adapter
         :return: the slots that are empty or hold an idle adapter
         """
-        free = self.capacity - self._taken()
-        return max(0, free + sum(1 for _ in self._idle(wanted)))
+        free = self.capacity - self._occupied_slots()
+        return max(0, free + sum(1 for _ in self._idle_adapters(wanted)))
 
     def has_place_for(
         self,
@@ -235,13 +235,13 @@
             before a request needs them
         :return: the order; None if there is nothing to order now
         """
-        if not self.may_order or now_seconds < self._not_before_seconds:
+        if not self.may_order or now_seconds < self._next_order_at_seconds:
             return None
         for ask in unplaced:
             order = self._order_for(ask.needs, wanted, now_seconds)
             if order is not None:
                 return order
-        return self._renewal(wanted, now_seconds) if renews else None
+        return self._update_order(wanted, now_seconds) if renews else None
 
     def ordered(
         self,
@@ -273,14 +273,14 @@
                 key, loading=self.loading(now_seconds=now_seconds)
             )
             # Requests of an older version go on running beside the newer one.
-            before = self._places.get(key)
+            previous = self._places.get(key)
             self._places[key] = adapter_places.Place(
                 version=order.version,
                 ready_at_seconds=now_seconds + load_seconds,
                 count=count,
-                running=0 if before is None else before.running,
+                running=0 if previous is None else previous.running,
                 warm=self._load_times.is_warm(key),
-                replaces=before is not None,
+                replaces=previous is not None,
             )
         self._load_times.remember(key)
 
@@ -289,7 +289,7 @@
 
         :param now_seconds: reading of the process clock
         """
-        self._not_before_seconds = now_seconds + ORDER_PAUSE_SECONDS
+        self._next_order_at_seconds = now_seconds + ORDER_RETRY_SECONDS
 
     def not_there(self, key: AdapterKey, *, now_seconds: float) -> None:
         """Record that the engine refused a request: its adapter isn't loaded.
@@ -299,7 +299,7 @@
         """
         if (place := self._places.get(key)) is None:
             return
-        delay_seconds = RETRY_LOAD_SECONDS
+        delay_seconds = LATE_LOAD_RETRY_SECONDS
         if place.warm:
             # The engine had dropped its copy: it loads from the store.
             delay_seconds = load_times.COLD_LOAD_SECONDS
@@ -328,7 +328,7 @@
         """
         return any(
             not place.confirmed
-            and now_seconds - place.ready_at_seconds > OVERDUE_SECONDS
+            and now_seconds - place.ready_at_seconds > LOAD_OVERDUE_SECONDS
             for place in self._places.values()
         )
 
@@ -362,7 +362,7 @@
         :param busy: whether the engine loads or unloads a model, which it
             lists only when that is done
         """
-        self._busy = busy
+        self._is_changing_model = busy
         self._places = adapter_places.learned(
             self._places, held, coming, now_seconds=now_seconds
         )
@@ -391,7 +391,7 @@
         expected = itertools.chain(
             self._models.values(),
             (place.ready_at_seconds for place in self._places.values()),
-            (self._not_before_seconds,),
+            (self._next_order_at_seconds,),
         )
         return (due for due in expected if due > now_seconds)
 
@@ -412,14 +412,14 @@
         place = self._places.get(key)
         if place is not None and place.leaving:
             return None
-        if self._taken() < self.capacity:
+        if self._occupied_slots() < self.capacity:
             return engine_asks.Load(key, self._newest.get(key, 0))
         if place is not None and place.confirmed and not place.running:
             return engine_asks.Unload(key)
-        idlest = self._least_popular(wanted, now_seconds)
-        return None if idlest is None else engine_asks.Unload(idlest)
+        victim = self._eviction_candidate(wanted, now_seconds)
+        return None if victim is None else engine_asks.Unload(victim)
 
-    def _taken(self) -> int:
+    def _occupied_slots(self) -> int:
         return len(self._places) + sum(
             place.replaces for place in self._places.values()
         )
@@ -429,7 +429,11 @@
         # no room for this one. While an engine loads a model, it accepts a
         # second order for it without counting it, so that two instances would
         # use the same fencing number.
-        if self._busy or self._models or model not in self._model_seconds:
+        if (
+            self._is_changing_model
+            or self._models
+            or model not in self._model_seconds
+        ):
             return None
         return engine_asks.Load(AdapterKey(model, ""), 0)
 
@@ -445,7 +449,7 @@
         )
         return next(outdated, None)
 
-    def _renewal(
+    def _update_order(
         self, wanted: Mapping[AdapterKey, int], now_seconds: float
     ) -> engine_asks.Order | None:
         # No request may start on the older version much later, so it is
@@ -455,11 +459,11 @@
             return None
         return self._order_for(key, wanted, now_seconds)
 
-    def _least_popular(
+    def _eviction_candidate(
         self, wanted: Mapping[AdapterKey, int], now_seconds: float
     ) -> AdapterKey | None:
         return min(
-            self._idle(wanted),
+            self._idle_adapters(wanted),
             key=lambda key: (
                 self._popularity.of(key, now_seconds=now_seconds),
                 self._tie_break(key),
@@ -471,10 +475,12 @@
         # Two instances that take over an engine at once have counted no
         # requests yet. If both unloaded the same adapter, the engine would
         # accept the second order without checking the count it expects.
-        text = f"{self._giver}\0{key.model}\0{key.adapter}"
+        text = f"{self._issuer}\0{key.model}\0{key.adapter}"
         return xxhash.xxh3_64_intdigest(text.encode())
 
-    def _idle(self, wanted: Mapping[AdapterKey, int]) -> Iterator[AdapterKey]:
+    def _idle_adapters(
+        self, wanted: Mapping[AdapterKey, int]
+    ) -> Iterator[AdapterKey]:
         return (
             key
             for key, place in self._places.items()
--- a/src/boragefold/policy/engine_requests.py
+++ b/src/boragefold/policy/engine_requests.py
@@ -41,8 +41,10 @@
         :param now_seconds: reading of the process clock
         :return: the parts
         """
-        ready_at_seconds = _or(self.ready_at_seconds, now_seconds)
-        placed_at_seconds = _or(self.placed_at_seconds, ready_at_seconds)
+        ready_at_seconds = _or_default(self.ready_at_seconds, now_seconds)
+        placed_at_seconds = _or_default(
+            self.placed_at_seconds, ready_at_seconds
+        )
         return engine_asks.Waits(
             place_seconds=placed_at_seconds - self.since_seconds,
             load_seconds=ready_at_seconds - placed_at_seconds,
@@ -76,8 +78,8 @@
     return Prompts(number=len(tokens), tokens=sum(tokens))
 
 
-def _or(at_seconds: float | None, otherwise_seconds: float) -> float:
-    return otherwise_seconds if at_seconds is None else at_seconds
+def _or_default(at_seconds: float | None, default_seconds: float) -> float:
+    return default_seconds if at_seconds is None else at_seconds
 
 
 __all__ = [
--- a/src/boragefold/policy/engine_runs.py
+++ b/src/boragefold/policy/engine_runs.py
@@ -13,10 +13,10 @@
 
 # Part of the KV cache that granted requests may fill. Beyond it the engine
 # preempts running responses and prefills their prompts again.
-MEMORY_SHARE = 0.9
+MAX_KV_CACHE_SHARE = 0.9
 # If the start of a granted request is unreported for this long, the request
 # has started or was lost.
-START_REPORT_SECONDS = 3.0
+START_REPORT_TIMEOUT_SECONDS = 3.0
 
 
 class EngineRuns:
@@ -33,7 +33,7 @@
         self._engine = engine
         self._pace = pace
         self._runs: dict[str, engine_requests.Run] = {}
-        self._started_at_seconds = -math.inf
+        self._last_start_seconds = -math.inf
         self._spacing = prompt_spacing.PromptSpacing(pace=pace)
 
     def __len__(self) -> int:
@@ -99,8 +99,8 @@
         run.started = True
         # The engine prefills one prompt after another: this prefill began
         # when the one before it ended, or when the request was granted.
-        since_seconds = max(run.granted_at_seconds, self._started_at_seconds)
-        self._started_at_seconds = now_seconds
+        since_seconds = max(run.granted_at_seconds, self._last_start_seconds)
+        self._last_start_seconds = now_seconds
         self._pace.started(run.ask.prompt_tokens, now_seconds - since_seconds)
         return run.ask
 
@@ -122,11 +122,11 @@
         """
         if len(self._runs) >= self._engine.slots:
             return False
-        if self.unstarted().number and self._stalls_answers(ask):
+        if self.unstarted().number and self._pauses_responses_too_long(ask):
             return False
         used = sum(each.total_tokens for each in self.asks())
-        bound = MEMORY_SHARE * self._engine.kv_tokens
-        return not used or used + ask.total_tokens <= bound
+        limit = MAX_KV_CACHE_SHARE * self._engine.kv_tokens
+        return not used or used + ask.total_tokens <= limit
 
     def take_for_started(self, *, now_seconds: float) -> None:
         """Take requests as started whose start is long unreported.
@@ -134,7 +134,10 @@
         :param now_seconds: reading of the process clock
         """
         for run in self._runs.values():
-            if now_seconds - run.granted_at_seconds > START_REPORT_SECONDS:
+            if (
+                now_seconds - run.granted_at_seconds
+                > START_REPORT_TIMEOUT_SECONDS
+            ):
                 run.started = True
 
     def overdue(self, *, now_seconds: float) -> list[str]:
@@ -149,7 +152,7 @@
             if now_seconds > ask.ends_by_seconds
         ]
 
-    def _stalls_answers(self, ask: engine_asks.Ask) -> bool:
+    def _pauses_responses_too_long(self, ask: engine_asks.Ask) -> bool:
         return not self._spacing.allows(
             ask.prompt_tokens,
             (each.event_gap_seconds for each in (ask, *self.asks())),
--- a/src/boragefold/policy/engine_schedule.py
+++ b/src/boragefold/policy/engine_schedule.py
@@ -33,12 +33,12 @@
 
 # Part of the time until a request gives up that it may spend in the queue; the
 # rest is for the response.
-START_PATIENCE_SHARE = 0.8
+MAX_WAIT_SHARE = 0.8
 # Requests that will start late run when none can start on time any more. They
 # may wait behind a backlog of this part of the time until they give up: such a
 # backlog remains after a burst and is worked off after it. Behind a longer one
 # they would wait in vain, since the overload lasts.
-LATE_SHARE = 0.3
+MAX_LATE_WAIT_SHARE = 0.3
 # A queue takes this long to change: earlier retries would be refused again.
 MIN_RETRY_AFTER_SECONDS = 0.2
 # Reason of the refusal of an eager request.
@@ -101,9 +101,9 @@
         # Without the requests that wait for an adapter slot, which are
         # prefilled when they have one: counted here, they would send requests
         # of loaded adapters to other engines, where each takes a further slot.
-        soon = self._soon_placed()
-        waiting = (ask for ask in self._asks() if ask.needs in soon)
-        return self._reading_seconds(
+        soon = self._adapters_with_slots()
+        waiting = (ask for ask in self._queued_requests() if ask.needs in soon)
+        return self._prefill_seconds(
             self._runs.unstarted(), engine_requests.prompts_of(waiting)
         )
 
@@ -112,7 +112,7 @@
 
         :return: seconds; 0 if a slot is empty or its adapter idle
         """
-        return self._place_seconds(self._unplaced_adapters())
+        return self._slot_wait_seconds(self._adapters_without_slot())
 
     def offer(
         self, ask: Ask, *, now_seconds: float
@@ -130,7 +130,7 @@
         waiting = Waiting(
             ask=ask, turn=next(self._arrivals), since_seconds=now_seconds
         )
-        if ask.eager and self._must_be_late(waiting, now_seconds):
+        if ask.eager and self._would_be_late(waiting, now_seconds):
             wait_seconds = self._wait_seconds(waiting, now_seconds)
             return engine_asks.TurnAway(
                 ask=ask,
@@ -177,7 +177,7 @@
         :return: how many were removed
         """
         asks = [
-            *self._asks(),
+            *self._queued_requests(),
             *self._runs.asks(),
         ]
         lost = list(filter(gone, asks))
@@ -201,14 +201,14 @@
         :param now_seconds: reading of the process clock
         :return: grants, refusals and at most one order
         """
-        self._forget_unreported(now_seconds)
+        self._expire_unreported(now_seconds)
         actions: list[Action] = [*self._expire(now_seconds)]
-        in_turn = self._in_turn(now_seconds)
-        actions.extend(self._shed(in_turn, now_seconds))
-        self._note_waits(now_seconds)
+        by_urgency = self._by_urgency(now_seconds)
+        actions.extend(self._shed(by_urgency, now_seconds))
+        self._record_progress(now_seconds)
         ready = (
             ask
-            for ask in self._still_waiting(in_turn)
+            for ask in self._still_queued(by_urgency)
             if self.places.ready(ask.needs, now_seconds=now_seconds)
         )
         for ask in ready:
@@ -217,7 +217,7 @@
             if not self._runs.has_room(ask):
                 break
             actions.append(self._grant(ask, now_seconds))
-        order = self._next_order(in_turn, now_seconds)
+        order = self._next_order(by_urgency, now_seconds)
         return actions if order is None else [*actions, order]
 
     def wants_order(self) -> bool:
@@ -226,7 +226,9 @@
         :return: whether a queued request needs an adapter that isn't loaded,
             or a newer version of a loaded one was published
         """
-        lacking = any(not self.places.holds(ask.needs) for ask in self._asks())
+        lacking = any(
+            not self.places.holds(ask.needs) for ask in self._queued_requests()
+        )
         return lacking or self.places.outdated() is not None
 
     def next_due_seconds(self, *, now_seconds: float) -> float | None:
@@ -237,32 +239,32 @@
         """
         if not self._queue:
             return None
-        expiries = (ask.give_up_at_seconds for ask in self._asks())
+        expiries = (ask.give_up_at_seconds for ask in self._queued_requests())
         dues = self.places.dues(now_seconds=now_seconds)
         return min(itertools.chain(expiries, dues))
 
     def _next_order(
-        self, in_turn: Iterable[Waiting], now_seconds: float
+        self, by_urgency: Iterable[Waiting], now_seconds: float
     ) -> engine_asks.Order | None:
         latest_seconds = now_seconds - self.order_delay_seconds
         unplaced = [
             waiting.ask
-            for waiting in in_turn
+            for waiting in by_urgency
             if waiting.ask.request_id in self._queue
             and waiting.since_seconds <= latest_seconds
             and not self.places.holds(waiting.ask.needs)
         ]
         return self.places.next_order(
             unplaced,
-            self._wanted(),
+            self._queued_by_adapter(),
             now_seconds=now_seconds,
             renews=not self.order_delay_seconds,
         )
 
-    def _asks(self) -> Iterator[Ask]:
+    def _queued_requests(self) -> Iterator[Ask]:
         return (waiting.ask for waiting in self._queue.values())
 
-    def _note_waits(self, now_seconds: float) -> None:
+    def _record_progress(self, now_seconds: float) -> None:
         for waiting in self._queue.values():
             needs = waiting.ask.needs
             waiting.note(
@@ -271,16 +273,16 @@
                 now_seconds=now_seconds,
             )
 
-    def _in_turn(self, now_seconds: float) -> list[Waiting]:
+    def _by_urgency(self, now_seconds: float) -> list[Waiting]:
         return sorted(
             self._queue.values(),
             key=lambda waiting: self._urgency(waiting, now_seconds),
         )
 
-    def _still_waiting(self, in_turn: Iterable[Waiting]) -> Iterator[Ask]:
+    def _still_queued(self, by_urgency: Iterable[Waiting]) -> Iterator[Ask]:
         return (
             waiting.ask
-            for waiting in in_turn
+            for waiting in by_urgency
             if waiting.ask.request_id in self._queue
         )
 
@@ -309,25 +311,29 @@
     def _excess_seconds(self, waiting: Waiting, now_seconds: float) -> float:
         ask = waiting.ask
         wait_seconds = self._wait_seconds(waiting, now_seconds)
-        patience_seconds = ask.give_up_at_seconds - now_seconds
-        excess_seconds = wait_seconds - START_PATIENCE_SHARE * patience_seconds
+        remaining_seconds = ask.give_up_at_seconds - now_seconds
+        excess_seconds = wait_seconds - MAX_WAIT_SHARE * remaining_seconds
         reading_seconds = self._pace.reading_seconds(ask.prompt_tokens)
         starts_at_seconds = now_seconds + wait_seconds + reading_seconds
         if starts_at_seconds <= ask.on_time_by_seconds:
             return excess_seconds
         backlog_seconds = self.backlog_seconds()
-        if not self._is_placed(ask):
+        if not self._has_slot(ask):
             backlog_seconds = max(backlog_seconds, self.place_wait_seconds())
-        late_seconds = backlog_seconds - LATE_SHARE * patience_seconds
+        late_seconds = (
+            backlog_seconds - MAX_LATE_WAIT_SHARE * remaining_seconds
+        )
         return max(excess_seconds, late_seconds)
 
-    def _must_be_late(self, waiting: Waiting, now_seconds: float) -> bool:
+    def _would_be_late(self, waiting: Waiting, now_seconds: float) -> bool:
         ask = waiting.ask
         # Other instances know the state of this engine as of half a second
         # ago; since then, the idle slot may be taken or a queue have formed.
         held = self.places.holds(ask.needs)
         if not held and not self.places.has_place_for(
-            self._unplaced_adapters(), self._wanted(), now_seconds=now_seconds
+            self._adapters_without_slot(),
+            self._queued_by_adapter(),
+            now_seconds=now_seconds,
         ):
             return True
         wait_seconds = self._wait_seconds(waiting, now_seconds)
@@ -337,31 +343,31 @@
 
     def _wait_seconds(self, waiting: Waiting, now_seconds: float) -> float:
         urgency = self._urgency(waiting, now_seconds)
-        soon = self._soon_placed() | {waiting.ask.needs}
-        before = (
+        soon = self._adapters_with_slots() | {waiting.ask.needs}
+        ahead = (
             other.ask
             for other in self._queue.values()
             if other.ask.needs in soon
             and self._urgency(other, now_seconds) < urgency
         )
-        wait_seconds = self._reading_seconds(
-            self._runs.unstarted(), engine_requests.prompts_of(before)
+        wait_seconds = self._prefill_seconds(
+            self._runs.unstarted(), engine_requests.prompts_of(ahead)
         )
         needs = waiting.ask.needs
-        place_seconds = self.places.until_ready_seconds(
+        slot_seconds = self.places.until_ready_seconds(
             needs, now_seconds=now_seconds
         )
         if not self.places.holds(needs):
-            place_seconds += self.place_wait_seconds()
+            slot_seconds += self.place_wait_seconds()
         # The engine prefills other prompts while it loads the adapter.
-        return max(wait_seconds, place_seconds)
+        return max(wait_seconds, slot_seconds)
 
     def _refusal(
         self, ask: Ask, excess_seconds: float
     ) -> engine_asks.TurnAway:
         orders_in_seconds = self.places.orders_in_seconds
         if not orders_in_seconds or self.places.holds(ask.needs):
-            return _too_long(ask, excess_seconds)
+            return _queue_too_long(ask, excess_seconds)
         # A retry before orders are allowed would be refused again, and most
         # callers retry only once.
         return engine_asks.TurnAway(
@@ -371,45 +377,45 @@
         )
 
     def _shed(
-        self, in_turn: Iterable[Waiting], now_seconds: float
+        self, by_urgency: Iterable[Waiting], now_seconds: float
     ) -> Iterator[engine_asks.TurnAway]:
         # More urgent requests may have come since. A request that can't start
         # any more before it gives up is refused now, while its caller has time
         # to try another engine.
-        reading_seconds = self._reading_seconds(self._runs.unstarted())
+        reading_seconds = self._prefill_seconds(self._runs.unstarted())
         unplaced: set[AdapterKey] = set()
-        for waiting in in_turn:
+        for waiting in by_urgency:
             ask = waiting.ask
-            patience_seconds = ask.give_up_at_seconds - now_seconds
-            if self._is_placed(ask):
+            remaining_seconds = ask.give_up_at_seconds - now_seconds
+            if self._has_slot(ask):
                 wait_seconds = reading_seconds
                 reading_seconds += self._pace.reading_seconds(
                     ask.prompt_tokens
                 )
             else:
-                wait_seconds = self._place_seconds(len(unplaced))
+                wait_seconds = self._slot_wait_seconds(len(unplaced))
                 unplaced.add(ask.needs)
                 if self._is_late(ask, now_seconds):
-                    patience_seconds *= LATE_SHARE
-            if wait_seconds > patience_seconds:
+                    remaining_seconds *= MAX_LATE_WAIT_SHARE
+            if wait_seconds > remaining_seconds:
                 self.withdraw(ask.request_id, now_seconds=now_seconds)
-                yield _too_long(ask, wait_seconds - patience_seconds)
+                yield _queue_too_long(ask, wait_seconds - remaining_seconds)
 
-    def _place_seconds(self, ahead: int) -> float:
+    def _slot_wait_seconds(self, ahead: int) -> float:
         # Until a slot is free for an adapter with so many others ahead of it.
-        behind = 1 + ahead - self.places.free(self._wanted())
+        behind = 1 + ahead - self.places.free(self._queued_by_adapter())
         if behind <= 0:
             return 0.0
         return self._pace.run_seconds * behind / max(1, self.places.capacity)
 
-    def _soon_placed(self) -> set[AdapterKey]:
+    def _adapters_with_slots(self) -> set[AdapterKey]:
         # The adapters that have a slot, and those that get an idle one now.
-        wanted = self._wanted()
+        wanted = self._queued_by_adapter()
         unplaced = (key for key in wanted if not self.places.holds(key))
         coming = set(itertools.islice(unplaced, self.places.free(wanted)))
         return coming | {key for key in wanted if self.places.holds(key)}
 
-    def _is_placed(self, ask: Ask) -> bool:
+    def _has_slot(self, ask: Ask) -> bool:
         return self.places.holds(ask.needs)
 
     def _grant(self, ask: Ask, now_seconds: float) -> engine_asks.Grant:
@@ -419,28 +425,30 @@
         version = self.places.version(ask.needs)
         return engine_asks.Grant(ask=ask, version=version, waits=waits)
 
-    def _reading_seconds(self, *parts: Prompts) -> float:
+    def _prefill_seconds(self, *parts: Prompts) -> float:
         return self._pace.reading_seconds(
             sum(part.tokens for part in parts),
             prompts=sum(part.number for part in parts),
         )
 
-    def _unplaced_adapters(self) -> int:
+    def _adapters_without_slot(self) -> int:
         return len(
             {
                 ask.needs
-                for ask in self._asks()
+                for ask in self._queued_requests()
                 if not self.places.holds(ask.needs)
             }
         )
 
-    def _wanted(self) -> collections.Counter[AdapterKey]:
-        return collections.Counter(ask.needs for ask in self._asks())
+    def _queued_by_adapter(self) -> collections.Counter[AdapterKey]:
+        return collections.Counter(
+            ask.needs for ask in self._queued_requests()
+        )
 
     def _expire(self, now_seconds: float) -> Iterator[engine_asks.TurnAway]:
         expired = [
             ask
-            for ask in self._asks()
+            for ask in self._queued_requests()
             if ask.give_up_at_seconds <= now_seconds
         ]
         for ask in expired:
@@ -451,7 +459,7 @@
                 retry_after_seconds=MIN_RETRY_AFTER_SECONDS,
             )
 
-    def _forget_unreported(self, now_seconds: float) -> None:
+    def _expire_unreported(self, now_seconds: float) -> None:
         # The report of a start or an end may be lost with its message or its
         # sender. Such a request must not occupy the engine for ever.
         self._runs.take_for_started(now_seconds=now_seconds)
@@ -459,7 +467,7 @@
             self.withdraw(request_id, now_seconds=now_seconds)
 
 
-def _too_long(ask: Ask, excess_seconds: float) -> engine_asks.TurnAway:
+def _queue_too_long(ask: Ask, excess_seconds: float) -> engine_asks.TurnAway:
     return engine_asks.TurnAway(
         ask=ask,
         reason="queue_too_long",
--- a/src/boragefold/policy/load_times.py
+++ b/src/boragefold/policy/load_times.py
@@ -32,11 +32,11 @@
 # load raises it by ten times what one in time lowers it by, so that one load
 # in eleven is late; beyond the bound something else is wrong. Without it,
 # requests reach engines before their adapters do.
-STRETCH_UP = 0.05
-STRETCH_DOWN = 0.005
-MAX_STRETCH = 3.0
+CORRECTION_INCREASE = 0.05
+CORRECTION_DECREASE = 0.005
+MAX_CORRECTION = 3.0
 # How many adapters an engine keeps copies of in host memory after an unload.
-REMEMBERED = 30
+MAX_WARM_ADAPTERS = 30
 
 
 class LoadTimes:
@@ -56,10 +56,10 @@
         """
         self._loads_elsewhere = loads_elsewhere
         self._engines = engines
-        self._remembered: collections.OrderedDict[
-            deployment.AdapterKey, None
-        ] = collections.OrderedDict()
-        self._stretch = 1.0
+        self._warm: collections.OrderedDict[deployment.AdapterKey, None] = (
+            collections.OrderedDict()
+        )
+        self._correction = 1.0
 
     def is_warm(self, key: deployment.AdapterKey) -> bool:
         """Check whether the engine should have an adapter in host memory.
@@ -67,22 +67,24 @@
         :param key: the adapter
         :return: whether it had the adapter loaded lately
         """
-        return key in self._remembered
+        return key in self._warm
 
     def remembered(self) -> tuple[deployment.AdapterKey, ...]:
         """List the adapters that the engine should have in host memory.
 
         :return: their keys, least recently loaded first
         """
-        return tuple(self._remembered)
+        return tuple(self._warm)
 
     def late(self) -> None:
         """Record that a load from the store was late."""
-        self._stretch = min(MAX_STRETCH, self._stretch + STRETCH_UP)
+        self._correction = min(
+            MAX_CORRECTION, self._correction + CORRECTION_INCREASE
+        )
 
     def in_time(self) -> None:
         """Record that a load from the store was in time."""
-        self._stretch = max(1.0, self._stretch - STRETCH_DOWN)
+        self._correction = max(1.0, self._correction - CORRECTION_DECREASE)
 
     def seconds(self, key: deployment.AdapterKey, *, loading: int) -> float:
         """Estimate how long a load takes that begins now.
@@ -93,10 +95,10 @@
         """
         if self.is_warm(key):
             return WARM_LOAD_SECONDS + LOAD_SLACK_SECONDS
-        at_once = 1 + loading + self._loads_elsewhere()
-        crowding = max(1.0, at_once / self._full_speed())
-        worked_out_seconds = COLD_LOAD_SECONDS * crowding
-        return self._stretch * worked_out_seconds + LOAD_SLACK_SECONDS
+        concurrent = 1 + loading + self._loads_elsewhere()
+        slowdown = max(1.0, concurrent / self._full_speed_loads())
+        load_seconds = COLD_LOAD_SECONDS * slowdown
+        return self._correction * load_seconds + LOAD_SLACK_SECONDS
 
     def may_load(self, key: deployment.AdapterKey, *, loading: int) -> bool:
         """Check whether one more load may begin.
@@ -109,7 +111,7 @@
             return False
         if not loading or self.is_warm(key):
             return True
-        return loading + self._loads_elsewhere() < self._full_speed()
+        return loading + self._loads_elsewhere() < self._full_speed_loads()
 
     def remember(self, key: deployment.AdapterKey) -> None:
         """Record that the engine has, or had, an adapter loaded.
@@ -117,12 +119,12 @@
         :param key: the adapter; base models have no copies in host memory
         """
         if key.adapter:
-            self._remembered[key] = None
-            self._remembered.move_to_end(key)
-        while len(self._remembered) > REMEMBERED:
-            self._remembered.popitem(last=False)
+            self._warm[key] = None
+            self._warm.move_to_end(key)
+        while len(self._warm) > MAX_WARM_ADAPTERS:
+            self._warm.popitem(last=False)
 
-    def _full_speed(self) -> int:
+    def _full_speed_loads(self) -> int:
         return max(FULL_SPEED_LOADS, self._engines())
 
 
--- a/src/boragefold/policy/prompt_spacing.py
+++ b/src/boragefold/policy/prompt_spacing.py
@@ -18,7 +18,7 @@
 from boragefold.policy import engine_pace
 
 # The rest of the pause is for decode steps.
-PAUSE_SHARE = 0.6
+MAX_PREFILL_SHARE = 0.6
 # Applies if no response specifies a pause.
 DEFAULT_PAUSE_SECONDS = 0.4
 
@@ -32,7 +32,7 @@
         :param pace: estimates the prefill speed of the engine
         """
         self._pace = pace
-        self._row_seconds = 0.0
+        self._burst_seconds = 0.0
 
     def allows(self, tokens: int, pauses_seconds: Iterable[float]) -> bool:
         """Check whether one more prompt may go to an engine in prefill.
@@ -45,8 +45,10 @@
         pause_seconds = min(
             filter(None, pauses_seconds), default=DEFAULT_PAUSE_SECONDS
         )
-        row_seconds = self._row_seconds + self._pace.blocking_seconds(tokens)
-        return row_seconds <= PAUSE_SHARE * pause_seconds
+        burst_seconds = self._burst_seconds + self._pace.blocking_seconds(
+            tokens
+        )
+        return burst_seconds <= MAX_PREFILL_SHARE * pause_seconds
 
     def gave(self, tokens: int, *, reads: bool) -> None:
         """Record that a prompt was sent to the engine.
@@ -55,8 +57,8 @@
         :param reads: whether the engine had other prompts left to prefill
         """
         if not reads:
-            self._row_seconds = 0.0
-        self._row_seconds += self._pace.blocking_seconds(tokens)
+            self._burst_seconds = 0.0
+        self._burst_seconds += self._pace.blocking_seconds(tokens)
 
 
 __all__ = [
--- a/tests/policy/test_engine_choice.py
+++ b/tests/policy/test_engine_choice.py
@@ -22,16 +22,16 @@
     return engine_choice.rank(key, views)[0].name
 
 
-def test_each_adapter_has_a_home_of_its_own() -> None:
-    homes = collections.Counter(
+def test_adapters_spread_evenly_over_engines() -> None:
+    preferred_counts = collections.Counter(
         best(engine_loads.key(f"a{number}"), map(view, NAMES))
         for number in range(900)
     )
-    assert set(homes) == set(NAMES)
-    assert max(homes.values()) < 2 * min(homes.values())
+    assert set(preferred_counts) == set(NAMES)
+    assert max(preferred_counts.values()) < 2 * min(preferred_counts.values())
 
 
-def test_an_engine_that_leaves_moves_only_its_own_adapters() -> None:
+def test_removing_an_engine_moves_only_its_own_adapters() -> None:
     keys = [engine_loads.key(f"a{number}") for number in range(300)]
     before = {key: best(key, map(view, NAMES)) for key in keys}
     after = {key: best(key, map(view, NAMES[1:])) for key in keys}
@@ -39,36 +39,38 @@
     assert all(before[key] == NAMES[0] for key in moved)
 
 
-def test_an_engine_that_holds_the_adapter_goes_before_its_home() -> None:
+def test_an_engine_with_the_adapter_loaded_ranks_first() -> None:
     key = engine_loads.key("a1")
-    home = best(key, map(view, NAMES))
+    preferred = best(key, map(view, NAMES))
     second = engine_choice.rank(key, map(view, NAMES))[1].name
     views = [
         view(name, held=frozenset({key}) if name == second else frozenset())
         for name in NAMES
     ]
-    assert home != second
+    assert preferred != second
     assert best(key, views) == second
 
 
-def test_a_backlog_at_home_is_left_for_another_engine() -> None:
+def test_a_long_backlog_ranks_another_engine_first() -> None:
     key = engine_loads.key("a1")
-    home = best(key, map(view, NAMES))
+    preferred = best(key, map(view, NAMES))
     views = [
-        view(name, backlog_seconds=0.6 if name == home else 0.0)
+        view(name, backlog_seconds=0.6 if name == preferred else 0.0)
         for name in NAMES
     ]
-    assert best(key, views) != home
+    assert best(key, views) != preferred
 
 
-def test_an_engine_that_fails_its_requests_is_passed_over() -> None:
+def test_an_engine_that_fails_requests_doesnt_rank_first() -> None:
     key = engine_loads.key("a1")
-    home = best(key, map(view, NAMES))
-    views = [view(name, health=0.4 if name == home else 1.0) for name in NAMES]
-    assert best(key, views) != home
+    preferred = best(key, map(view, NAMES))
+    views = [
+        view(name, health=0.4 if name == preferred else 1.0) for name in NAMES
+    ]
+    assert best(key, views) != preferred
 
 
-def test_without_an_owner_only_what_is_held_can_be_used() -> None:
+def test_an_unscheduled_engine_serves_only_loaded_adapters() -> None:
     key = engine_loads.key("a1")
     lone = view("one", scheduled=False)
     assert not engine_choice.rank(key, [lone])
@@ -78,12 +80,12 @@
     assert engine_choice.rank(base, [lone])
 
 
-def test_an_engine_with_another_model_is_none() -> None:
+def test_an_engine_with_another_model_is_excluded() -> None:
     other = view("one", models=frozenset({"other"}))
     assert not engine_choice.rank(engine_loads.key("a1"), [other])
 
 
-def plain_rank(key, views):
+def reference_rank(key, views):
     """Compute the rank of each engine by itself, without caches."""
     able = [
         view
@@ -91,14 +93,14 @@
         if (not view.models or key.model in view.models)
         and (view.scheduled or key in view.held)
     ]
-    homes = sorted(
+    ordered = sorted(
         able,
         key=lambda view: xxhash.xxh3_64_intdigest(
             "\0".join((*key, view.name)).encode()
         ),
     )
     costs = []
-    for place, view in enumerate(homes):
+    for position, view in enumerate(ordered):
         seconds = view.backlog_seconds + (
             0.0 if view.near else engine_choice.FAR_SECONDS
         )
@@ -107,7 +109,7 @@
         if key.model not in view.models:
             seconds += engine_choice.EMPTY_SECONDS
         seconds += engine_choice.STEP_SECONDS * min(
-            place, engine_choice.MAX_STEPS
+            position, engine_choice.MAX_STEPS
         )
         if key not in view.held:
             is_warm = engine_copies.digest(key) in view.copies
@@ -118,12 +120,12 @@
             )
             seconds += load_seconds + view.place_wait_seconds
             seconds += view.orders_in_seconds
-        costs.append((seconds, place, view))
+        costs.append((seconds, position, view))
     return [view for _, _, view in sorted(costs, key=lambda one: one[:2])]
 
 
 @given(strategies.integers(min_value=0), strategies.integers(1, 70))
-def test_what_is_remembered_changes_no_rank(seed, count) -> None:
+def test_caches_dont_change_the_ranking(seed, count) -> None:
     # A cached order of engines must not be used for another set of engines.
     rng = random.Random(seed)
     key = engine_loads.key(f"a{rng.randrange(3)}")
@@ -148,7 +150,7 @@
     rounded = [
         (one.name, other.name)
         for one, other in itertools.zip_longest(
-            engine_choice.rank(key, views), plain_rank(key, views)
+            engine_choice.rank(key, views), reference_rank(key, views)
         )
     ]
     assert all(one == other for one, other in rounded)
--- a/tests/policy/test_engine_copies.py
+++ b/tests/policy/test_engine_copies.py
@@ -9,7 +9,7 @@
 view = engine_views.view
 
 
-def test_an_adapter_goes_where_a_copy_of_it_is() -> None:
+def test_an_engine_with_a_copy_of_the_adapter_ranks_first() -> None:
     # The adapter was loaded away from its first engine during a peak and
     # evicted since. The first engine would load it from the store once more;
     # the one that had it lately loads it from host memory ten times as fast.
@@ -25,11 +25,11 @@
 
 def test_few_of_many_adapters_share_a_digest() -> None:
     # Each engine announces about sixty digests. A shared one costs a load.
-    told = engine_copies.digests(
+    announced = engine_copies.digests(
         engine_loads.key(f"a{number}") for number in range(60)
     )
-    wrong = sum(
-        engine_copies.digest(engine_loads.key(f"b{number}")) in told
+    collisions = sum(
+        engine_copies.digest(engine_loads.key(f"b{number}")) in announced
         for number in range(18_000)
     )
-    assert wrong <= 18_000 / 200
+    assert collisions <= 18_000 / 200
--- a/tests/policy/test_engine_pace.py
+++ b/tests/policy/test_engine_pace.py
@@ -3,7 +3,7 @@
 from boragefold.policy import engine_pace
 
 
-def test_the_pace_follows_what_starts_show() -> None:
+def test_the_estimate_follows_measured_prefills() -> None:
     pace = engine_pace.EnginePace()
     for _ in range(60):
         pace.started(4_000, 0.5)
@@ -21,11 +21,11 @@
     for prompt in (500, 4_000, 20_000):
         seconds = 0.04 + prompt / 38_000
         assert abs(pace.reading_seconds(prompt) - seconds) < 0.1 * seconds
-    row_seconds = 5 * 0.04 + 20_000 / 38_000
-    assert abs(pace.reading_seconds(20_000, 5) - row_seconds) < 0.05
+    burst_seconds = 5 * 0.04 + 20_000 / 38_000
+    assert abs(pace.reading_seconds(20_000, 5) - burst_seconds) < 0.05
 
 
-def test_an_engine_that_turns_slow_is_seen_within_some_starts() -> None:
+def test_a_slowdown_is_noticed_within_some_prefills() -> None:
     pace = engine_pace.EnginePace()
     for slowdown, starts in ((1, 40), (5, 25)):
         for prompt in ((600, 9_000, 1_200, 700, 4_000) * 8)[:starts]:
@@ -33,7 +33,7 @@
     assert pace.reading_seconds(9_000) > 3 * (0.04 + 9_000 / 38_000)
 
 
-def test_one_odd_start_says_little() -> None:
+def test_one_outlier_changes_the_estimate_little() -> None:
     # A prompt in the prefix cache starts at once, and one during a pause of
     # the engine after seconds. Neither shows the engine's speed.
     pace = engine_pace.EnginePace()
--- a/tests/policy/test_engine_places.py
+++ b/tests/policy/test_engine_places.py
@@ -23,14 +23,14 @@
     ]
 
 
-def test_a_load_is_ready_when_it_should_have_arrived() -> None:
+def test_a_load_is_ready_when_it_should_be_done() -> None:
     places = held_places()
     places.ordered(engine_asks.Load(B, 0), done=False, now_seconds=10.0)
     assert not places.ready(B, now_seconds=10.2)
     assert places.ready(B, now_seconds=10.3)
 
 
-def test_what_the_engine_had_lately_comes_back_in_a_tenth() -> None:
+def test_a_load_from_host_memory_takes_a_tenth() -> None:
     places = held_places()
     places.ordered(engine_asks.Load(B, 0), done=False, now_seconds=10.0)
     places.confirm(B)
@@ -39,7 +39,7 @@
     assert places.ready(B, now_seconds=12.05)
 
 
-def test_loads_that_are_late_again_and_again_are_given_more_time() -> None:
+def test_late_loads_raise_the_load_time_estimate() -> None:
     # Loads of other engines are known late, and some stores are slower than
     # others. An engine refuses requests that reach it before their adapter.
     places = held_places()
@@ -53,7 +53,7 @@
     assert places.ready(B, now_seconds=20.6)
 
 
-def test_a_copy_that_the_engine_had_dropped_is_waited_for() -> None:
+def test_a_copy_that_was_dropped_counts_as_a_cold_load() -> None:
     # A load that was expected from host memory comes from the store instead.
     # Requests that were retried every moment would only be refused.
     places = held_places()
@@ -91,7 +91,7 @@
     assert places.next_order(unplaced(B), {}, now_seconds=0.1) is None
 
 
-def test_only_an_adapter_that_was_seen_there_makes_way() -> None:
+def test_only_a_confirmed_adapter_is_evicted() -> None:
     # An adapter that should be loaded but is unconfirmed may still be loading.
     # The engine replies "done" to its unload order and loads it all the same:
     # after the next load it would exceed its capacity.
@@ -116,7 +116,7 @@
     assert places.overdue(now_seconds=11.0)
 
 
-def test_a_report_that_is_older_than_an_order_shows_what_was_there() -> None:
+def test_a_report_older_than_an_order_confirms_earlier_loads() -> None:
     # Unless older reports confirm a load too, no adapter can be evicted while
     # orders follow each other faster than reports.
     places = held_places()
@@ -130,7 +130,7 @@
     assert places.summary() == {"a": "0", "b": "0", "c": "0?"}
 
 
-def test_an_adapter_that_is_dropped_later_keeps_its_place_until_then() -> None:
+def test_a_deferred_unload_keeps_its_slot_until_it_is_done() -> None:
     places = held_places()
     places.ordered(engine_asks.Unload(A), done=False, now_seconds=10.0)
     assert not places.holds(A)
@@ -139,7 +139,7 @@
     assert A not in places.held()
 
 
-def test_a_report_that_is_older_than_an_order_undoes_nothing() -> None:
+def test_a_report_older_than_an_order_undoes_nothing() -> None:
     # Reports lag. One from before an order would restore what was unloaded,
     # and requests would be sent to an adapter that isn't loaded.
     places = held_places()
@@ -156,7 +156,7 @@
     assert not places.holds(B)
 
 
-def test_a_newer_version_is_loaded_before_it_is_asked_for() -> None:
+def test_a_newer_version_is_loaded_before_it_is_requested() -> None:
     newest = {A: 1}
     places = held_places(newest)
     assert places.next_order([], {}, now_seconds=11.0) is None
@@ -167,17 +167,17 @@
     )
 
 
-def test_a_newer_version_takes_the_place_with_its_running_requests() -> None:
+def test_a_newer_version_takes_over_the_slot_and_its_requests() -> None:
     places = held_places({A: 2})
     places.enter(A, now_seconds=10.5)
     places.ordered(engine_asks.Load(A, 2), done=False, now_seconds=11.0)
     places.confirm(A)
-    left = engine_loads.ENGINE.adapter_places - 1
-    assert places.has_place_for(left - 1, {}, now_seconds=10.0)
-    assert not places.has_place_for(left, {}, now_seconds=10.0)
+    slots_left = engine_loads.ENGINE.adapter_places - 1
+    assert places.has_place_for(slots_left - 1, {}, now_seconds=10.0)
+    assert not places.has_place_for(slots_left, {}, now_seconds=10.0)
 
 
-def test_an_engine_that_restarted_is_given_its_model_first() -> None:
+def test_a_restarted_engine_loads_its_model_first() -> None:
     places = held_places()
     places.learn({}, {}, now_seconds=20.0)
     order = places.next_order(unplaced(A), {}, now_seconds=20.0)
@@ -189,7 +189,7 @@
     ) == engine_asks.Load(A, 0)
 
 
-def test_nothing_is_ordered_without_the_right() -> None:
+def test_nothing_is_ordered_unless_orders_are_allowed() -> None:
     places = held_places()
     places.may_order = False
     assert places.next_order(unplaced(B), {}, now_seconds=11.0) is None
@@ -215,7 +215,7 @@
     assert successor.next_order(unplaced(A), {}, now_seconds=1.0) is None
 
 
-def test_two_that_take_an_engine_up_at_once_drop_different_adapters() -> None:
+def test_two_concurrent_schedulers_unload_different_adapters() -> None:
     # Two instances take over an engine and have counted no requests yet. If
     # both unloaded the same adapter, the engine would accept the second order
     # whatever count it expects, and both would go on issuing orders.
@@ -232,7 +232,7 @@
     assert len(dropped) == 5
 
 
-def test_what_is_loaded_again_isnt_dropped_by_an_old_report() -> None:
+def test_an_old_report_doesnt_unload_a_reloading_adapter() -> None:
     # A report from before the unload lists the adapter, which is loading
     # again. The engine accepts its unload order without counting it, so that
     # the next instance would issue orders with the same count.
@@ -251,9 +251,7 @@
     assert places.next_order(wanted, {}, now_seconds=10.6) == unload
 
 
-def test_a_newer_version_on_its_way_is_neither_ordered_again_nor_dropped() -> (
-    None
-):
+def test_a_newer_version_is_ordered_once_and_kept_while_loading() -> None:
     # During the load, reports still list the older version. Taken for the
     # newer one, the adapter would look idle and the load would be repeated,
     # which the engine doesn't count.
@@ -264,7 +262,7 @@
     assert places.summary()["a"] == "0?"
 
 
-def test_an_older_version_that_still_runs_needs_a_place_of_its_own() -> None:
+def test_an_older_version_in_use_needs_a_slot_of_its_own() -> None:
     # With all slots taken, loading the newer version beside the older one
     # would exceed the capacity of the engine.
     newest = {A: 1}
@@ -288,7 +286,7 @@
     ) == engine_asks.Unload(engine_loads.key("d"))
 
 
-def test_an_older_version_that_nothing_uses_makes_way_for_the_newer() -> None:
+def test_an_idle_older_version_is_unloaded_for_the_newer() -> None:
     # All slots are taken, as above, but no other adapter needs to be unloaded.
     newest = {A: 1}
     places = held_places(newest)
@@ -298,7 +296,7 @@
     assert order == engine_asks.Unload(A)
 
 
-def test_no_place_is_free_while_more_are_taken_than_there_are() -> None:
+def test_no_slot_is_free_while_the_engine_is_over_capacity() -> None:
     # A negative count raised an exception when a request was offered.
     places = held_places()
     places.learn({"base": dict.fromkeys("abcdef", 1)}, {}, now_seconds=10.5)
--- a/tests/policy/test_engine_schedule.py
+++ b/tests/policy/test_engine_schedule.py
@@ -9,7 +9,7 @@
 from tests.fakes import engine_loads
 
 
-def waits(bench, prefix):
+def start_times(bench, prefix):
     return [
         outcome.started_seconds
         for request_id, outcome in bench.outcomes.items()
@@ -17,7 +17,7 @@
     ]
 
 
-def test_requests_of_one_adapter_join_one_load() -> None:
+def test_requests_of_one_adapter_share_one_load() -> None:
     # Ten requests for one cold adapter within a few milliseconds must share
     # one load instead of causing ten.
     bench = engine_loads.Bench()
@@ -25,7 +25,7 @@
         bench.submit(0.001 * number, engine_loads.ask(f"r{number}", "a1"))
     bench.run(10.0)
     assert bench.loads("a1") == 1
-    assert len(waits(bench, "r")) == 10
+    assert len(start_times(bench, "r")) == 10
 
 
 def test_an_adapter_in_use_is_never_dropped_for_another() -> None:
@@ -47,7 +47,7 @@
     assert bench.most_held <= engine_loads.ENGINE.adapter_places
 
 
-def test_popular_adapters_keep_their_places_beside_a_cold_tail() -> None:
+def test_a_tail_of_cold_adapters_doesnt_evict_popular_ones() -> None:
     # Half of the requests are for three adapters, the rest for hundreds that
     # are requested once. With eviction of the least recently used one, the
     # popular ones would be loaded 39 times.
@@ -66,7 +66,7 @@
     assert len(refused) <= 4
 
 
-def test_the_urgent_overtake_what_waits() -> None:
+def test_urgent_requests_overtake_queued_ones() -> None:
     # A burst of drafts fills the engine; a request of a more urgent class
     # arrives behind it. Its first token must not wait for the burst.
     bench = engine_loads.Bench()
@@ -74,13 +74,13 @@
         bench.submit(0.5, engine_loads.ask(f"draft{number}", "a1", at=0.5))
     bench.submit(
         0.51,
-        engine_loads.ask("note", "a1", at=0.51, priority=0, prompt=1_100),
+        engine_loads.ask("urgent", "a1", at=0.51, priority=0, prompt=1_100),
     )
     bench.submit(0.0, engine_loads.ask("warm", "a1"))
     bench.run(10.0)
-    note = bench.outcomes["note"].started_seconds
-    assert note is not None and note < 1.1
-    assert max(waits(bench, "draft")) > note
+    urgent_start = bench.outcomes["urgent"].started_seconds
+    assert urgent_start is not None and urgent_start < 1.1
+    assert max(start_times(bench, "draft")) > urgent_start
 
 
 def test_overload_is_refused_at_once_and_not_after_a_wait() -> None:
@@ -111,7 +111,7 @@
     assert len(late) <= 6
 
 
-def test_a_grant_is_told_again_while_it_runs() -> None:
+def test_a_grant_can_be_sent_again_while_its_request_runs() -> None:
     # The message with the grant was lost and the sender repeats its request.
     # The schedule must not count the request twice.
     bench = engine_loads.Bench()
@@ -122,7 +122,7 @@
     assert bench.schedule.running == 1
 
 
-def test_a_run_that_nobody_ends_gives_its_room_back() -> None:
+def test_a_request_whose_end_is_unreported_expires() -> None:
     # The instance that sent a request was killed, and no end is ever reported.
     # The adapter slot and the memory of the request must not stay taken.
     bench = engine_loads.Bench()
@@ -137,7 +137,7 @@
     assert bench.schedule.running == 0
 
 
-def test_what_an_incarnation_asked_for_ends_with_it() -> None:
+def test_requests_of_a_stopped_instance_are_removed() -> None:
     # An instance restarts. Its earlier requests must not hold slots for
     # callers whose connections are gone.
     bench = engine_loads.Bench()
@@ -160,7 +160,7 @@
     assert 0 < unstarted <= 0.3 * engine_loads.PREFILL_TOKENS_PER_SECOND
 
 
-def test_what_is_not_there_yet_holds_nothing_back() -> None:
+def test_a_request_whose_adapter_loads_blocks_no_other() -> None:
     # A long prompt waits while its adapter loads. Requests of a loaded adapter
     # must not wait behind it.
     bench = engine_loads.Bench()
@@ -173,7 +173,7 @@
     assert bench.outcomes["here2"].started_seconds < 0.75
 
 
-def test_a_repeated_ask_keeps_its_turn_in_an_overload() -> None:
+def test_a_repeated_request_keeps_its_queue_position() -> None:
     # The queue grows behind a request until new ones are refused. The sender
     # repeats the request in case a reply was lost. This must neither refuse it
     # nor reset its arrival.
@@ -188,22 +188,22 @@
     assert bench.outcomes["r8"].started_seconds is not None
 
 
-def test_who_can_outwait_a_stop_of_orders_waits_and_others_hear_when() -> None:
+def test_while_orders_are_stopped_only_patient_requests_queue() -> None:
     # All instances were restarted, and nothing can be loaded for two seconds.
     # A request that gives up sooner is told when to retry: after a shorter
     # delay it would be refused again, and callers retry once. One that gives
     # up later is queued, and starts when its adapter is loaded.
     bench = engine_loads.Bench()
     bench.places.orders_in_seconds = 2.0
-    hasty = engine_loads.ask("hasty", "a1", patience=1.5)
-    refusal = bench.schedule.offer(hasty, now_seconds=0.0)
+    impatient = engine_loads.ask("impatient", "a1", patience=1.5)
+    refusal = bench.schedule.offer(impatient, now_seconds=0.0)
     assert refusal is not None and refusal.reason == "orders_wait"
     assert refusal.retry_after_seconds >= 2.0
     patient = engine_loads.ask("patient", "a1", patience=4.0)
     assert bench.schedule.offer(patient, now_seconds=0.0) is None
 
 
-def test_an_eager_request_is_sent_on_where_it_would_be_late() -> None:
+def test_an_eager_request_that_would_be_late_is_refused() -> None:
     # Other instances know an engine as of half a second ago. Since then a
     # queue has formed, in which a new request would start late while the next
     # engine is idle. Unless it isn't eager, it is refused at once.
@@ -221,7 +221,7 @@
     assert bench.schedule.offer(patient, now_seconds=0.0) is None
 
 
-def test_an_eager_request_leaves_an_engine_without_an_idle_place() -> None:
+def test_an_eager_request_is_refused_without_an_idle_slot() -> None:
     # Five adapters are in use. A sixth would wait for a slot here, however
     # short the queue is, while another engine has an idle one.
     bench = engine_loads.Bench()
@@ -236,7 +236,7 @@
     assert bench.schedule.offer(held, now_seconds=2.0) is None
 
 
-def test_a_place_goes_to_who_can_be_on_time_with_it() -> None:
+def test_a_slot_goes_to_a_request_that_can_be_on_time() -> None:
     # Five slots are taken, and two requests wait for the next one. The first
     # is due sooner, but its adapter can't be loaded by then. If it got the
     # slot, the second would start late as well.
@@ -245,14 +245,14 @@
         long = engine_loads.ask(f"long{number}", f"a{number}", output=800)
         bench.submit(0.0, long)
     bench.submit(0.0, engine_loads.ask("ends", "a4", output=60))
-    bench.submit(0.4, engine_loads.ask("doomed", "a8", at=0.4))
-    bench.submit(0.9, engine_loads.ask("hopeful", "a9", at=0.9))
+    bench.submit(0.4, engine_loads.ask("too_late", "a8", at=0.4))
+    bench.submit(0.9, engine_loads.ask("in_time", "a9", at=0.9))
     bench.run(6.0)
     assert 1.1 < bench.outcomes["ends"].started_seconds + 60 * 0.008 < 1.3
-    assert bench.outcomes["hopeful"].started_seconds < 1.9
+    assert bench.outcomes["in_time"].started_seconds < 1.9
 
 
-def test_who_waits_for_a_place_in_vain_hears_so_soon() -> None:
+def test_requests_that_cant_get_a_slot_are_refused_early() -> None:
     # Long responses use all slots, and more adapters are requested than get
     # one. A request that is late is never served before later ones; if it was
     # queued until it gives up, its caller couldn't try another engine.
@@ -275,7 +275,7 @@
     assert max(waited) <= 1.0
 
 
-def test_a_queue_for_places_keeps_no_caller_of_a_held_adapter_away() -> None:
+def test_a_queue_for_slots_admits_requests_of_loaded_adapters() -> None:
     # Eight requests wait for adapter slots, and none for prefill. A request
     # whose adapter is loaded can start at once; sent to another engine, it
     # would take a slot there too.
@@ -285,8 +285,8 @@
         bench.submit(0.0, held)
     bench.run(1.5)
     for number in range(8):
-        waits_for_place = engine_loads.ask(f"w{number}", f"b{number}", at=1.5)
-        bench.schedule.offer(waits_for_place, now_seconds=1.5)
+        waits_for_slot = engine_loads.ask(f"w{number}", f"b{number}", at=1.5)
+        bench.schedule.offer(waits_for_slot, now_seconds=1.5)
     assert bench.schedule.queued >= 4
     joining = engine_loads.ask("joining", "a1", at=1.5)._replace(eager=True)
     assert bench.schedule.offer(joining, now_seconds=1.5) is None
--- a/tests/policy/test_prompt_spacing.py
+++ b/tests/policy/test_prompt_spacing.py
@@ -17,7 +17,7 @@
     return wanted._replace(event_gap_seconds=gap)
 
 
-def test_prompts_in_a_row_neither_hold_answers_up_nor_idle_the_engine():
+def test_spacing_neither_stalls_responses_nor_idles_the_engine():
     # Four long responses run when forty prompts come at once. Prefilled back
     # to back, they delay each event of the four by over half a second. Sent
     # one by one, they leave the engine idle for more than a third of the time,
@@ -28,17 +28,17 @@
     for number in range(4):
         engine.submit(0.0, ask(f"long{number}", prompt=500, output=1_500))
     for number in range(40):
-        engine.submit(1.0, ask(f"row{number}", at=1.0, output=10))
+        engine.submit(1.0, ask(f"burst{number}", at=1.0, output=10))
     engine.run(6.0)
     long = [engine.answers[f"long{number}"] for number in range(4)]
     assert max(answer.longest_pause for answer in long) <= 0.5
-    rows = [engine.answers[f"row{number}"] for number in range(40)]
-    whole_seconds = max(answer.read_at for answer in rows) - 1.0
+    burst = [engine.answers[f"burst{number}"] for number in range(40)]
+    total_seconds = max(answer.read_at for answer in burst) - 1.0
     reading_seconds = 40 * 3_000 / SPEED
-    assert reading_seconds >= 2 / 3 * whole_seconds
+    assert reading_seconds >= 2 / 3 * total_seconds
 
 
-def test_a_long_prompt_is_read_though_it_exceeds_the_bound() -> None:
+def test_a_prompt_longer_than_the_bound_is_prefilled() -> None:
     # The prefill of 30,000 tokens takes longer than any pause that responses
     # may make. Such a prompt waits for its turn but is not held back for ever.
     engine = chunked_engine.ChunkedEngine(
@@ -51,7 +51,7 @@
     assert engine.answers["document"].read_at
 
 
-def test_the_strictest_answer_decides() -> None:
+def test_the_shortest_tolerated_pause_applies() -> None:
     pace = engine_pace.EnginePace()
     spacing = prompt_spacing.PromptSpacing(pace=pace)
     spacing.gave(2_000, reads=False)
