--- a/src/boragefold/policy/engine_pace.py
+++ b/src/boragefold/policy/engine_pace.py
@@ -1,38 +1,38 @@
-"""How quickly one engine reads prompts, and how long its answers take.
+"""Estimates the prefill speed and the response time of one engine.
 
 Load pattern: prompts of very different lengths, on engines of different
-speeds. A prompt costs a fixed time, whatever its length, and a time for each
-of its tokens. Taken for one speed, the fixed part of short prompts makes an
-engine look half as fast as it is: long prompts are refused before a backlog
-that the engine would have read in time. Here both parts are fitted to the
-starts that the engine has shown.
+speeds. The prefill of a prompt takes a fixed time plus a time per token. With
+one speed for both, the fixed part of short prompts makes an engine look half
+as fast as it is, and long prompts are refused although the engine would have
+worked off its backlog in time. Both parts are therefore fitted to the times to
+first token that the engine showed.
 """
 
 from __future__ import annotations
 
 import dataclasses
 
-# Assumed until starts were seen.
-FIRST_FIXED_SECONDS = 0.03
-FIRST_TOKENS_PER_SECOND = 20_000.0
-# The assumption weighs as much as starts of these lengths.
-FIRST_PROMPTS_TOKENS = (300, 4_000) * 5
-# Limits outliers: a prompt read from the cache, or a pause of the engine.
-MOST_STRETCH = 2.0
-LEAST_SPEED = 2_000.0
-MOST_SPEED = 200_000.0
-MOST_FIXED_SECONDS = 0.5
-# Exponential forgetting with each start.
-FADING = 0.93
-# Assumed before the first answer.
-FIRST_RUN_SECONDS = 0.8
-# One long answer must not make the engine look blocked.
+# Assumed before the first response started.
+INITIAL_FIXED_SECONDS = 0.03
+INITIAL_TOKENS_PER_SECOND = 20_000.0
+# The assumption weighs as much as measured prefills of these lengths.
+INITIAL_PROMPTS_TOKENS = (300, 4_000) * 5
+# Limits outliers: a prompt in the prefix cache, or a pause of the engine.
+MAX_DEVIATION = 2.0
+MIN_TOKENS_PER_SECOND = 2_000.0
+MAX_TOKENS_PER_SECOND = 200_000.0
+MAX_FIXED_SECONDS = 0.5
+# Exponential decay per measured prefill.
+DECAY = 0.93
+# Assumed before the first response ended.
+INITIAL_RUN_SECONDS = 0.8
+# Low, so that one long response doesn't make the engine look blocked.
 RUN_SMOOTHING = 0.1
 
 
 @dataclasses.dataclass(kw_only=True)
-class Sums:
-    """Faded sums over starts, for a line through them by least squares."""
+class DecayedSums:
+    """Exponentially decayed sums for a least-squares line through prefills."""
 
     count: float = 0.0
     tokens: float = 0.0
@@ -41,45 +41,45 @@
     tokens_seconds: float = 0.0
 
     def add(self, tokens: float, seconds: float) -> None:
-        """Count a start; those before count less.
+        """Add a prefill and decay the earlier ones.
 
         :param tokens: of its prompt
-        :param seconds: that reading it took
+        :param seconds: its duration
         """
-        self.count = FADING * self.count + 1
-        self.tokens = FADING * self.tokens + tokens
-        self.seconds = FADING * self.seconds + seconds
-        self.tokens_squared = FADING * self.tokens_squared + tokens**2
-        self.tokens_seconds = FADING * self.tokens_seconds + tokens * seconds
+        self.count = DECAY * self.count + 1
+        self.tokens = DECAY * self.tokens + tokens
+        self.seconds = DECAY * self.seconds + seconds
+        self.tokens_squared = DECAY * self.tokens_squared + tokens**2
+        self.tokens_seconds = DECAY * self.tokens_seconds + tokens * seconds
 
 
 class EnginePace:
-    """What the starts and ends of answers have shown.
+    """Running estimates of an engine's speed.
 
-    ``fixed_seconds`` is what each prompt takes whatever its length,
-    ``tokens_per_second`` how quickly the rest is read, and ``run_seconds``
-    how long an answer holds its place.
+    ``fixed_seconds`` is the part of a prefill that doesn't depend on the
+    length of the prompt, ``tokens_per_second`` the speed of the rest, and
+    ``run_seconds`` how long a request occupies the engine.
     """
 
     def __init__(self) -> None:
-        self.fixed_seconds = FIRST_FIXED_SECONDS
-        self.tokens_per_second = FIRST_TOKENS_PER_SECOND
-        self.run_seconds = FIRST_RUN_SECONDS
-        self._sums = Sums()
-        for tokens in FIRST_PROMPTS_TOKENS:
+        self.fixed_seconds = INITIAL_FIXED_SECONDS
+        self.tokens_per_second = INITIAL_TOKENS_PER_SECOND
+        self.run_seconds = INITIAL_RUN_SECONDS
+        self._sums = DecayedSums()
+        for tokens in INITIAL_PROMPTS_TOKENS:
             self._sums.add(tokens, self.reading_seconds(tokens))
 
     def reading_seconds(self, tokens: int, prompts: int = 1) -> float:
-        """Estimate how long prompts take to read.
+        """Estimate how long the prefill of some prompts takes.
 
-        :param tokens: of all of them
-        :param prompts: how many they are
+        :param tokens: of all prompts together
+        :param prompts: how many there are
         :return: seconds
         """
         return prompts * self.fixed_seconds + tokens / self.tokens_per_second
 
     def blocking_seconds(self, tokens: int) -> float:
-        """Estimate how long a prompt holds up the answers that run.
+        """Estimate how long a prefill holds up the running responses.
 
         :param tokens: of the prompt
         :return: seconds
@@ -87,15 +87,15 @@
         return tokens / self.tokens_per_second
 
     def started(self, tokens: int, took_seconds: float) -> None:
-        """Note the first event of an answer.
+        """Record the first event of a response.
 
         :param tokens: of its prompt
-        :param took_seconds: since it was granted or, if that was later,
-            since the start before it
+        :param took_seconds: since the request was granted or, if that was
+            later, since the previous response started
         """
         expected_seconds = self.reading_seconds(tokens)
-        shortest_seconds = expected_seconds / MOST_STRETCH
-        longest_seconds = expected_seconds * MOST_STRETCH
+        shortest_seconds = expected_seconds / MAX_DEVIATION
+        longest_seconds = expected_seconds * MAX_DEVIATION
         counted_seconds = min(
             max(took_seconds, shortest_seconds), longest_seconds
         )
@@ -103,21 +103,29 @@
         self._fit()
 
     def ended(self, took_seconds: float) -> None:
-        """Note the end of an answer.
+        """Record the end of a response.
 
-        :param took_seconds: since it was granted
+        :param took_seconds: since the request was granted
         """
         self.run_seconds += RUN_SMOOTHING * (took_seconds - self.run_seconds)
 
     def _fit(self) -> None:
         sums = self._sums
-        spread = sums.count * sums.tokens_squared - sums.tokens**2
-        common = sums.count * sums.tokens_seconds - sums.tokens * sums.seconds
-        slope = common / spread if spread > 0 else 1 / self.tokens_per_second
-        slope = min(max(slope, 1 / MOST_SPEED), 1 / LEAST_SPEED)
+        variance = sums.count * sums.tokens_squared - sums.tokens**2
+        covariance = (
+            sums.count * sums.tokens_seconds - sums.tokens * sums.seconds
+        )
+        slope = (
+            covariance / variance
+            if variance > 0
+            else 1 / self.tokens_per_second
+        )
+        slope = min(
+            max(slope, 1 / MAX_TOKENS_PER_SECOND), 1 / MIN_TOKENS_PER_SECOND
+        )
         fixed_seconds = (sums.seconds - slope * sums.tokens) / sums.count
         self.tokens_per_second = 1 / slope
-        self.fixed_seconds = min(max(fixed_seconds, 0.0), MOST_FIXED_SECONDS)
+        self.fixed_seconds = min(max(fixed_seconds, 0.0), MAX_FIXED_SECONDS)
 
 
 __all__ = [
--- a/src/boragefold/policy/engine_schedule.py
+++ b/src/boragefold/policy/engine_schedule.py
@@ -1,13 +1,13 @@
-"""What one engine runs next, and which adapters it holds for that.
-
-Load pattern: thousands of adapters for a handful of places, and requests for
-all of them at every instance. Decided by each sender alone, two senders take
-each other's place away, rare adapters that run long shut out the popular
-ones, and the engine's own queue fills with requests that it serves in the
-order in which they came. Here one instance decides for an engine: a request
-waits until its adapter is there and the engine has few requests that it has
-not begun, so that the urgent can still overtake and a slow engine can be
-avoided. Nothing here is read from a clock or a socket.
+"""Decides what one engine runs next, and which adapters it loads for that.
+
+Load pattern: thousands of adapters for a handful of adapter slots, and
+requests for all of them at every instance. If each instance decided alone, two
+of them would evict each other's adapters, rare adapters with long requests
+would shut out the popular ones, and the engine's own queue, which is first in
+first out, would fill up. Therefore one instance schedules an engine: a request
+is queued until its adapter is loaded and the engine has few prompts left to
+prefill, so that urgent requests can still overtake and a slow engine can be
+avoided. This module reads no clock and no socket.
 """
 
 from __future__ import annotations
@@ -31,30 +31,29 @@
 Prompts = engine_requests.Prompts
 Waiting = engine_requests.Waiting
 
-# Part of a caller's patience that the wait for a start may use up; the rest
-# is for the answer.
-START_PATIENCE_SHARE = 0.8
-# Those that will be late start when nobody can be on time any more. They may
-# wait behind a backlog of this part of their patience, which a burst leaves
-# behind and which is worked off after it. Behind a longer one they would wait
-# for nothing: the overload lasts.
-LATE_SHARE = 0.3
-# Changes of a queue take this long; to come back sooner is to be refused
-# again.
+# Part of the time until a request gives up that it may spend in the queue; the
+# rest is for the response.
+MAX_WAIT_SHARE = 0.8
+# Requests that will start late run when none can start on time any more. They
+# may wait behind a backlog of this part of the time until they give up: such a
+# backlog remains after a burst and is worked off after it. Behind a longer one
+# they would wait in vain, since the overload lasts.
+MAX_LATE_WAIT_SHARE = 0.3
+# A queue takes this long to change: earlier retries would be refused again.
 MIN_RETRY_AFTER_SECONDS = 0.2
-# Why an eager request is sent elsewhere.
+# Reason of the refusal of an eager request.
 BUSY = "busy"
 
 
 class EngineSchedule:
-    """The waiting, the running and the adapters of one engine."""
+    """The queue, the running requests and the adapters of one engine."""
 
     def __init__(
         self, *, engine: deployment.Engine, places: engine_places.Places
     ) -> None:
         self.engine = engine
         self.places = places
-        # How long a request waits before an order is given for it.
+        # How long a request is queued before a load is ordered for it.
         self.order_delay_seconds = 0.0
         self._queue: dict[str, Waiting] = {}
         self._arrivals = itertools.count()
@@ -63,7 +62,7 @@
 
     @property
     def running(self) -> int:
-        """Tell how many requests were granted and have not ended.
+        """Count the requests that were granted and have not ended.
 
         :return: a count
         """
@@ -71,14 +70,14 @@
 
     @property
     def queued(self) -> int:
-        """Tell how many requests wait.
+        """Count the queued requests.
 
         :return: a count
         """
         return len(self._queue)
 
     def summary(self) -> dict[str, object]:
-        """Tell what decides about requests, for the log.
+        """Collect the figures behind the decisions, for the log.
 
         :return: counts, tokens and seconds, by name
         """
@@ -95,42 +94,43 @@
         }
 
     def backlog_seconds(self) -> float:
-        """Estimate when a request that came now would start.
+        """Estimate how long the prefill of the prompts ahead takes.
 
-        :return: seconds; without the time that its adapter takes
+        :return: seconds; without the load of an adapter
         """
-        # Those that wait for a place are read when they have one: counted
-        # here, they would send callers of held adapters elsewhere, where each
-        # takes a further place.
-        soon = self._soon_placed()
-        waiting = (ask for ask in self._asks() if ask.needs in soon)
-        return self._reading_seconds(
+        # Without the requests that wait for an adapter slot, which are
+        # prefilled when they have one: counted here, they would send requests
+        # of loaded adapters to other engines, where each takes a further slot.
+        soon = self._adapters_with_slots()
+        waiting = (ask for ask in self._queued_requests() if ask.needs in soon)
+        return self._prefill_seconds(
             self._runs.unstarted(), engine_requests.prompts_of(waiting)
         )
 
     def place_wait_seconds(self) -> float:
-        """Estimate how long an adapter that isn't held waits for a place.
+        """Estimate how long an adapter that isn't loaded waits for a slot.
 
-        :return: seconds; 0 when a place is free or idle
+        :return: seconds; 0 if a slot is empty or its adapter idle
         """
-        return self._place_seconds(self._unplaced_adapters())
+        return self._slot_wait_seconds(self._adapters_without_slot())
 
     def offer(
         self, ask: Ask, *, now_seconds: float
     ) -> engine_asks.TurnAway | None:
-        """Let a request wait unless it would start too late.
+        """Queue a request unless it would start too late.
 
         :param ask: the request
         :param now_seconds: reading of the process clock
-        :return: the refusal; None when it waits
+        :return: the refusal; None if the request is queued
         """
         if ask.request_id in self._queue:
-            # The asker repeats what may have been lost; it keeps its turn.
+            # Senders retry in case a message was lost; the request keeps its
+            # position in the queue.
             return None
         waiting = Waiting(
             ask=ask, turn=next(self._arrivals), since_seconds=now_seconds
         )
-        if ask.eager and self._must_be_late(waiting, now_seconds):
+        if ask.eager and self._would_be_late(waiting, now_seconds):
             wait_seconds = self._wait_seconds(waiting, now_seconds)
             return engine_asks.TurnAway(
                 ask=ask,
@@ -145,10 +145,10 @@
         return None
 
     def granted(self, request_id: str) -> engine_asks.Grant | None:
-        """Find what was granted to a request, to tell it again.
+        """Look up the grant of a running request, to send it again.
 
-        :param request_id: which
-        :return: the grant; None when it waits or is unknown
+        :param request_id: id of the request
+        :return: the grant; None if the request is queued or unknown
         """
         ask = self._runs.find(request_id)
         if ask is None:
@@ -157,9 +157,9 @@
         return engine_asks.Grant(ask=ask, version=version)
 
     def withdraw(self, request_id: str, *, now_seconds: float) -> None:
-        """Forget a request that has ended, or whose caller has gone.
+        """Remove a request that has ended or was cancelled.
 
-        :param request_id: which
+        :param request_id: id of the request
         :param now_seconds: reading of the process clock
         """
         self._queue.pop(request_id, None)
@@ -170,14 +170,14 @@
     def withdraw_where(
         self, gone: Callable[[Ask], bool], *, now_seconds: float
     ) -> int:
-        """Forget the requests of an instance that is no more.
+        """Remove the requests of an instance that has stopped.
 
-        :param gone: tells whether a request was its
+        :param gone: tells whether a request came from it
         :param now_seconds: reading of the process clock
-        :return: how many there were
+        :return: how many were removed
         """
         asks = [
-            *self._asks(),
+            *self._queued_requests(),
             *self._runs.asks(),
         ]
         lost = list(filter(gone, asks))
@@ -186,9 +186,9 @@
         return len(lost)
 
     def started(self, request_id: str, *, now_seconds: float) -> None:
-        """Note the first event of an answer.
+        """Record the first event of a response.
 
-        :param request_id: whose
+        :param request_id: id of the request
         :param now_seconds: reading of the process clock
         """
         ask = self._runs.started(request_id, now_seconds=now_seconds)
@@ -196,73 +196,75 @@
             self.places.confirm(ask.needs)
 
     def advance(self, *, now_seconds: float) -> list[Action]:
-        """Decide what to do now; call it after each event and when due.
+        """Make the decisions that are due; call it after each event as well.
 
         :param now_seconds: reading of the process clock
         :return: grants, refusals and at most one order
         """
-        self._forget_unreported(now_seconds)
+        self._expire_unreported(now_seconds)
         actions: list[Action] = [*self._expire(now_seconds)]
-        in_turn = self._in_turn(now_seconds)
-        actions.extend(self._shed(in_turn, now_seconds))
-        self._note_waits(now_seconds)
+        by_urgency = self._by_urgency(now_seconds)
+        actions.extend(self._shed(by_urgency, now_seconds))
+        self._record_progress(now_seconds)
         ready = (
             ask
-            for ask in self._still_waiting(in_turn)
+            for ask in self._still_queued(by_urgency)
             if self.places.ready(ask.needs, now_seconds=now_seconds)
         )
         for ask in ready:
-            # One that doesn't fit holds those behind it back: passed over by
-            # every shorter one, a long prompt would never be read.
+            # Requests behind one that doesn't fit wait too: if shorter ones
+            # could pass it, a long prompt would starve.
             if not self._runs.has_room(ask):
                 break
             actions.append(self._grant(ask, now_seconds))
-        order = self._next_order(in_turn, now_seconds)
+        order = self._next_order(by_urgency, now_seconds)
         return actions if order is None else [*actions, order]
 
     def wants_order(self) -> bool:
-        """Tell whether the engine lacks something, whoever may order it.
+        """Check whether the engine lacks an adapter, whoever may order it.
 
-        :return: whether a request waits for what isn't held, or a newer
-            version of what is held was published
+        :return: whether a queued request needs an adapter that isn't loaded,
+            or a newer version of a loaded one was published
         """
-        lacking = any(not self.places.holds(ask.needs) for ask in self._asks())
+        lacking = any(
+            not self.places.holds(ask.needs) for ask in self._queued_requests()
+        )
         return lacking or self.places.outdated() is not None
 
     def next_due_seconds(self, *, now_seconds: float) -> float | None:
-        """Tell when :meth:`advance` has something to do, at the latest.
+        """Compute when :meth:`advance` has to be called at the latest.
 
         :param now_seconds: reading of the process clock
         :return: reading of the process clock, or None
         """
         if not self._queue:
             return None
-        expiries = (ask.give_up_at_seconds for ask in self._asks())
+        expiries = (ask.give_up_at_seconds for ask in self._queued_requests())
         dues = self.places.dues(now_seconds=now_seconds)
         return min(itertools.chain(expiries, dues))
 
     def _next_order(
-        self, in_turn: Iterable[Waiting], now_seconds: float
+        self, by_urgency: Iterable[Waiting], now_seconds: float
     ) -> engine_asks.Order | None:
         latest_seconds = now_seconds - self.order_delay_seconds
         unplaced = [
             waiting.ask
-            for waiting in in_turn
+            for waiting in by_urgency
             if waiting.ask.request_id in self._queue
             and waiting.since_seconds <= latest_seconds
             and not self.places.holds(waiting.ask.needs)
         ]
         return self.places.next_order(
             unplaced,
-            self._wanted(),
+            self._queued_by_adapter(),
             now_seconds=now_seconds,
             renews=not self.order_delay_seconds,
         )
 
-    def _asks(self) -> Iterator[Ask]:
+    def _queued_requests(self) -> Iterator[Ask]:
         return (waiting.ask for waiting in self._queue.values())
 
-    def _note_waits(self, now_seconds: float) -> None:
+    def _record_progress(self, now_seconds: float) -> None:
         for waiting in self._queue.values():
             needs = waiting.ask.needs
             waiting.note(
@@ -271,32 +273,32 @@
                 now_seconds=now_seconds,
             )
 
-    def _in_turn(self, now_seconds: float) -> list[Waiting]:
+    def _by_urgency(self, now_seconds: float) -> list[Waiting]:
         return sorted(
             self._queue.values(),
             key=lambda waiting: self._urgency(waiting, now_seconds),
         )
 
-    def _still_waiting(self, in_turn: Iterable[Waiting]) -> Iterator[Ask]:
+    def _still_queued(self, by_urgency: Iterable[Waiting]) -> Iterator[Ask]:
         return (
             waiting.ask
-            for waiting in in_turn
+            for waiting in by_urgency
             if waiting.ask.request_id in self._queue
         )
 
     def _urgency(
         self, waiting: Waiting, now_seconds: float
     ) -> tuple[bool, int, float, int]:
-        # Those that can still be on time go first. In overload the one that
-        # waited longest is late already; served before the others, it would
-        # make each of them late in its turn.
+        # Requests that can start on time go first. In overload the one that
+        # waited longest is late already; if it went first, it would make each
+        # of the others late in turn.
         ask = waiting.ask
         late = self._is_late(ask, now_seconds)
         return (late, ask.priority, ask.on_time_by_seconds, waiting.turn)
 
     def _is_late(self, ask: Ask, now_seconds: float) -> bool:
-        # One whose adapter can't be there in time is late too: given the next
-        # place, it would keep it from one that could still be on time.
+        # A request whose adapter can't be loaded in time is late too: if it
+        # got the next slot, one that could start on time would miss it.
         starts_at_seconds = (
             now_seconds
             + self.places.until_ready_seconds(
@@ -309,25 +311,29 @@
     def _excess_seconds(self, waiting: Waiting, now_seconds: float) -> float:
         ask = waiting.ask
         wait_seconds = self._wait_seconds(waiting, now_seconds)
-        patience_seconds = ask.give_up_at_seconds - now_seconds
-        excess_seconds = wait_seconds - START_PATIENCE_SHARE * patience_seconds
+        remaining_seconds = ask.give_up_at_seconds - now_seconds
+        excess_seconds = wait_seconds - MAX_WAIT_SHARE * remaining_seconds
         reading_seconds = self._pace.reading_seconds(ask.prompt_tokens)
         starts_at_seconds = now_seconds + wait_seconds + reading_seconds
         if starts_at_seconds <= ask.on_time_by_seconds:
             return excess_seconds
         backlog_seconds = self.backlog_seconds()
-        if not self._is_placed(ask):
+        if not self._has_slot(ask):
             backlog_seconds = max(backlog_seconds, self.place_wait_seconds())
-        late_seconds = backlog_seconds - LATE_SHARE * patience_seconds
+        late_seconds = (
+            backlog_seconds - MAX_LATE_WAIT_SHARE * remaining_seconds
+        )
         return max(excess_seconds, late_seconds)
 
-    def _must_be_late(self, waiting: Waiting, now_seconds: float) -> bool:
+    def _would_be_late(self, waiting: Waiting, now_seconds: float) -> bool:
         ask = waiting.ask
-        # What other instances know of this engine is half a second old; by
-        # then the place that they saw idle is taken, or a queue has formed.
+        # Other instances know the state of this engine as of half a second
+        # ago; since then, the idle slot may be taken or a queue have formed.
         held = self.places.holds(ask.needs)
         if not held and not self.places.has_place_for(
-            self._unplaced_adapters(), self._wanted(), now_seconds=now_seconds
+            self._adapters_without_slot(),
+            self._queued_by_adapter(),
+            now_seconds=now_seconds,
         ):
             return True
         wait_seconds = self._wait_seconds(waiting, now_seconds)
@@ -337,33 +343,33 @@
 
     def _wait_seconds(self, waiting: Waiting, now_seconds: float) -> float:
         urgency = self._urgency(waiting, now_seconds)
-        soon = self._soon_placed() | {waiting.ask.needs}
-        before = (
+        soon = self._adapters_with_slots() | {waiting.ask.needs}
+        ahead = (
             other.ask
             for other in self._queue.values()
             if other.ask.needs in soon
             and self._urgency(other, now_seconds) < urgency
         )
-        wait_seconds = self._reading_seconds(
-            self._runs.unstarted(), engine_requests.prompts_of(before)
+        wait_seconds = self._prefill_seconds(
+            self._runs.unstarted(), engine_requests.prompts_of(ahead)
         )
         needs = waiting.ask.needs
-        place_seconds = self.places.until_ready_seconds(
+        slot_seconds = self.places.until_ready_seconds(
             needs, now_seconds=now_seconds
         )
         if not self.places.holds(needs):
-            place_seconds += self.place_wait_seconds()
-        # Other prompts are read while the adapter is on its way.
-        return max(wait_seconds, place_seconds)
+            slot_seconds += self.place_wait_seconds()
+        # The engine prefills other prompts while it loads the adapter.
+        return max(wait_seconds, slot_seconds)
 
     def _refusal(
         self, ask: Ask, excess_seconds: float
     ) -> engine_asks.TurnAway:
         orders_in_seconds = self.places.orders_in_seconds
         if not orders_in_seconds or self.places.holds(ask.needs):
-            return _too_long(ask, excess_seconds)
-        # Back before orders can be given it would be refused again, and most
-        # callers come back once.
+            return _queue_too_long(ask, excess_seconds)
+        # A retry before orders are allowed would be refused again, and most
+        # callers retry only once.
         return engine_asks.TurnAway(
             ask=ask,
             reason="orders_wait",
@@ -371,44 +377,45 @@
         )
 
     def _shed(
-        self, in_turn: Iterable[Waiting], now_seconds: float
+        self, by_urgency: Iterable[Waiting], now_seconds: float
     ) -> Iterator[engine_asks.TurnAway]:
-        # Others that are more urgent came since. Whoever can't start any more
-        # before it gives up is told now, while it can still go elsewhere.
-        reading_seconds = self._reading_seconds(self._runs.unstarted())
+        # More urgent requests may have come since. A request that can't start
+        # any more before it gives up is refused now, while its caller has time
+        # to try another engine.
+        reading_seconds = self._prefill_seconds(self._runs.unstarted())
         unplaced: set[AdapterKey] = set()
-        for waiting in in_turn:
+        for waiting in by_urgency:
             ask = waiting.ask
-            patience_seconds = ask.give_up_at_seconds - now_seconds
-            if self._is_placed(ask):
+            remaining_seconds = ask.give_up_at_seconds - now_seconds
+            if self._has_slot(ask):
                 wait_seconds = reading_seconds
                 reading_seconds += self._pace.reading_seconds(
                     ask.prompt_tokens
                 )
             else:
-                wait_seconds = self._place_seconds(len(unplaced))
+                wait_seconds = self._slot_wait_seconds(len(unplaced))
                 unplaced.add(ask.needs)
                 if self._is_late(ask, now_seconds):
-                    patience_seconds *= LATE_SHARE
-            if wait_seconds > patience_seconds:
+                    remaining_seconds *= MAX_LATE_WAIT_SHARE
+            if wait_seconds > remaining_seconds:
                 self.withdraw(ask.request_id, now_seconds=now_seconds)
-                yield _too_long(ask, wait_seconds - patience_seconds)
+                yield _queue_too_long(ask, wait_seconds - remaining_seconds)
 
-    def _place_seconds(self, ahead: int) -> float:
-        # Until a place is free for an adapter behind so many others.
-        behind = 1 + ahead - self.places.free(self._wanted())
+    def _slot_wait_seconds(self, ahead: int) -> float:
+        # Until a slot is free for an adapter with so many others ahead of it.
+        behind = 1 + ahead - self.places.free(self._queued_by_adapter())
         if behind <= 0:
             return 0.0
         return self._pace.run_seconds * behind / max(1, self.places.capacity)
 
-    def _soon_placed(self) -> set[AdapterKey]:
-        # The adapters that are held, and those that get an idle place now.
-        wanted = self._wanted()
+    def _adapters_with_slots(self) -> set[AdapterKey]:
+        # The adapters that have a slot, and those that get an idle one now.
+        wanted = self._queued_by_adapter()
         unplaced = (key for key in wanted if not self.places.holds(key))
         coming = set(itertools.islice(unplaced, self.places.free(wanted)))
         return coming | {key for key in wanted if self.places.holds(key)}
 
-    def _is_placed(self, ask: Ask) -> bool:
+    def _has_slot(self, ask: Ask) -> bool:
         return self.places.holds(ask.needs)
 
     def _grant(self, ask: Ask, now_seconds: float) -> engine_asks.Grant:
@@ -418,28 +425,30 @@
         version = self.places.version(ask.needs)
         return engine_asks.Grant(ask=ask, version=version, waits=waits)
 
-    def _reading_seconds(self, *parts: Prompts) -> float:
+    def _prefill_seconds(self, *parts: Prompts) -> float:
         return self._pace.reading_seconds(
             sum(part.tokens for part in parts),
             prompts=sum(part.number for part in parts),
         )
 
-    def _unplaced_adapters(self) -> int:
+    def _adapters_without_slot(self) -> int:
         return len(
             {
                 ask.needs
-                for ask in self._asks()
+                for ask in self._queued_requests()
                 if not self.places.holds(ask.needs)
             }
         )
 
-    def _wanted(self) -> collections.Counter[AdapterKey]:
-        return collections.Counter(ask.needs for ask in self._asks())
+    def _queued_by_adapter(self) -> collections.Counter[AdapterKey]:
+        return collections.Counter(
+            ask.needs for ask in self._queued_requests()
+        )
 
     def _expire(self, now_seconds: float) -> Iterator[engine_asks.TurnAway]:
         expired = [
             ask
-            for ask in self._asks()
+            for ask in self._queued_requests()
             if ask.give_up_at_seconds <= now_seconds
         ]
         for ask in expired:
@@ -450,15 +459,15 @@
                 retry_after_seconds=MIN_RETRY_AFTER_SECONDS,
             )
 
-    def _forget_unreported(self, now_seconds: float) -> None:
+    def _expire_unreported(self, now_seconds: float) -> None:
         # The report of a start or an end may be lost with its message or its
-        # sender. Kept for ever, it would take the engine's room away.
+        # sender. Such a request must not occupy the engine for ever.
         self._runs.take_for_started(now_seconds=now_seconds)
         for request_id in self._runs.overdue(now_seconds=now_seconds):
             self.withdraw(request_id, now_seconds=now_seconds)
 
 
-def _too_long(ask: Ask, excess_seconds: float) -> engine_asks.TurnAway:
+def _queue_too_long(ask: Ask, excess_seconds: float) -> engine_asks.TurnAway:
     return engine_asks.TurnAway(
         ask=ask,
         reason="queue_too_long",
--- a/tests/policy/test_engine_schedule.py
+++ b/tests/policy/test_engine_schedule.py
@@ -1,4 +1,4 @@
-"""One engine under load, judged by what its callers receive."""
+"""One engine under load, judged by the start or refusal of its requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.fakes import engine_loads
 
 
-def waits(bench, prefix):
+def start_times(bench, prefix):
     return [
         outcome.started_seconds
         for request_id, outcome in bench.outcomes.items()
@@ -17,20 +17,20 @@
     ]
 
 
-def test_requests_of_one_adapter_join_one_load() -> None:
-    # Ten callers ask for one cold adapter within a few milliseconds. They
-    # must wait for one load together, not cause ten.
+def test_requests_of_one_adapter_share_one_load() -> None:
+    # Ten requests for one cold adapter within a few milliseconds must share
+    # one load instead of causing ten.
     bench = engine_loads.Bench()
     for number in range(10):
         bench.submit(0.001 * number, engine_loads.ask(f"r{number}", "a1"))
     bench.run(10.0)
     assert bench.loads("a1") == 1
-    assert len(waits(bench, "r")) == 10
+    assert len(start_times(bench, "r")) == 10
 
 
 def test_an_adapter_in_use_is_never_dropped_for_another() -> None:
-    # Five long answers hold the five places when a sixth adapter is asked
-    # for. Dropping one of the five would break its answer off or stall.
+    # Five long responses use all five slots when a sixth adapter is requested.
+    # Unloading one of the five would abort or stall its response.
     bench = engine_loads.Bench()
     for number in range(5):
         bench.submit(
@@ -47,9 +47,9 @@
     assert bench.most_held <= engine_loads.ENGINE.adapter_places
 
 
-def test_popular_adapters_keep_their_places_beside_a_cold_tail() -> None:
+def test_a_tail_of_cold_adapters_doesnt_evict_popular_ones() -> None:
     # Half of the requests are for three adapters, the rest for hundreds that
-    # are asked for once. Dropped by the time of their last request, the
+    # are requested once. With eviction of the least recently used one, the
     # popular ones would be loaded 39 times.
     rng = random.Random(7)
     bench = engine_loads.Bench()
@@ -66,28 +66,28 @@
     assert len(refused) <= 4
 
 
-def test_the_urgent_overtake_what_waits() -> None:
-    # A burst of drafts fills the engine; an editor's note of a more urgent
-    # class arrives behind it. Its first token must not wait for the burst.
+def test_urgent_requests_overtake_queued_ones() -> None:
+    # A burst of drafts fills the engine; a request of a more urgent class
+    # arrives behind it. Its first token must not wait for the burst.
     bench = engine_loads.Bench()
     for number in range(30):
         bench.submit(0.5, engine_loads.ask(f"draft{number}", "a1", at=0.5))
     bench.submit(
         0.51,
-        engine_loads.ask("note", "a1", at=0.51, priority=0, prompt=1_100),
+        engine_loads.ask("urgent", "a1", at=0.51, priority=0, prompt=1_100),
     )
     bench.submit(0.0, engine_loads.ask("warm", "a1"))
     bench.run(10.0)
-    note = bench.outcomes["note"].started_seconds
-    assert note is not None and note < 1.1
-    assert max(waits(bench, "draft")) > note
+    urgent_start = bench.outcomes["urgent"].started_seconds
+    assert urgent_start is not None and urgent_start < 1.1
+    assert max(start_times(bench, "draft")) > urgent_start
 
 
 def test_overload_is_refused_at_once_and_not_after_a_wait() -> None:
-    # Three times what the engine can read arrives for four seconds. Whoever
-    # can't start within its patience must hear so at once: a refusal after
-    # seconds of waiting leaves the caller no time to go elsewhere. Only the
-    # few that were let wait to be late may lose that hope.
+    # For four seconds, three times what the engine can prefill arrives. A
+    # request that can't start before it gives up must be refused at once: a
+    # refusal after seconds leaves its caller no time to try another engine.
+    # Only the few that were queued though late may be refused later.
     bench = engine_loads.Bench()
     arrivals = {}
     for number in range(120):
@@ -111,9 +111,9 @@
     assert len(late) <= 6
 
 
-def test_a_grant_is_told_again_while_it_runs() -> None:
-    # The message with the grant was lost; the asker repeats its ask. Asked a
-    # second time, the schedule must not count the request twice.
+def test_a_grant_can_be_sent_again_while_its_request_runs() -> None:
+    # The message with the grant was lost and the sender repeats its request.
+    # The schedule must not count the request twice.
     bench = engine_loads.Bench()
     bench.submit(0.0, engine_loads.ask("r", "a1"))
     bench.run(0.3)
@@ -122,9 +122,9 @@
     assert bench.schedule.running == 1
 
 
-def test_a_run_that_nobody_ends_gives_its_room_back() -> None:
-    # The instance that sent a request was killed; no end is ever reported.
-    # Kept for good, its place and its memory would be lost to the engine.
+def test_a_request_whose_end_is_unreported_expires() -> None:
+    # The instance that sent a request was killed, and no end is ever reported.
+    # The adapter slot and the memory of the request must not stay taken.
     bench = engine_loads.Bench()
     one = engine_loads.ask("lost", "a1", patience=2.0)
     bench.schedule.offer(one, now_seconds=0.0)
@@ -137,9 +137,9 @@
     assert bench.schedule.running == 0
 
 
-def test_what_an_incarnation_asked_for_ends_with_it() -> None:
-    # An instance restarts. Its former asks must not hold places for callers
-    # whose connections are gone.
+def test_requests_of_a_stopped_instance_are_removed() -> None:
+    # An instance restarts. Its earlier requests must not hold slots for
+    # callers whose connections are gone.
     bench = engine_loads.Bench()
     bench.schedule.offer(engine_loads.ask("r", "a1"), now_seconds=0.0)
     bench.schedule.withdraw_where(
@@ -149,8 +149,8 @@
 
 
 def test_few_prompts_wait_inside_the_engine() -> None:
-    # What the engine has not begun can't be overtaken or sent elsewhere. It
-    # never has more than it reads within the pause that answers tolerate.
+    # Prompts in the engine's own queue can't be overtaken or sent to another
+    # engine. It never has more than it prefills within the tolerated pause.
     bench = engine_loads.Bench()
     for number in range(20):
         wanted = engine_loads.ask(f"r{number}", "a1")
@@ -160,9 +160,9 @@
     assert 0 < unstarted <= 0.3 * engine_loads.PREFILL_TOKENS_PER_SECOND
 
 
-def test_what_is_not_there_yet_holds_nothing_back() -> None:
-    # A long prompt waits for its adapter, which is on its way. Others whose
-    # adapter is there must not wait with it.
+def test_a_request_whose_adapter_loads_blocks_no_other() -> None:
+    # A long prompt waits while its adapter loads. Requests of a loaded adapter
+    # must not wait behind it.
     bench = engine_loads.Bench()
     bench.submit(0.0, engine_loads.ask("warm", "a1", output=200))
     bench.submit(0.5, engine_loads.ask("here1", "a1", at=0.5, output=200))
@@ -173,10 +173,10 @@
     assert bench.outcomes["here2"].started_seconds < 0.75
 
 
-def test_a_repeated_ask_keeps_its_turn_in_an_overload() -> None:
-    # A request waits; the queue behind it grows until new ones are refused.
-    # Its ask is repeated because an answer could have been lost. It must
-    # neither be refused nor make the schedule forget when it came.
+def test_a_repeated_request_keeps_its_queue_position() -> None:
+    # The queue grows behind a request until new ones are refused. The sender
+    # repeats the request in case a reply was lost. This must neither refuse it
+    # nor reset its arrival.
     bench = engine_loads.Bench()
     for number in range(9):
         bench.submit(0.0, engine_loads.ask(f"r{number}", "a1"))
@@ -188,25 +188,25 @@
     assert bench.outcomes["r8"].started_seconds is not None
 
 
-def test_who_can_outwait_a_stop_of_orders_waits_and_others_hear_when() -> None:
-    # All instances were restarted; nothing can be loaded for two seconds. A
-    # caller that leaves sooner is told when to come back: refused for a moment
-    # only, it would be refused again, and callers come back once. One that
-    # stays longer waits, and starts when its adapter was loaded.
+def test_while_orders_are_stopped_only_patient_requests_queue() -> None:
+    # All instances were restarted, and nothing can be loaded for two seconds.
+    # A request that gives up sooner is told when to retry: after a shorter
+    # delay it would be refused again, and callers retry once. One that gives
+    # up later is queued, and starts when its adapter is loaded.
     bench = engine_loads.Bench()
     bench.places.orders_in_seconds = 2.0
-    hasty = engine_loads.ask("hasty", "a1", patience=1.5)
-    refusal = bench.schedule.offer(hasty, now_seconds=0.0)
+    impatient = engine_loads.ask("impatient", "a1", patience=1.5)
+    refusal = bench.schedule.offer(impatient, now_seconds=0.0)
     assert refusal is not None and refusal.reason == "orders_wait"
     assert refusal.retry_after_seconds >= 2.0
     patient = engine_loads.ask("patient", "a1", patience=4.0)
     assert bench.schedule.offer(patient, now_seconds=0.0) is None
 
 
-def test_an_eager_request_is_sent_on_where_it_would_be_late() -> None:
-    # Other instances see an engine as it was half a second ago. Meanwhile a
-    # queue has formed: whoever comes now would be late here, while the next
-    # engine is idle. It hears so at once; only the last ask may wait.
+def test_an_eager_request_that_would_be_late_is_refused() -> None:
+    # Other instances know an engine as of half a second ago. Since then a
+    # queue has formed, in which a new request would start late while the next
+    # engine is idle. Unless it isn't eager, it is refused at once.
     bench = engine_loads.Bench()
     for number in range(9):
         queued = engine_loads.ask(f"r{number}", "a1")
@@ -221,9 +221,9 @@
     assert bench.schedule.offer(patient, now_seconds=0.0) is None
 
 
-def test_an_eager_request_leaves_an_engine_without_an_idle_place() -> None:
-    # Five adapters run. A sixth would wait for a place here, whatever the
-    # queue says, while another engine has an idle one.
+def test_an_eager_request_is_refused_without_an_idle_slot() -> None:
+    # Five adapters are in use. A sixth would wait for a slot here, however
+    # short the queue is, while another engine has an idle one.
     bench = engine_loads.Bench()
     for number in range(5):
         held = engine_loads.ask(f"r{number}", f"a{number}", output=400)
@@ -236,26 +236,26 @@
     assert bench.schedule.offer(held, now_seconds=2.0) is None
 
 
-def test_a_place_goes_to_who_can_be_on_time_with_it() -> None:
-    # Five places are taken. Two callers wait for the next; the first is due
-    # sooner, but its adapter would take until after that to load. Given the
-    # place, it makes the second late as well.
+def test_a_slot_goes_to_a_request_that_can_be_on_time() -> None:
+    # Five slots are taken, and two requests wait for the next one. The first
+    # is due sooner, but its adapter can't be loaded by then. If it got the
+    # slot, the second would start late as well.
     bench = engine_loads.Bench()
     for number in range(4):
         long = engine_loads.ask(f"long{number}", f"a{number}", output=800)
         bench.submit(0.0, long)
     bench.submit(0.0, engine_loads.ask("ends", "a4", output=60))
-    bench.submit(0.4, engine_loads.ask("doomed", "a8", at=0.4))
-    bench.submit(0.9, engine_loads.ask("hopeful", "a9", at=0.9))
+    bench.submit(0.4, engine_loads.ask("too_late", "a8", at=0.4))
+    bench.submit(0.9, engine_loads.ask("in_time", "a9", at=0.9))
     bench.run(6.0)
     assert 1.1 < bench.outcomes["ends"].started_seconds + 60 * 0.008 < 1.3
-    assert bench.outcomes["hopeful"].started_seconds < 1.9
+    assert bench.outcomes["in_time"].started_seconds < 1.9
 
 
-def test_who_waits_for_a_place_in_vain_hears_so_soon() -> None:
-    # Places are held by long answers, and more adapters are asked for than
-    # get one. Whoever missed its target is never served before those that
-    # come later; kept until its patience ends, it can't go elsewhere.
+def test_requests_that_cant_get_a_slot_are_refused_early() -> None:
+    # Long responses use all slots, and more adapters are requested than get
+    # one. A request that is late is never served before later ones; if it was
+    # queued until it gives up, its caller couldn't try another engine.
     bench = engine_loads.Bench()
     arrivals = {}
     for number in range(60):
@@ -275,18 +275,18 @@
     assert max(waited) <= 1.0
 
 
-def test_a_queue_for_places_keeps_no_caller_of_a_held_adapter_away() -> None:
-    # Eight callers wait for places, and nobody for the engine's reading. One
-    # that needs an adapter which runs there can join it at once; sent on, it
-    # would take a place at another engine too.
+def test_a_queue_for_slots_admits_requests_of_loaded_adapters() -> None:
+    # Eight requests wait for adapter slots, and none for prefill. A request
+    # whose adapter is loaded can start at once; sent to another engine, it
+    # would take a slot there too.
     bench = engine_loads.Bench()
     for number in range(5):
         held = engine_loads.ask(f"r{number}", f"a{number}", output=400)
         bench.submit(0.0, held)
     bench.run(1.5)
     for number in range(8):
-        waits_for_place = engine_loads.ask(f"w{number}", f"b{number}", at=1.5)
-        bench.schedule.offer(waits_for_place, now_seconds=1.5)
+        waits_for_slot = engine_loads.ask(f"w{number}", f"b{number}", at=1.5)
+        bench.schedule.offer(waits_for_slot, now_seconds=1.5)
     assert bench.schedule.queued >= 4
     joining = engine_loads.ask("joining", "a1", at=1.5)._replace(eager=True)
     assert bench.schedule.offer(joining, now_seconds=1.5) is None
