--- a/src/boragefold/coordination/orders/desk.py
+++ b/src/boragefold/coordination/orders/desk.py
@@ -1,4 +1,4 @@
-"""Everything that the holder of one endpoint's orders decides."""
+"""Decisions of the instance that holds the right to order one endpoint."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 
 
 class Desk:
-    """Gives leases of use and orders for one endpoint.
+    """Grants adapter leases and sends orders for one endpoint.
 
-    It begins when the right is gained and is thrown away when it is lost.
-    Until the last order of a former holder has surely arrived, it gives
-    neither: an eviction still on its way would hit a use that we allowed.
+    It is created when this instance gains the right and dropped when it loses
+    it. It grants and sends nothing until the last order of the previous holder
+    must have arrived: a late eviction would interrupt requests that this
+    instance allowed.
     """
 
     def __init__(
@@ -43,17 +44,18 @@
         finished: Finished,
         counters: counting.Counters,
     ) -> None:
-        """Begin to hold the right.
-
-        :param endpoint: its name
-        :param fencing: numbers, or None where the endpoint ignores them
-        :param numbers: of evictions, never used twice by this process
-        :param holds: tells whether the right is ours at this moment
-        :param now_seconds: the clock
-        :param sender: carries orders
+        """Create the state of a newly gained right.
+
+        :param endpoint: name of the endpoint
+        :param fencing: fencing numbers, or None if the endpoint does not
+            check them
+        :param numbers: eviction numbers, unique within this process
+        :param holds: returns whether this instance holds the right now
+        :param now_seconds: returns the current time
+        :param sender: sends orders to the endpoint
         :param send: sends a message to an instance
-        :param finished: told about every accepted order
-        :param counters: where orders and refusals are counted
+        :param finished: called with the outcome of every accepted order
+        :param counters: counts orders and refusals
         """
         self._endpoint = endpoint
         self._holds = holds
@@ -83,26 +85,26 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether orders and leases may be given at this moment.
+        """Tell whether orders may be sent and leases granted now.
 
-        :return: whether they may
+        :return: whether both are allowed
         """
         return self._ready()
 
     @property
     def loaded(self) -> frozenset[messages.Weights]:
-        """List what the endpoint holds.
+        """List the adapter versions that requests may use.
 
-        :return: adapter versions, none before the first report that counts
+        :return: adapter versions, none before the first valid report
         """
         return self._slots.loaded
 
     def ask_use(self, asker: ids.InstanceId, weights: messages.Weights) -> str:
-        """Give or refuse a lease.
+        """Grant or refuse a lease on an adapter version.
 
-        :param asker: an instance of any data centre
-        :param weights: what it wants to use
-        :return: why not; empty when the lease was given
+        :param asker: instance of any data centre that requests the lease
+        :param weights: adapter version that it wants to use
+        :return: reason for the refusal, empty if the lease was granted
         """
         if not self._ready():
             return "not_ready"
@@ -116,10 +118,10 @@
     def use_stopped(
         self, instance: ids.InstanceId, stopped: messages.UseStopped
     ) -> None:
-        """Note that an instance has nothing in flight any more.
+        """Record that an instance has no more requests in flight.
 
-        :param instance: which
-        :param stopped: its message; that of an earlier eviction is ignored
+        :param instance: instance that sent the message
+        :param stopped: message, ignored if it answers an earlier eviction
         """
         self._evictions.stopped(instance, stopped)
         self._evict_unused()
@@ -131,11 +133,11 @@
         running: dict[work.AdapterVersion, int],
         sampled_seconds: float,
     ) -> None:
-        """Take in an endpoint's report.
+        """Apply a report of the endpoint.
 
-        :param incarnation: of the engine's process
-        :param running: what it holds, and how many requests run on each
-        :param sampled_seconds: no later than the moment it was counted
+        :param incarnation: identifies the engine's process
+        :param running: number of running requests by loaded adapter version
+        :param sampled_seconds: time of the sample, or an earlier time
         """
         loaded = frozenset(messages.Weights(*each) for each in running)
         restarted = self._slots.report(
@@ -156,10 +158,10 @@
     def load(
         self, adapter: work.AdapterVersion
     ) -> sending.Accepted | sending.Refused:
-        """Order an adapter version to be loaded.
+        """Order the endpoint to load an adapter version.
 
-        :param adapter: which
-        :return: whether the order will be sent
+        :param adapter: adapter version to load
+        :return: whether the order was accepted
         """
         weights = messages.Weights(*adapter)
         if weights in self._slots.loaded:
@@ -171,10 +173,10 @@
         )
 
     def set_role(self, role: str) -> sending.Accepted | sending.Refused:
-        """Order another role.
+        """Order the endpoint to change its role.
 
-        :param role: its name
-        :return: whether the order will be sent
+        :param role: name of the new role
+        :return: whether the order was accepted
         """
         return self._accept(
             sending.Order(endpoint=self._endpoint, kind="role", role=role)
@@ -185,8 +187,8 @@
     ) -> sending.Accepted | sending.Refused:
         """Stop all use of an adapter version, then order its eviction.
 
-        :param adapter: which
-        :return: whether that has begun
+        :param adapter: adapter version to evict
+        :return: whether the eviction was accepted
         """
         weights = messages.Weights(*adapter)
         if not self._ready():
@@ -199,15 +201,15 @@
         return sending.Accepted()
 
     def cancel_eviction(self, adapter: work.AdapterVersion) -> bool:
-        """Allow use again, if the order has not been queued yet.
+        """Cancel an eviction whose order is not queued yet.
 
-        :param adapter: which
-        :return: whether the eviction was cancelled
+        :param adapter: adapter version that was to be evicted
+        :return: whether an eviction was cancelled
         """
         return self._evictions.cancel(messages.Weights(*adapter))
 
     def tick(self) -> None:
-        """Repeat questions, and let time end what it ends."""
+        """Expire leases, repeat stop requests and send what is due."""
         self._leases.forget_old(self._now_seconds())
         self._evictions.ask()
         self._evict_unused()
@@ -224,7 +226,7 @@
         if not self._ready():
             return
         for weights in self._evictions.take_unused():
-            # Nobody gets a lease while the order waits or is under way.
+            # No lease is granted while the order is queued or in flight.
             self._slots.changed(
                 weights, loaded=False, now_seconds=self._now_seconds()
             )
@@ -256,7 +258,7 @@
     def _settle(self, order: sending.Order, outcome: sending.Outcome) -> None:
         if order.adapter is None:
             return
-        # An order with unknown outcome may still be carried out for a while.
+        # After an unknown outcome the order may still take effect for a while.
         known_seconds = self._now_seconds()
         if isinstance(outcome, sending.NoAnswer):
             known_seconds += times.ORDER_SECONDS
@@ -269,7 +271,7 @@
 
     def _started(self, order: sending.Order) -> None:
         if order.adapter is not None:
-            # The order may still be carried out at any moment.
+            # The order may take effect at any time until its outcome is known.
             self._slots.changed(
                 messages.Weights(*order.adapter),
                 loaded=False,
@@ -277,11 +279,11 @@
             )
 
     def _void(self) -> None:
-        """Forget what was meant for the engine that is gone."""
+        """Cancel all evictions and orders after a restart of the engine."""
         self._evictions.clear()
         voided = self._dispatcher.void()
         if voided:
-            # The order under way may still reach the new engine.
+            # The order in flight may still reach the new engine process.
             self._ready_at_seconds = (
                 self._now_seconds()
                 + times.ORDER_SECONDS
--- a/src/boragefold/coordination/orders/dispatcher.py
+++ b/src/boragefold/coordination/orders/dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends one endpoint's orders, one after the other."""
+"""Sends the orders of one endpoint, one at a time."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Dispatcher:
-    """A queue of orders of which at most one is under way.
+    """A queue of orders with at most one order in flight.
 
-    One at a time, because a later order with a higher number that overtook an
-    earlier one would have it refused.
+    The endpoint refuses an order with a lower fencing number than one it has
+    seen, so an order must not overtake an earlier one.
     """
 
     def __init__(
@@ -28,14 +28,15 @@
         ended: Callable[[sending.Order, sending.Outcome], None],
         counters: counting.Counters,
     ) -> None:
-        """Start with an empty queue.
-
-        :param fencing: numbers, or None where the endpoint ignores them
-        :param ready: tells whether orders may be sent at this moment
-        :param sender: carries them
-        :param started: told before an order is sent
-        :param ended: told its outcome
-        :param counters: where orders are counted
+        """Create an empty queue.
+
+        :param fencing: fencing numbers, or None if the endpoint does not
+            check them
+        :param ready: returns whether orders may be sent now
+        :param sender: sends orders to the endpoint
+        :param started: called with an order before it is sent
+        :param ended: called with an order and its outcome
+        :param counters: counts orders
         """
         self._fencing = fencing
         self._ready = ready
@@ -47,10 +48,10 @@
         self._under_way: sending.Order | None = None
 
     def put(self, order: sending.Order) -> bool:
-        """Add an order, and send it when its turn has come.
+        """Queue an order and send it if no other one is in flight.
 
-        :param order: without a fencing number
-        :return: False if the same order waits or is under way already
+        :param order: order without a fencing number
+        :return: False if the same order is already queued or in flight
         """
         if order in self._queue or order == self._under_way:
             return False
@@ -59,14 +60,14 @@
         return True
 
     def send_next(self) -> None:
-        """Send the next order, if none is under way."""
+        """Send the next order if none is in flight."""
         if self._under_way is None and self._queue and self._ready():
             self._transmit(self._queue.popleft())
 
     def void(self) -> list[sending.Order]:
-        """Forget every order.
+        """Drop all orders and ignore the outcome of the one in flight.
 
-        :return: the one under way first; its outcome will be ignored
+        :return: dropped orders, beginning with the one in flight
         """
         voided = [*self._queue]
         if self._under_way is not None:
@@ -93,7 +94,8 @@
             return
         if isinstance(outcome, sending.Outdated) and self._fencing:
             self._counters.add("orders_outdated", order.kind)
-            # A former holder must not use up its successor's numbers.
+            # A previous holder that went above its successor's numbers would
+            # have the successor's orders refused.
             if self._ready():
                 self._fencing.learn(outcome.highest)
                 self._transmit(order)
--- a/src/boragefold/coordination/orders/evictions.py
+++ b/src/boragefold/coordination/orders/evictions.py
@@ -1,4 +1,4 @@
-"""Evictions that wait until nothing uses what they remove."""
+"""Evictions that wait until no instance uses the adapter version."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Eviction:
-    """One adapter version whose use is to end."""
+    """A pending eviction of one adapter version."""
 
     number: int
     asked_at_seconds: float
 
 
 class Evictions:
-    """Asks the users of an endpoint's adapter versions to stop."""
+    """Asks instances to stop using adapter versions of an endpoint."""
 
     def __init__(
         self,
@@ -33,13 +33,13 @@
         now_seconds: Callable[[], float],
         send: Callable[[ids.InstanceId, Any], None],
     ) -> None:
-        """Start with none.
+        """Create an empty set of evictions.
 
-        :param endpoint: its name
-        :param leases: who may use it
-        :param numbers: of evictions, never used twice by this process, so
-            that a late answer to an earlier one is told apart
-        :param now_seconds: the clock
+        :param endpoint: name of the endpoint
+        :param leases: granted leases
+        :param numbers: eviction numbers, unique within this process so that
+            a late reply to an earlier eviction is recognised
+        :param now_seconds: returns the current time
         :param send: sends a message to an instance
         """
         self._endpoint = endpoint
@@ -53,9 +53,9 @@
         return weights in self._evictions
 
     def begin(self, weights: messages.Weights) -> None:
-        """Begin to end all use of an adapter version.
+        """Begin an eviction; no lease may be granted from now on.
 
-        :param weights: which; nobody may be given a lease from now on
+        :param weights: adapter version to evict
         """
         self._evictions.setdefault(
             weights,
@@ -66,24 +66,24 @@
         )
 
     def cancel(self, weights: messages.Weights) -> bool:
-        """Stop waiting.
+        """Cancel a pending eviction.
 
-        :param weights: of which
-        :return: whether its use was to end
+        :param weights: adapter version that was to be evicted
+        :return: whether its eviction was pending
         """
         return self._evictions.pop(weights, None) is not None
 
     def clear(self) -> None:
-        """Cancel all of them."""
+        """Cancel all pending evictions."""
         self._evictions.clear()
 
     def stopped(
         self, instance: ids.InstanceId, stopped: messages.UseStopped
     ) -> None:
-        """Note that an instance has nothing in flight any more.
+        """Record that an instance has no more requests in flight.
 
-        :param instance: which
-        :param stopped: its message; that of an earlier eviction is ignored
+        :param instance: instance that sent the message
+        :param stopped: message, ignored if it answers an earlier eviction
         """
         weights = stopped.target.weights
         eviction = self._evictions.get(weights)
@@ -91,7 +91,7 @@
             self._leases.stopped(weights, instance)
 
     def ask(self) -> None:
-        """Ask, or ask again, those who may still use the weights."""
+        """Send stop requests to possible users; repeat unanswered ones."""
         now_seconds = self._now_seconds()
         for weights, eviction in list(self._evictions.items()):
             if now_seconds < eviction.asked_at_seconds + times.AGAIN_SECONDS:
@@ -103,9 +103,9 @@
                 self._send(user, asked)
 
     def take_unused(self) -> list[messages.Weights]:
-        """Take out what nobody can use any more.
+        """Remove and return the pending evictions that may be ordered.
 
-        :return: adapter versions that may be evicted now
+        :return: adapter versions that no instance can use any more
         """
         now_seconds = self._now_seconds()
         unused = [
--- a/src/boragefold/coordination/orders/fencing.py
+++ b/src/boragefold/coordination/orders/fencing.py
@@ -1,41 +1,41 @@
-"""Fencing numbers that rise without anything being stored."""
+"""Fencing numbers that increase without stored state."""
 
 from __future__ import annotations
 
 import boragefold.coordination.rights as membership
 
-# Both fit, with an epoch in milliseconds, into 63 bits. Either may overflow: a
-# number refused as old is learned.
+# Together with an epoch in milliseconds these fit into 63 bits. On overflow
+# the endpoint refuses a number and the holder continues above the one it saw.
 VIEWS_PER_EPOCH = 1 << 10
 ORDERS_PER_VIEW = 1 << 10
 
 
 class Fencing:
-    """Numbers above those of every earlier view of the data centre."""
+    """Numbers above those of all earlier views of the data centre."""
 
     def __init__(self, *, view: membership.View) -> None:
-        """Begin with the first number of a view.
+        """Start at the first number of a view.
 
-        :param view: the view that gave us the right
+        :param view: view in which this instance gained the right
         """
         of_view = view.epoch * VIEWS_PER_EPOCH + view.number
         self._next = of_view * ORDERS_PER_VIEW
 
     def take(self) -> int:
-        """Make the next number.
+        """Return the next number.
 
-        :return: higher than every one before
+        :return: number higher than all earlier ones
         """
         self._next += 1
         return self._next
 
     def learn(self, highest: int) -> None:
-        """Go on above a number that an endpoint has seen.
+        """Continue above a number that the endpoint has seen.
 
-        Only the present holder may do so: a former one that went above its
-        successor's numbers would shut the successor out.
+        Only the current holder may do so: a previous holder that went above
+        its successor's numbers would have the successor's orders refused.
 
-        :param highest: the endpoint's number
+        :param highest: highest number that the endpoint has seen
         """
         self._next = max(self._next, highest)
 
--- a/src/boragefold/coordination/orders/leases.py
+++ b/src/boragefold/coordination/orders/leases.py
@@ -1,4 +1,4 @@
-"""Which instances may have requests at an endpoint, and until when."""
+"""Which instances may send requests to an endpoint, and until when."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Lease:
-    """The latest lease of one instance."""
+    """The latest lease of one instance on one adapter version."""
 
     ends_at_seconds: float
     stopped: bool = False
 
 
 class Leases:
-    """The leases that one holder gave for one endpoint.
+    """The leases that this instance granted on one endpoint.
 
-    A former holder's leases are not known. They all end one lease after its
-    right did, which is before ours began.
+    Leases of the previous holder are unknown. They all end one lease duration
+    after its right ended, which was before this instance gained it.
     """
 
     def __init__(self, *, since_seconds: float) -> None:
-        """Start when the right was gained.
+        """Create an empty set of leases.
 
-        :param since_seconds: the moment
+        :param since_seconds: time when this instance gained the right
         """
         self._former_end_seconds = (
             since_seconds + times.USE_LEASE_SECONDS + times.MARGIN_SECONDS
@@ -44,9 +44,9 @@
     ) -> None:
         """Record a lease before it is sent.
 
-        :param weights: what may be used
-        :param instance: by whom
-        :param now_seconds: the clock
+        :param weights: adapter version that may be used
+        :param instance: instance that may use it
+        :param now_seconds: current time
         """
         ends_at_seconds = (
             now_seconds + times.USE_LEASE_SECONDS + times.MARGIN_SECONDS
@@ -58,11 +58,11 @@
     def users(
         self, weights: messages.Weights, *, now_seconds: float
     ) -> set[ids.InstanceId]:
-        """List who may still have something in flight.
+        """List the instances that may have requests in flight.
 
-        :param weights: of which adapter version
-        :param now_seconds: the clock
-        :return: instances that have not said that they stopped
+        :param weights: adapter version that the requests use
+        :param now_seconds: current time
+        :return: instances that have not confirmed that they stopped
         """
         idle_at_seconds = self._idle_at_seconds.get(weights)
         return {
@@ -75,11 +75,12 @@
     def former_users_possible(
         self, weights: messages.Weights, *, now_seconds: float
     ) -> bool:
-        """Tell whether a former holder's leases may still be in use.
+        """Tell whether leases of the previous holder may still be in use.
 
-        :param weights: of which adapter version
-        :param now_seconds: the clock
-        :return: whether anybody may have something in flight unknown to us
+        :param weights: adapter version that the leases cover
+        :param now_seconds: current time
+        :return: whether requests that this instance does not know of may be
+            in flight
         """
         return not _over(
             self._former_end_seconds,
@@ -90,10 +91,10 @@
     def stopped(
         self, weights: messages.Weights, instance: ids.InstanceId
     ) -> None:
-        """Note that an instance has nothing in flight and begins nothing.
+        """Record that an instance has stopped using an adapter version.
 
-        :param weights: of which adapter version
-        :param instance: which
+        :param weights: adapter version that it used
+        :param instance: instance that has no request in flight and starts none
         """
         lease = self._leases.get(weights, {}).get(instance)
         if lease is not None:
@@ -102,17 +103,17 @@
     def idle(
         self, weights: messages.Weights, *, sampled_seconds: float
     ) -> None:
-        """Note that the endpoint ran nothing of an adapter version.
+        """Record that no request of an adapter version was running.
 
-        :param weights: of which
-        :param sampled_seconds: the moment the endpoint counted
+        :param weights: adapter version without running requests
+        :param sampled_seconds: time when the endpoint counted its requests
         """
         self._idle_at_seconds[weights] = sampled_seconds
 
     def forget_old(self, now_seconds: float) -> None:
-        """Forget leases whose uses have surely ended.
+        """Remove leases whose requests must have ended.
 
-        :param now_seconds: the clock
+        :param now_seconds: current time
         """
         for weights in list(self._leases):
             self._leases[weights] = {
@@ -127,11 +128,11 @@
 def _over(
     ends_at_seconds: float, idle_at_seconds: float | None, now_seconds: float
 ) -> bool:
-    """Tell whether every use under a lease has ended.
+    """Tell whether every request under a lease has ended.
 
-    Nothing begins after a lease. What began before has ended after the
-    longest use; or it never arrived or has ended if the endpoint ran nothing
-    at a moment by which all that was sent had arrived.
+    No request is sent after the end of the lease. Those sent before have ended
+    once the longest request duration has passed. They have also ended or been
+    lost if the endpoint was idle at a time when all of them must have arrived.
     """
     arrived_seconds = ends_at_seconds + times.TRANSIT_SECONDS
     if idle_at_seconds is not None and idle_at_seconds >= arrived_seconds:
--- a/src/boragefold/coordination/orders/sender.py
+++ b/src/boragefold/coordination/orders/sender.py
@@ -1,4 +1,4 @@
-"""Orders, and what the transport has to do with them."""
+"""Orders to endpoints, their outcomes, and the transport interface."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Order:
-    """One order to one endpoint; ``fencing`` rises, where it is checked."""
+    """An order; ``fencing`` increases if the endpoint checks it."""
 
     endpoint: str
     kind: Literal["load", "evict", "role"]
@@ -23,17 +23,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Done:
-    """The endpoint carried the order out."""
+    """The endpoint carried out the order."""
 
     tag: str = "done"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Failed:
-    """The endpoint answered that it could not."""
+    """The endpoint replied that it could not carry out the order."""
 
     reason: str
-    remedy: str = "see the endpoint's log; the order is not repeated"
+    remedy: str = "see the endpoint's log; the order is not retried"
     tag: str = "failed"
 
 
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NoAnswer:
-    """Nobody can tell whether the order was carried out."""
+    """It is unknown whether the order was carried out."""
 
     reason: str
     remedy: str = "wait for the endpoint's next report"
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Accepted:
-    """The order will be sent when it is safe."""
+    """The order will be sent once it is safe."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -67,11 +67,11 @@
     """The order will not be sent."""
 
     reason: str
-    remedy: str = "ask the present holder, or again after the next report"
+    remedy: str = "ask the current holder, or retry after the next report"
 
 
 class OrderSender(abc.ABC):
-    """Carries orders to endpoints."""
+    """Sends orders to endpoints."""
 
     @abc.abstractmethod
     def send(
@@ -81,14 +81,15 @@
         still_ours: Callable[[], bool],
         finished: Callable[[Outcome], None],
     ) -> None:
-        """Send an order on a fresh connection.
+        """Send an order on a new connection.
 
-        Ask ``still_ours`` right before the bytes are written, after any
-        connecting, and write nothing when it says no. Close the connection
-        when the bytes are not written ``times.ORDER_SECONDS`` after the call.
+        Call ``still_ours`` immediately before writing, after the connection is
+        established, and write nothing if it returns False. Close the
+        connection if the order is not written within ``times.ORDER_SECONDS``
+        of the call.
 
-        :param order: the order
-        :param still_ours: whether it may still be sent
+        :param order: order to send
+        :param still_ours: returns whether the order may still be sent
         :param finished: called once with the outcome
         """
 
--- a/src/boragefold/coordination/orders/service.py
+++ b/src/boragefold/coordination/orders/service.py
@@ -1,4 +1,4 @@
-"""The orders and the uses of one instance."""
+"""Orders and adapter leases of one instance."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Held:
-    """A desk, and the last view that it was valid in."""
+    """A held endpoint and the last view in which the right was valid."""
 
     desk: desks.Desk
     epoch: int
@@ -34,7 +34,7 @@
 
 
 class Orders:
-    """Gives the orders that are ours to give, and asks for leases of use."""
+    """Manages the endpoints that this instance holds, and its own leases."""
 
     def __init__(
         self,
@@ -46,14 +46,14 @@
         sender: sending.OrderSender,
         finished: desks.Finished,
     ) -> None:
-        """Know no endpoints yet.
-
-        :param peers: to other instances
-        :param rights: tells which endpoints are ours
-        :param timers: the timer service
-        :param counters: where orders and refusals are counted
-        :param sender: carries orders to endpoints
-        :param finished: told about every accepted order
+        """Create the service without endpoints.
+
+        :param peers: link to other instances
+        :param rights: tells which instance holds which endpoint
+        :param timers: timer service
+        :param counters: counts orders and refusals
+        :param sender: sends orders to endpoints
+        :param finished: called with the outcome of every accepted order
         """
         self._link = peers
         self._rights = rights
@@ -85,10 +85,10 @@
     def update_endpoints(
         self, endpoints: Mapping[str, Mapping[str, documents.Endpoint]]
     ) -> None:
-        """Take in the published endpoints.
+        """Apply the published endpoints.
 
-        :param endpoints: documents by data centre and name; a name stands
-            for one endpoint only
+        :param endpoints: documents by data centre and endpoint name; names are
+            unique across data centres
         """
         own_name = self._link.self_id.data_centre
         self._endpoints = dict(endpoints.get(own_name, {}))
@@ -102,10 +102,10 @@
         self._review()
 
     def desk(self, endpoint: str) -> desks.Desk | None:
-        """Find the desk of an endpoint whose orders are ours at this moment.
+        """Return the state of an endpoint that this instance holds now.
 
-        :param endpoint: its name
-        :return: the desk, or None when another instance holds the right
+        :param endpoint: name of the endpoint
+        :return: its state, or None if another instance holds the right
         """
         view = self._rights.valid_view()
         if view is None or endpoint not in self._endpoints:
@@ -114,8 +114,8 @@
             self._held.pop(endpoint, None)
             return None
         held = self._held.get(endpoint)
-        # In a gap between views another instance may have given orders and
-        # leases.
+        # If a view was missed, another instance may have sent orders and
+        # granted leases in it.
         if held is None or not (
             held.epoch == view.epoch
             and held.number <= view.number <= held.number + 1
--- a/src/boragefold/coordination/orders/slots.py
+++ b/src/boragefold/coordination/orders/slots.py
@@ -1,4 +1,4 @@
-"""What an endpoint holds, as far as its reports and our orders tell."""
+"""What an endpoint has loaded, according to its reports and sent orders."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class Slots:
-    """The adapter versions of one run of an engine.
+    """The adapter versions loaded in one process of an engine.
 
-    Reports lag: one that was sampled before an order was carried out says
-    nothing about what the order changed.
+    Reports arrive late: one sampled before an order was carried out does not
+    show the effect of that order.
     """
 
     def __init__(self, *, not_before_seconds: float) -> None:
-        """Know nothing until a report.
+        """Create the state before the first report.
 
-        :param not_before_seconds: earlier samples are worthless, because a
-            former holder's orders may have been carried out after them
+        :param not_before_seconds: samples before this time are ignored, since
+            orders of the previous holder may have been carried out after them
         """
         self._not_before_seconds = not_before_seconds
         self._sampled_seconds = not_before_seconds
@@ -26,15 +26,15 @@
 
     @property
     def known(self) -> bool:
-        """Tell whether a report has come that counts.
+        """Tell whether a valid report has arrived.
 
-        :return: whether it has
+        :return: whether one has arrived
         """
         return self.incarnation is not None
 
     @property
     def loaded(self) -> frozenset[messages.Weights]:
-        """List what may be used.
+        """List the adapter versions that requests may use.
 
         :return: adapter versions
         """
@@ -47,12 +47,12 @@
         loaded: frozenset[messages.Weights],
         sampled_seconds: float,
     ) -> bool:
-        """Take in a report; older ones than the last are ignored.
+        """Apply a report unless it is older than the latest one.
 
-        :param incarnation: of the engine's process
-        :param loaded: what it holds
-        :param sampled_seconds: no later than the moment it was counted
-        :return: whether the engine is another one than before
+        :param incarnation: identifies the engine's process
+        :param loaded: adapter versions that it has loaded
+        :param sampled_seconds: time of the sample, or an earlier time
+        :return: whether the engine has restarted
         """
         if sampled_seconds < self._sampled_seconds:
             return False
@@ -78,11 +78,11 @@
         loaded: bool,
         now_seconds: float,
     ) -> None:
-        """Note what an order did, or may have done.
+        """Record the effect that an order had or may have.
 
-        :param weights: the adapter version
-        :param loaded: whether it may be used now
-        :param now_seconds: when later samples show the effect
+        :param weights: adapter version that the order concerns
+        :param loaded: whether requests may use it now
+        :param now_seconds: time from which samples show the effect
         """
         self._changed_seconds[weights] = now_seconds
         if loaded:
--- a/src/boragefold/coordination/orders/times.py
+++ b/src/boragefold/coordination/orders/times.py
@@ -1,31 +1,31 @@
-"""The times that holders and users of an endpoint agree on."""
+"""Timeouts that all instances that hold or use an endpoint must share."""
 
 from __future__ import annotations
 
-# Longer than a change of holder, so that a running lease is renewed.
+# Longer than a change of holder takes, so that leases in use are renewed.
 USE_LEASE_SECONDS = 8.0
 
-# A request ends or is cancelled this long after it began.
+# A request ends or is cancelled within this time.
 LONGEST_USE_SECONDS = 120.0
 
-# A message that hasn't arrived after this never will.
+# A message that has not arrived within this time never arrives.
 TRANSIT_SECONDS = 2.0
 
-# The sender then closes the connection.
+# The sender closes the connection after this time.
 ORDER_SECONDS = 2.0
 
-# More than two clocks drift apart over these times.
+# Exceeds the drift between two clocks over the above durations.
 MARGIN_SECONDS = 0.1
 
-# Requests and questions to peers are repeated after this time.
+# Retry interval of requests to other instances.
 AGAIN_SECONDS = 0.5
 
 
 def right_of(endpoint: str) -> str:
-    """Name the right to give an endpoint orders.
+    """Return the name of the right to send orders to an endpoint.
 
-    :param endpoint: its name
-    :return: the name for :meth:`rights.Rights.holds`
+    :param endpoint: name of the endpoint
+    :return: name to pass to :meth:`rights.Rights.holds`
     """
     return f"orders/{endpoint}"
 
--- a/src/boragefold/coordination/orders/uses.py
+++ b/src/boragefold/coordination/orders/uses.py
@@ -1,4 +1,4 @@
-"""Leases of use: which requests this instance may send where."""
+"""Leases under which this instance sends requests to endpoints."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Use:
-    """A request that may be sent now; finished exactly once.
+    """Permission to send one request; must be finished exactly once.
 
-    Compare ``send_by_seconds`` with the clock once more right before the
-    first byte is written, after any connecting: a process that was paused in
-    between may find the adapter evicted. The request has to end, or be
-    cancelled, at ``ends_by_seconds``.
+    Compare ``send_by_seconds`` with the clock again immediately before writing
+    the first byte, after the connection is established: if the process was
+    paused in between, the adapter may have been evicted. The request must end
+    or be cancelled by ``ends_by_seconds``.
     """
 
     target: messages.Target
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NoLease:
-    """The request may not be sent there now."""
+    """The request may not be sent to this endpoint now."""
 
     reason: str
     remedy: str = "wait for the lease, or choose another endpoint"
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Entry:
-    """What we know of one adapter version on one endpoint."""
+    """The lease on one adapter version of one endpoint, and its use."""
 
     lease_ends_at_seconds: float = 0.0
     in_flight: int = 0
@@ -52,7 +52,7 @@
 
 
 class UseLeases:
-    """Asks for leases, renews them, and stops uses before an eviction."""
+    """Requests and renews leases, and stops their use for evictions."""
 
     def __init__(
         self,
@@ -62,12 +62,12 @@
         holder_of: Callable[[str], ids.InstanceId | None],
         send: Callable[[ids.InstanceId, Any], None],
     ) -> None:
-        """Start without leases.
+        """Create an empty set of leases.
 
-        :param timers: the timer service
-        :param counters: where refused uses are counted
-        :param holder_of: finds who gives an endpoint orders
-        :param send: sends a message to a peer or to ourselves
+        :param timers: timer service
+        :param counters: counts requests without a lease
+        :param holder_of: returns the instance that holds an endpoint
+        :param send: sends a message to any instance, including this one
         """
         self._timers = timers
         self._counters = counters
@@ -79,17 +79,17 @@
         self._callbacks: list[Callable[[messages.Target], None]] = []
 
     def begin(self, target: messages.Target) -> Use | NoLease:
-        """Begin a use, right before the request is sent.
+        """Register a request immediately before it is sent.
 
-        :param target: the endpoint and the weights
-        :return: the use, or why there is none
+        :param target: endpoint and adapter version
+        :return: permission to send the request, or why there is none
         """
         entry = self._entries.setdefault(target, _Entry())
         now_seconds = self._timers.now_seconds()
         entry.used_at_seconds = now_seconds
         if not self._may_use(entry):
             self._ask_once(target, entry)
-        # When we are the holder, the answer has come already.
+        # If this instance is the holder, the lease request was answered above.
         if not self._may_use(entry):
             self._counters.add("uses_refused", entry.refusal)
             return NoLease(reason=entry.refusal)
@@ -101,9 +101,9 @@
         )
 
     def finish(self, use: Use) -> None:
-        """End a use, when its answer is complete or its stream is cancelled.
+        """End a request whose response is complete or cancelled.
 
-        :param use: from :meth:`begin`; a second time changes nothing
+        :param use: from :meth:`begin`; repeated calls have no effect
         """
         if use.finished:
             return
@@ -113,24 +113,25 @@
         self._tell_stopped(use.target, entry)
 
     def subscribe(self, callback: Callable[[messages.Target], None]) -> None:
-        """Be told when a lease has come.
+        """Register a callback for new leases.
 
-        :param callback: called with its target
+        :param callback: called with the target of a lease that was granted
         """
         self._callbacks.append(callback)
 
     def given(self, sender: ids.InstanceId, given: messages.UseGiven) -> None:
-        """Take in leases and refusals.
+        """Apply granted and refused leases.
 
-        :param sender: the holder
-        :param given: its answer
+        :param sender: holder of the endpoints
+        :param given: its reply
         """
         sent_at_seconds = self._sent_at_seconds.pop(given.number, None)
         if sent_at_seconds is None:
             return
         for target in given.targets:
             entry = self._entries.get(target)
-            # A lease given before the eviction began may arrive late.
+            # A lease granted before the eviction began may arrive after the
+            # stop request; it must be ignored.
             if entry is None or given.number <= entry.newest_void:
                 continue
             entry.asked_at_seconds = None
@@ -149,10 +150,10 @@
     def stop_asked(
         self, sender: ids.InstanceId, asked: messages.UseStopAsked
     ) -> None:
-        """Begin no more uses, and say when the last one has ended.
+        """Send no new requests and confirm when the last one has ended.
 
-        :param sender: the holder
-        :param asked: what is to be evicted
+        :param sender: holder of the endpoint
+        :param asked: stop request with the adapter version to be evicted
         """
         entry = self._entries.setdefault(asked.target, _Entry())
         entry.lease_ends_at_seconds = 0.0
@@ -164,7 +165,7 @@
         self._tell_stopped(asked.target, entry)
 
     def tick(self) -> None:
-        """Renew what is in use, and forget the rest."""
+        """Renew leases in use and remove the state of unused ones."""
         now_seconds = self._timers.now_seconds()
         oldest_seconds = now_seconds - times.USE_LEASE_SECONDS
         self._sent_at_seconds = {
--- a/tests/coordination/orders/test_faults.py
+++ b/tests/coordination/orders/test_faults.py
@@ -1,4 +1,4 @@
-"""Random walks; no eviction may meet a use, and no use a gap."""
+"""Random fault schedules for evictions and requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SlowEngine(worlds.Engine):
-    """Orders and requests take their time on the network."""
+    """An engine that orders reach after random delays."""
 
     def send(self, order, *, still_ours, finished) -> None:
         draw = self.world.network.random
@@ -38,7 +38,7 @@
 
 
 class Walk:
-    """Draws one event after another from a seed."""
+    """Generates random events from a seed."""
 
     def __init__(self, *, seed: int) -> None:
         self.random = random.Random(seed)
@@ -166,9 +166,9 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_eviction_meets_a_use(seed: int) -> None:
-    # Holders die, pause and change, messages and orders are late, lost and
-    # doubled, users are cut off. A caller would see its answer break off when
-    # its adapter is evicted under it.
+    # An eviction while a request runs on the adapter breaks off the response.
+    # Holders are killed, paused and replaced, messages and orders are late,
+    # lost and duplicated, and data centres are cut off from each other.
     walk = Walk(seed=seed)
     for _ in range(STEPS):
         walk.random.choice(walk.events)()
--- a/tests/coordination/orders/test_parts.py
+++ b/tests/coordination/orders/test_parts.py
@@ -25,8 +25,9 @@
 
 
 def test_a_lease_from_before_a_stop_is_void() -> None:
-    # The holder gives a lease and then asks to stop; the network delivers
-    # the question first. The holder goes on with the eviction.
+    # The holder grants a lease and then sends a stop request, which arrives
+    # first. It evicts the adapter after the confirmation, so the late lease
+    # must not be used.
     sent: list[Any] = []
     leases = uses.UseLeases(
         timers=timers.TimerService(clock=clocks.VirtualClock()),
@@ -46,8 +47,8 @@
 
 
 def test_a_restarted_engine_is_believed_at_once() -> None:
-    # An order's outcome was unknown, so reports of the engine were not
-    # trusted for a while; the engine that did not answer is gone.
+    # After an unknown outcome, reports of the engine are ignored for a while.
+    # This must not apply to the engine process that replaces it.
     slots = slotting.Slots(not_before_seconds=0.0)
     nothing: frozenset[messages.Weights] = frozenset()
     slots.report(incarnation="1", loaded=nothing, sampled_seconds=1.0)
@@ -70,7 +71,7 @@
 
 
 class Recorder(sending.OrderSender):
-    """Keeps what it is given."""
+    """Records orders and their callbacks."""
 
     def __init__(self) -> None:
         self.orders: list[sending.Order] = []
@@ -96,8 +97,9 @@
 
 
 def test_a_former_holder_does_not_go_above_its_successor() -> None:
-    # The engine refuses an order because the successor has given one. If the
-    # former holder learned that number it would shut the successor out.
+    # The engine refuses an order because the successor has sent one. If the
+    # former holder continued above that number, the engine would refuse the
+    # successor's orders.
     ready = [True]
     dispatcher, recorder = dispatch(ready)
     dispatcher.put(ORDER)
--- a/tests/coordination/orders/test_service.py
+++ b/tests/coordination/orders/test_service.py
@@ -25,7 +25,7 @@
 
 
 class Engine(sending.OrderSender):
-    """An endpoint and the connections to it."""
+    """An engine and the transport of orders to it."""
 
     def __init__(self, *, world: World) -> None:
         self.world = world
@@ -73,7 +73,7 @@
 
 
 class Process(NamedTuple):
-    """One instance with its orders."""
+    """One instance and its order service."""
 
     node: networks.Node
     rights: fake_rights.FakeRights
@@ -82,7 +82,7 @@
 
 
 class World:
-    """Two data centres, three instances each, and one engine."""
+    """Two data centres with three instances each, and one engine."""
 
     def __init__(self, *, checks_fencing: bool = False) -> None:
         self.network = networks.Network(seed=5)
@@ -203,8 +203,8 @@
 
 
 def test_an_eviction_waits_for_a_use_in_another_data_centre(world) -> None:
-    # An instance far away streams an answer from the adapter while the holder
-    # wants its slot.
+    # An instance in another data centre streams a response from the adapter
+    # while the holder needs its slot.
     process = world.processes["south"][1]
     use = world.use(process)
     world.desk().evict(NOTES)
@@ -217,8 +217,8 @@
 
 
 def test_a_cut_off_user_is_waited_for(world) -> None:
-    # The user is cut off, so it neither hears the question nor answers. Its
-    # lease ends by itself; its request goes on at the engine until it is done.
+    # The instance neither receives the stop request nor replies. Its lease
+    # expires, but its request continues on the engine.
     process = world.processes["south"][1]
     use = world.use(process)
     world.network.is_cut = lambda one, other: (
@@ -234,8 +234,8 @@
 
 
 def test_a_paused_user_may_not_send_when_it_wakes(world) -> None:
-    # A process stops right after it began a use, before the first byte. The
-    # eviction goes through meanwhile.
+    # A process is paused after it registered a request, before it writes the
+    # first byte. The adapter is evicted in the meantime.
     process = world.processes["south"][1]
     use = world.use(process)
     world.engine.running[NOTES] -= 1
@@ -259,7 +259,7 @@
 
 
 def test_a_new_holder_waits_for_leases_it_did_not_give(world) -> None:
-    # The holder dies. Its successor knows nothing of the uses it allowed.
+    # The holder is killed. Its successor does not know the leases it granted.
     process = world.processes["south"][1]
     use = world.use(process)
     former = world.holder()
@@ -277,9 +277,9 @@
 
 @pytest.mark.parametrize("checks_fencing", [False, True])
 def test_a_former_holder_that_wakes_sends_nothing(checks_fencing) -> None:
-    # The holder has every acknowledgement and connects to the engine; there
-    # it is stopped for a minute. Another holder takes over and allows use of
-    # the adapter. The first wakes with the order in its hands.
+    # The holder is paused for a minute after it connected to the engine to
+    # send an eviction. Meanwhile another holder grants leases on the adapter.
+    # The former holder must not write the order when it resumes.
     world = World(checks_fencing=checks_fencing)
     world.run_for(times.USE_LEASE_SECONDS + times.TRANSIT_SECONDS + 2.0)
     former = world.holder()
@@ -301,9 +301,8 @@
 
 
 def test_a_new_holder_waits_for_orders_on_their_way(world) -> None:
-    # The last bytes of the former holder's eviction are still on the network
-    # when its right ends. A use that the new holder allowed at once would be
-    # hit by it.
+    # An eviction of the former holder may still arrive after its right has
+    # ended. It would interrupt requests that the new holder allowed at once.
     former = world.holder()
     world.change_view("north", without=(former,))
     for _ in range(int(times.ORDER_SECONDS / 0.1)):
@@ -344,7 +343,7 @@
 
 
 def test_a_number_refused_as_old_is_learned() -> None:
-    # The engine has seen a number from an epoch that nobody remembers.
+    # The engine has seen a number from an unknown epoch.
     world = World(checks_fencing=True)
     world.run_for(times.USE_LEASE_SECONDS + times.TRANSIT_SECONDS + 2.0)
     world.engine.highest = 1 << 60
@@ -389,8 +388,8 @@
 
 
 def test_an_eviction_is_void_after_a_restart(world) -> None:
-    # An eviction waits for a use. The engine restarts and is given the same
-    # adapter again by its own configuration.
+    # An eviction waits for a request. The engine restarts and its own
+    # configuration loads the same adapter again.
     world.use(world.processes["south"][1])
     world.desk().evict(NOTES)
     world.run_for(0.2)
@@ -402,7 +401,7 @@
 
 
 def test_no_use_while_an_order_is_under_way(world) -> None:
-    # The order to evict hangs on its way; reports go on showing the adapter.
+    # The eviction order is in flight and reports still show the adapter.
     world.engine.hold_back = True
     world.desk().evict(NOTES)
     for _ in range(30):
@@ -428,7 +427,7 @@
 
 
 def test_the_answer_to_an_earlier_eviction_is_ignored(world) -> None:
-    # A delayed acknowledgement arrives when the sender has a new use.
+    # A delayed confirmation arrives when its sender has a new request.
     process = world.processes["south"][1]
     world.use(process)
     world.desk().evict(NOTES)
@@ -441,8 +440,8 @@
 
 
 def test_a_holder_again_after_a_gap_knows_nothing(world) -> None:
-    # A holder is paused; another one gives leases; the right falls back. What
-    # the first remembers of leases and slots is out of date.
+    # A holder is paused, another one grants leases, and the first becomes the
+    # holder again. Its state of leases and loaded adapters is out of date.
     former = world.holder()
     assert world.desk().loaded
     world.network.pause(former.node)
