--- a/src/boragefold/coordination/orders/desk.py
+++ b/src/boragefold/coordination/orders/desk.py
@@ -78,8 +78,8 @@
             fencing=fencing,
             ready=self._ready,
             sender=sender,
-            started=self._started,
-            ended=self._ended,
+            started=self._mark_in_flight,
+            ended=self._handle_outcome,
             counters=counters,
         )
 
@@ -147,7 +147,7 @@
         )
         if restarted:
             self._counters.add("endpoint_restarts", "seen")
-            self._void()
+            self._cancel_all()
         idle = [adapter for adapter, count in running.items() if not count]
         for adapter in idle:
             self._leases.idle(
@@ -251,25 +251,29 @@
         self._counters.add("orders_refused", reason)
         return sending.Refused(reason=reason)
 
-    def _ended(self, order: sending.Order, outcome: sending.Outcome) -> None:
-        self._settle(order, outcome)
+    def _handle_outcome(
+        self, order: sending.Order, outcome: sending.Outcome
+    ) -> None:
+        self._record_outcome(order, outcome)
         self._finished(order, outcome)
 
-    def _settle(self, order: sending.Order, outcome: sending.Outcome) -> None:
+    def _record_outcome(
+        self, order: sending.Order, outcome: sending.Outcome
+    ) -> None:
         if order.adapter is None:
             return
         # After an unknown outcome the order may still take effect for a while.
-        known_seconds = self._now_seconds()
+        effective_at_seconds = self._now_seconds()
         if isinstance(outcome, sending.NoAnswer):
-            known_seconds += times.ORDER_SECONDS
+            effective_at_seconds += times.ORDER_SECONDS
         done = isinstance(outcome, sending.Done)
         self._slots.changed(
             messages.Weights(*order.adapter),
             loaded=done and order.kind == "load",
-            now_seconds=known_seconds,
+            now_seconds=effective_at_seconds,
         )
 
-    def _started(self, order: sending.Order) -> None:
+    def _mark_in_flight(self, order: sending.Order) -> None:
         if order.adapter is not None:
             # The order may take effect at any time until its outcome is known.
             self._slots.changed(
@@ -278,18 +282,18 @@
                 now_seconds=math.inf,
             )
 
-    def _void(self) -> None:
+    def _cancel_all(self) -> None:
         """Cancel all evictions and orders after a restart of the engine."""
         self._evictions.clear()
-        voided = self._dispatcher.void()
-        if voided:
+        cancelled = self._dispatcher.void()
+        if cancelled:
             # The order in flight may still reach the new engine process.
             self._ready_at_seconds = (
                 self._now_seconds()
                 + times.ORDER_SECONDS
                 + times.MARGIN_SECONDS
             )
-        for order in voided:
+        for order in cancelled:
             self._finished(order, sending.NoAnswer(reason="restarted"))
 
 
--- a/src/boragefold/coordination/orders/dispatcher.py
+++ b/src/boragefold/coordination/orders/dispatcher.py
@@ -41,11 +41,11 @@
         self._fencing = fencing
         self._ready = ready
         self._sender = sender
-        self._started = started
-        self._ended = ended
+        self._on_start = started
+        self._on_outcome = ended
         self._counters = counters
         self._queue: collections.deque[sending.Order] = collections.deque()
-        self._under_way: sending.Order | None = None
+        self._in_flight: sending.Order | None = None
 
     def put(self, order: sending.Order) -> bool:
         """Queue an order and send it if no other one is in flight.
@@ -53,7 +53,7 @@
         :param order: order without a fencing number
         :return: False if the same order is already queued or in flight
         """
-        if order in self._queue or order == self._under_way:
+        if order in self._queue or order == self._in_flight:
             return False
         self._queue.append(order)
         self.send_next()
@@ -61,7 +61,7 @@
 
     def send_next(self) -> None:
         """Send the next order if none is in flight."""
-        if self._under_way is None and self._queue and self._ready():
+        if self._in_flight is None and self._queue and self._ready():
             self._transmit(self._queue.popleft())
 
     def void(self) -> list[sending.Order]:
@@ -69,28 +69,30 @@
 
         :return: dropped orders, beginning with the one in flight
         """
-        voided = [*self._queue]
-        if self._under_way is not None:
-            voided.insert(0, self._under_way)
+        dropped = [*self._queue]
+        if self._in_flight is not None:
+            dropped.insert(0, self._in_flight)
         self._queue.clear()
-        self._under_way = None
-        return voided
+        self._in_flight = None
+        return dropped
 
     def _transmit(self, order: sending.Order) -> None:
-        self._under_way = order
-        self._started(order)
+        self._in_flight = order
+        self._on_start(order)
         numbered = order
         if self._fencing is not None:
             numbered = dataclasses.replace(order, fencing=self._fencing.take())
         self._counters.add("orders_sent", order.kind)
         self._sender.send(
             numbered,
-            still_ours=lambda: self._under_way is order and self._ready(),
-            finished=lambda outcome: self._outcome(order, outcome),
+            still_ours=lambda: self._in_flight is order and self._ready(),
+            finished=lambda outcome: self._handle_outcome(order, outcome),
         )
 
-    def _outcome(self, order: sending.Order, outcome: sending.Outcome) -> None:
-        if self._under_way is not order:
+    def _handle_outcome(
+        self, order: sending.Order, outcome: sending.Outcome
+    ) -> None:
+        if self._in_flight is not order:
             return
         if isinstance(outcome, sending.Outdated) and self._fencing:
             self._counters.add("orders_outdated", order.kind)
@@ -100,8 +102,8 @@
                 self._fencing.learn(outcome.highest)
                 self._transmit(order)
                 return
-        self._under_way = None
-        self._ended(order, outcome)
+        self._in_flight = None
+        self._on_outcome(order, outcome)
         self.send_next()
 
 
--- a/src/boragefold/coordination/orders/evictions.py
+++ b/src/boragefold/coordination/orders/evictions.py
@@ -18,7 +18,7 @@
     """A pending eviction of one adapter version."""
 
     number: int
-    asked_at_seconds: float
+    requested_at_seconds: float
 
 
 class Evictions:
@@ -61,7 +61,7 @@
             weights,
             _Eviction(
                 number=next(self._numbers),
-                asked_at_seconds=-times.AGAIN_SECONDS,
+                requested_at_seconds=-times.AGAIN_SECONDS,
             ),
         )
 
@@ -94,9 +94,12 @@
         """Send stop requests to possible users; repeat unanswered ones."""
         now_seconds = self._now_seconds()
         for weights, eviction in list(self._evictions.items()):
-            if now_seconds < eviction.asked_at_seconds + times.AGAIN_SECONDS:
+            if (
+                now_seconds
+                < eviction.requested_at_seconds + times.AGAIN_SECONDS
+            ):
                 continue
-            eviction.asked_at_seconds = now_seconds
+            eviction.requested_at_seconds = now_seconds
             target = messages.Target(self._endpoint, weights)
             asked = messages.UseStopAsked(target, eviction.number)
             for user in self._leases.users(weights, now_seconds=now_seconds):
--- a/src/boragefold/coordination/orders/fencing.py
+++ b/src/boragefold/coordination/orders/fencing.py
@@ -18,8 +18,8 @@
 
         :param view: view in which this instance gained the right
         """
-        of_view = view.epoch * VIEWS_PER_EPOCH + view.number
-        self._next = of_view * ORDERS_PER_VIEW
+        view_sequence = view.epoch * VIEWS_PER_EPOCH + view.number
+        self._next = view_sequence * ORDERS_PER_VIEW
 
     def take(self) -> int:
         """Return the next number.
--- a/src/boragefold/coordination/orders/leases.py
+++ b/src/boragefold/coordination/orders/leases.py
@@ -29,7 +29,7 @@
 
         :param since_seconds: time when this instance gained the right
         """
-        self._former_end_seconds = (
+        self._previous_leases_end_seconds = (
             since_seconds + times.USE_LEASE_SECONDS + times.MARGIN_SECONDS
         )
         self._leases: dict[messages.Weights, dict[ids.InstanceId, _Lease]] = {}
@@ -69,7 +69,9 @@
             instance
             for instance, lease in self._leases.get(weights, {}).items()
             if not lease.stopped
-            and not _over(lease.ends_at_seconds, idle_at_seconds, now_seconds)
+            and not _all_ended(
+                lease.ends_at_seconds, idle_at_seconds, now_seconds
+            )
         }
 
     def former_users_possible(
@@ -82,8 +84,8 @@
         :return: whether requests that this instance does not know of may be
             in flight
         """
-        return not _over(
-            self._former_end_seconds,
+        return not _all_ended(
+            self._previous_leases_end_seconds,
             self._idle_at_seconds.get(weights),
             now_seconds,
         )
@@ -119,13 +121,13 @@
             self._leases[weights] = {
                 instance: lease
                 for instance, lease in self._leases[weights].items()
-                if not _over(lease.ends_at_seconds, None, now_seconds)
+                if not _all_ended(lease.ends_at_seconds, None, now_seconds)
             }
             if not self._leases[weights]:
                 del self._leases[weights]
 
 
-def _over(
+def _all_ended(
     ends_at_seconds: float, idle_at_seconds: float | None, now_seconds: float
 ) -> bool:
     """Tell whether every request under a lease has ended.
@@ -134,10 +136,10 @@
     once the longest request duration has passed. They have also ended or been
     lost if the endpoint was idle at a time when all of them must have arrived.
     """
-    arrived_seconds = ends_at_seconds + times.TRANSIT_SECONDS
-    if idle_at_seconds is not None and idle_at_seconds >= arrived_seconds:
+    all_arrived_seconds = ends_at_seconds + times.TRANSIT_SECONDS
+    if idle_at_seconds is not None and idle_at_seconds >= all_arrived_seconds:
         return True
-    return now_seconds >= arrived_seconds + times.LONGEST_USE_SECONDS
+    return now_seconds >= all_arrived_seconds + times.LONGEST_USE_SECONDS
 
 
 __all__ = [
--- a/src/boragefold/coordination/orders/service.py
+++ b/src/boragefold/coordination/orders/service.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Held:
+class _HeldEndpoint:
     """A held endpoint and the last view in which the right was valid."""
 
     desk: desks.Desk
@@ -63,8 +63,8 @@
         self._finished = finished
         self._endpoints: dict[str, documents.Endpoint] = {}
         self._data_centre_of: dict[str, str] = {}
-        self._held: dict[str, _Held] = {}
-        self._evictions = itertools.count()
+        self._held_endpoints: dict[str, _HeldEndpoint] = {}
+        self._eviction_numbers = itertools.count()
         self.uses = using.UseLeases(
             timers=timers,
             counters=counters,
@@ -79,7 +79,7 @@
         }
         for kind, handler in self._handlers.items():
             peers.subscribe(kind, handler)
-        rights.subscribe(lambda view: self._review())
+        rights.subscribe(lambda view: self._update_held())
         timers.every(period_seconds=TICK_SECONDS, callback=self._tick)
 
     def update_endpoints(
@@ -90,16 +90,16 @@
         :param endpoints: documents by data centre and endpoint name; names are
             unique across data centres
         """
-        own_name = self._link.self_id.data_centre
-        self._endpoints = dict(endpoints.get(own_name, {}))
+        own_data_centre = self._link.self_id.data_centre
+        self._endpoints = dict(endpoints.get(own_data_centre, {}))
         self._data_centre_of = {
             name: data_centre
             for data_centre, group in endpoints.items()
             for name in group
         }
-        for name in self._held.keys() - self._endpoints.keys():
-            del self._held[name]
-        self._review()
+        for name in self._held_endpoints.keys() - self._endpoints.keys():
+            del self._held_endpoints[name]
+        self._update_held()
 
     def desk(self, endpoint: str) -> desks.Desk | None:
         """Return the state of an endpoint that this instance holds now.
@@ -111,27 +111,29 @@
         if view is None or endpoint not in self._endpoints:
             return None
         if not self._rights.holds(times.right_of(endpoint)):
-            self._held.pop(endpoint, None)
+            self._held_endpoints.pop(endpoint, None)
             return None
-        held = self._held.get(endpoint)
+        held = self._held_endpoints.get(endpoint)
         # If a view was missed, another instance may have sent orders and
         # granted leases in it.
         if held is None or not (
             held.epoch == view.epoch
             and held.number <= view.number <= held.number + 1
         ):
-            held = self._gain(endpoint, view)
+            held = self._add_held_endpoint(endpoint, view)
         held.number = view.number
         return held.desk
 
-    def _gain(self, endpoint: str, view: membership.View) -> _Held:
-        checks = self._endpoints[endpoint]["checks_fencing"]
+    def _add_held_endpoint(
+        self, endpoint: str, view: membership.View
+    ) -> _HeldEndpoint:
+        checks_fencing = self._endpoints[endpoint]["checks_fencing"]
         right = times.right_of(endpoint)
-        held = _Held(
+        held = _HeldEndpoint(
             desk=desks.Desk(
                 endpoint=endpoint,
-                fencing=fences.Fencing(view=view) if checks else None,
-                numbers=self._evictions,
+                fencing=fences.Fencing(view=view) if checks_fencing else None,
+                numbers=self._eviction_numbers,
                 holds=lambda: self._rights.holds(right),
                 now_seconds=self._timers.now_seconds,
                 sender=self._sender,
@@ -142,11 +144,11 @@
             epoch=view.epoch,
             number=view.number,
         )
-        self._held[endpoint] = held
+        self._held_endpoints[endpoint] = held
         self._counters.add("order_rights", "gained")
         return held
 
-    def _review(self) -> None:
+    def _update_held(self) -> None:
         for endpoint in self._endpoints:
             self.desk(endpoint)
 
--- a/src/boragefold/coordination/orders/slots.py
+++ b/src/boragefold/coordination/orders/slots.py
@@ -20,7 +20,7 @@
         """
         self._not_before_seconds = not_before_seconds
         self._sampled_seconds = not_before_seconds
-        self._changed_seconds: dict[messages.Weights, float] = {}
+        self._effective_at_seconds: dict[messages.Weights, float] = {}
         self._loaded: set[messages.Weights] = set()
         self.incarnation: str | None = None
 
@@ -59,15 +59,16 @@
         self._sampled_seconds = sampled_seconds
         restarted = self.known and incarnation != self.incarnation
         if restarted or not self.known:
-            self._changed_seconds.clear()
+            self._effective_at_seconds.clear()
             self._loaded = set(loaded)
         else:
-            settled = {
+            confirmed = {
                 weights
                 for weights in loaded | self._loaded
-                if self._changed_seconds.get(weights, 0.0) <= sampled_seconds
+                if self._effective_at_seconds.get(weights, 0.0)
+                <= sampled_seconds
             }
-            self._loaded = (self._loaded - settled) | (loaded & settled)
+            self._loaded = (self._loaded - confirmed) | (loaded & confirmed)
         self.incarnation = incarnation
         return restarted
 
@@ -84,7 +85,7 @@
         :param loaded: whether requests may use it now
         :param now_seconds: time from which samples show the effect
         """
-        self._changed_seconds[weights] = now_seconds
+        self._effective_at_seconds[weights] = now_seconds
         if loaded:
             self._loaded.add(weights)
         else:
--- a/src/boragefold/coordination/orders/uses.py
+++ b/src/boragefold/coordination/orders/uses.py
@@ -39,16 +39,16 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Entry:
+class _LeaseState:
     """The lease on one adapter version of one endpoint, and its use."""
 
-    lease_ends_at_seconds: float = 0.0
+    ends_at_seconds: float = 0.0
     in_flight: int = 0
     used_at_seconds: float = 0.0
-    asked_at_seconds: float | None = None
-    newest_void: int = -1
+    requested_at_seconds: float | None = None
+    last_void_request: int = -1
     refusal: str = "asking"
-    stop: tuple[ids.InstanceId, int] | None = None
+    stop_request: tuple[ids.InstanceId, int] | None = None
 
 
 class UseLeases:
@@ -73,9 +73,9 @@
         self._counters = counters
         self._holder_of = holder_of
         self._send = send
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
         self._sent_at_seconds: dict[int, float] = {}
-        self._entries: dict[messages.Target, _Entry] = {}
+        self._leases: dict[messages.Target, _LeaseState] = {}
         self._callbacks: list[Callable[[messages.Target], None]] = []
 
     def begin(self, target: messages.Target) -> Use | NoLease:
@@ -84,19 +84,19 @@
         :param target: endpoint and adapter version
         :return: permission to send the request, or why there is none
         """
-        entry = self._entries.setdefault(target, _Entry())
+        lease = self._leases.setdefault(target, _LeaseState())
         now_seconds = self._timers.now_seconds()
-        entry.used_at_seconds = now_seconds
-        if not self._may_use(entry):
-            self._ask_once(target, entry)
+        lease.used_at_seconds = now_seconds
+        if not self._has_lease(lease):
+            self._request_lease(target, lease)
         # If this instance is the holder, the lease request was answered above.
-        if not self._may_use(entry):
-            self._counters.add("uses_refused", entry.refusal)
-            return NoLease(reason=entry.refusal)
-        entry.in_flight += 1
+        if not self._has_lease(lease):
+            self._counters.add("uses_refused", lease.refusal)
+            return NoLease(reason=lease.refusal)
+        lease.in_flight += 1
         return Use(
             target=target,
-            send_by_seconds=entry.lease_ends_at_seconds,
+            send_by_seconds=lease.ends_at_seconds,
             ends_by_seconds=now_seconds + times.LONGEST_USE_SECONDS,
         )
 
@@ -108,9 +108,9 @@
         if use.finished:
             return
         use.finished = True
-        entry = self._entries[use.target]
-        entry.in_flight -= 1
-        self._tell_stopped(use.target, entry)
+        lease = self._leases[use.target]
+        lease.in_flight -= 1
+        self._confirm_stopped(use.target, lease)
 
     def subscribe(self, callback: Callable[[messages.Target], None]) -> None:
         """Register a callback for new leases.
@@ -129,23 +129,23 @@
         if sent_at_seconds is None:
             return
         for target in given.targets:
-            entry = self._entries.get(target)
+            lease = self._leases.get(target)
             # A lease granted before the eviction began may arrive after the
             # stop request; it must be ignored.
-            if entry is None or given.number <= entry.newest_void:
+            if lease is None or given.number <= lease.last_void_request:
                 continue
-            entry.asked_at_seconds = None
-            entry.stop = None
-            entry.lease_ends_at_seconds = max(
-                entry.lease_ends_at_seconds,
+            lease.requested_at_seconds = None
+            lease.stop_request = None
+            lease.ends_at_seconds = max(
+                lease.ends_at_seconds,
                 sent_at_seconds + given.life_seconds,
             )
             for callback in self._callbacks:
                 callback(target)
         for refusal in given.refusals:
-            entry = self._entries.get(refusal.target)
-            if entry is not None:
-                entry.refusal = refusal.reason
+            lease = self._leases.get(refusal.target)
+            if lease is not None:
+                lease.refusal = refusal.reason
 
     def stop_asked(
         self, sender: ids.InstanceId, asked: messages.UseStopAsked
@@ -155,14 +155,14 @@
         :param sender: holder of the endpoint
         :param asked: stop request with the adapter version to be evicted
         """
-        entry = self._entries.setdefault(asked.target, _Entry())
-        entry.lease_ends_at_seconds = 0.0
-        entry.newest_void = next(self._numbers)
-        entry.asked_at_seconds = None
-        entry.refusal = "evicting"
-        entry.stop = (sender, asked.eviction)
-        entry.used_at_seconds = self._timers.now_seconds()
-        self._tell_stopped(asked.target, entry)
+        lease = self._leases.setdefault(asked.target, _LeaseState())
+        lease.ends_at_seconds = 0.0
+        lease.last_void_request = next(self._request_numbers)
+        lease.requested_at_seconds = None
+        lease.refusal = "evicting"
+        lease.stop_request = (sender, asked.eviction)
+        lease.used_at_seconds = self._timers.now_seconds()
+        self._confirm_stopped(asked.target, lease)
 
     def tick(self) -> None:
         """Renew leases in use and remove the state of unused ones."""
@@ -173,22 +173,22 @@
             for number, at_seconds in self._sent_at_seconds.items()
             if at_seconds > oldest_seconds
         }
-        for target, entry in list(self._entries.items()):
-            recent = entry.used_at_seconds > oldest_seconds
-            if not recent and not entry.in_flight:
-                if entry.lease_ends_at_seconds <= now_seconds:
-                    del self._entries[target]
+        for target, lease in list(self._leases.items()):
+            recent = lease.used_at_seconds > oldest_seconds
+            if not recent and not lease.in_flight:
+                if lease.ends_at_seconds <= now_seconds:
+                    del self._leases[target]
         self._renew(now_seconds)
 
     def _renew(self, now_seconds: float) -> None:
-        soon_seconds = now_seconds + times.USE_LEASE_SECONDS / 2
+        renewal_limit_seconds = now_seconds + times.USE_LEASE_SECONDS / 2
         oldest_seconds = now_seconds - times.USE_LEASE_SECONDS / 2
         due = [
             target
-            for target, entry in self._entries.items()
-            if entry.stop is None
-            and now_seconds < entry.lease_ends_at_seconds < soon_seconds
-            and entry.used_at_seconds > oldest_seconds
+            for target, lease in self._leases.items()
+            if lease.stop_request is None
+            and now_seconds < lease.ends_at_seconds < renewal_limit_seconds
+            and lease.used_at_seconds > oldest_seconds
         ]
         by_holder: dict[ids.InstanceId, list[messages.Target]] = {}
         for target in due:
@@ -196,39 +196,45 @@
             if holder is not None:
                 by_holder.setdefault(holder, []).append(target)
         for holder, targets in by_holder.items():
-            self._ask(holder, targets)
+            self._send_request(holder, targets)
 
-    def _may_use(self, entry: _Entry) -> bool:
+    def _has_lease(self, lease: _LeaseState) -> bool:
         now_seconds = self._timers.now_seconds()
-        return entry.stop is None and now_seconds < entry.lease_ends_at_seconds
+        return (
+            lease.stop_request is None and now_seconds < lease.ends_at_seconds
+        )
 
-    def _ask_once(self, target: messages.Target, entry: _Entry) -> None:
+    def _request_lease(
+        self, target: messages.Target, lease: _LeaseState
+    ) -> None:
         now_seconds = self._timers.now_seconds()
-        asked_seconds = entry.asked_at_seconds
+        requested_seconds = lease.requested_at_seconds
         if (
-            asked_seconds is not None
-            and now_seconds < asked_seconds + times.AGAIN_SECONDS
+            requested_seconds is not None
+            and now_seconds < requested_seconds + times.AGAIN_SECONDS
         ):
             return
         holder = self._holder_of(target.endpoint)
         if holder is None:
-            entry.refusal = "no_holder"
+            lease.refusal = "no_holder"
             return
-        entry.asked_at_seconds = now_seconds
-        entry.refusal = "asking"
-        self._ask(holder, [target])
+        lease.requested_at_seconds = now_seconds
+        lease.refusal = "asking"
+        self._send_request(holder, [target])
 
-    def _ask(
+    def _send_request(
         self, holder: ids.InstanceId, targets: list[messages.Target]
     ) -> None:
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         self._sent_at_seconds[number] = self._timers.now_seconds()
         self._send(holder, messages.UseAsked(number, tuple(targets)))
 
-    def _tell_stopped(self, target: messages.Target, entry: _Entry) -> None:
-        if entry.stop is None or entry.in_flight:
+    def _confirm_stopped(
+        self, target: messages.Target, lease: _LeaseState
+    ) -> None:
+        if lease.stop_request is None or lease.in_flight:
             return
-        holder, eviction = entry.stop
+        holder, eviction = lease.stop_request
         self._send(holder, messages.UseStopped(target, eviction))
 
 
--- a/tests/coordination/orders/test_faults.py
+++ b/tests/coordination/orders/test_faults.py
@@ -18,23 +18,27 @@
     """An engine that orders reach after random delays."""
 
     def send(self, order, *, still_ours, finished) -> None:
-        draw = self.world.network.random
-        written = draw.uniform(0.0, 0.5)
-        arrives = draw.uniform(0.0, times.ORDER_SECONDS - 0.6)
+        random_source = self.world.network.random
+        write_delay_seconds = random_source.uniform(0.0, 0.5)
+        transit_seconds = random_source.uniform(0.0, times.ORDER_SECONDS - 0.6)
 
         def write() -> None:
             if not still_ours():
                 finished(sending.NoAnswer(reason="not_written"))
                 return
-            self.world.timers.once(delay_seconds=arrives, callback=arrive)
+            self.world.timers.once(
+                delay_seconds=transit_seconds, callback=arrive
+            )
 
         def arrive() -> None:
             outcome = self.carry_out(order)
-            if draw.random() < 0.1:
+            if random_source.random() < 0.1:
                 outcome = sending.NoAnswer(reason="connection_lost")
             finished(outcome)
 
-        self.world.timers.once(delay_seconds=written, callback=write)
+        self.world.timers.once(
+            delay_seconds=write_delay_seconds, callback=write
+        )
 
 
 class Walk:
@@ -49,9 +53,9 @@
         engine = SlowEngine(world=self.world)
         engine.__dict__.update(self.world.engine.__dict__)
         self.world.engine.__class__ = SlowEngine
-        self.begun = 0
-        self.missed = 0
-        self.started = 10
+        self.arrived_requests = 0
+        self.rejected_requests = 0
+        self.last_process_number = 10
         self.events = (
             [self.use] * 60
             + [self.wait] * 60
@@ -80,9 +84,9 @@
 
     def arrive(self, process: worlds.Process, use: uses.Use) -> None:
         engine = self.world.engine
-        self.begun += 1
+        self.arrived_requests += 1
         if worlds.NOTES not in engine.running:
-            self.missed += 1
+            self.rejected_requests += 1
             return
         engine.running[worlds.NOTES] += 1
         duration = self.random.choice((0.05, 1.0, 12.0))
@@ -96,15 +100,17 @@
             running[worlds.NOTES] -= 1
         if process.node.paused:
             self.world.timers.once(
-                delay_seconds=1.0, callback=lambda: self.tell(process, use)
+                delay_seconds=1.0,
+                callback=lambda: self.finish_use(process, use),
             )
         else:
-            self.tell(process, use)
+            self.finish_use(process, use)
 
-    def tell(self, process: worlds.Process, use: uses.Use) -> None:
+    def finish_use(self, process: worlds.Process, use: uses.Use) -> None:
         if process.node.paused:
             self.world.timers.once(
-                delay_seconds=1.0, callback=lambda: self.tell(process, use)
+                delay_seconds=1.0,
+                callback=lambda: self.finish_use(process, use),
             )
         elif not process.node.dead:
             process.orders.uses.finish(use)
@@ -150,8 +156,10 @@
         name = process.node.self_id.data_centre
         self.world.network.kill(process.node)
         self.world.processes[name].remove(process)
-        self.started += 1
-        self.world.processes[name].append(self.world.start(name, self.started))
+        self.last_process_number += 1
+        self.world.processes[name].append(
+            self.world.start(name, self.last_process_number)
+        )
         self.wait()
         self.world.change_view(name)
 
@@ -173,8 +181,8 @@
     for _ in range(STEPS):
         walk.random.choice(walk.events)()
     assert walk.world.engine.wrong == []
-    assert walk.missed == 0
-    assert walk.begun > 100
+    assert walk.rejected_requests == 0
+    assert walk.arrived_requests > 100
     evictions = [
         order for order in walk.world.engine.received if order.kind == "evict"
     ]
--- a/tests/coordination/orders/test_parts.py
+++ b/tests/coordination/orders/test_parts.py
@@ -24,7 +24,7 @@
 )
 
 
-def test_a_lease_from_before_a_stop_is_void() -> None:
+def test_a_lease_granted_before_a_stop_request_is_ignored() -> None:
     # The holder grants a lease and then sends a stop request, which arrives
     # first. It evicts the adapter after the confirmation, so the late lease
     # must not be used.
@@ -46,7 +46,7 @@
     assert isinstance(leases.begin(TARGET), uses.Use)
 
 
-def test_a_restarted_engine_is_believed_at_once() -> None:
+def test_reports_of_a_restarted_engine_count_at_once() -> None:
     # After an unknown outcome, reports of the engine are ignored for a while.
     # This must not apply to the engine process that replaces it.
     slots = slotting.Slots(not_before_seconds=0.0)
@@ -60,7 +60,7 @@
     assert slots.loaded == loaded
 
 
-def test_a_late_report_of_a_former_engine_is_ignored() -> None:
+def test_a_late_report_of_a_former_process_is_ignored() -> None:
     slots = slotting.Slots(not_before_seconds=0.0)
     loaded = frozenset({NOTES})
     slots.report(incarnation="2", loaded=frozenset(), sampled_seconds=3.0)
@@ -108,14 +108,14 @@
     assert len(recorder.orders) == 1
 
 
-def test_the_holder_goes_above_a_number_refused_as_old() -> None:
+def test_the_holder_continues_above_a_refused_number() -> None:
     dispatcher, recorder = dispatch([True])
     dispatcher.put(ORDER)
     recorder.finished[0](sending.Outdated(highest=1 << 50))
     assert recorder.orders[1].fencing == (1 << 50) + 1
 
 
-def test_numbers_rise_with_views_and_epochs() -> None:
+def test_numbers_increase_with_views_and_epochs() -> None:
     order = [(1, 1), (1, 2), (1, 900), (2, 1), (3, 5)]
     numbers = [
         fences.Fencing(
--- a/tests/coordination/orders/test_service.py
+++ b/tests/coordination/orders/test_service.py
@@ -36,9 +36,9 @@
         self.received: list[sending.Order] = []
         self.wrong: list[sending.Order] = []
         self.delay_seconds = 0.01
-        self.held_back: list[Callable[[], None]] = []
-        self.hold_back = False
-        self.refuse: sending.Outcome | None = None
+        self.held_orders: list[Callable[[], None]] = []
+        self.hold_orders = False
+        self.next_outcome: sending.Outcome | None = None
 
     def send(self, order, *, still_ours, finished) -> None:
         def write() -> None:
@@ -47,17 +47,17 @@
                 return
             finished(self.carry_out(order))
 
-        if self.hold_back:
-            self.held_back.append(write)
+        if self.hold_orders:
+            self.held_orders.append(write)
         else:
             self.world.timers.once(
                 delay_seconds=self.delay_seconds, callback=write
             )
 
     def carry_out(self, order: sending.Order) -> sending.Outcome:
-        if self.refuse is not None:
-            refusal, self.refuse = self.refuse, None
-            return refusal
+        if self.next_outcome is not None:
+            outcome, self.next_outcome = self.next_outcome, None
+            return outcome
         if self.checks_fencing:
             assert order.fencing is not None
             if order.fencing <= self.highest:
@@ -130,8 +130,10 @@
         return Process(node, fake, orders, counters)
 
     def change_view(self, name: str, without: tuple[Process, ...] = ()):
-        able = [each for each in self.processes[name] if each not in without]
-        self.views.change(name, [each.node for each in able])
+        members = [
+            each for each in self.processes[name] if each not in without
+        ]
+        self.views.change(name, [each.node for each in members])
 
     def report(self) -> None:
         sampled = self.network.clock.now_seconds()
@@ -233,7 +235,7 @@
     assert world.evicted() and not world.engine.wrong
 
 
-def test_a_paused_user_may_not_send_when_it_wakes(world) -> None:
+def test_a_paused_user_may_not_send_when_it_resumes(world) -> None:
     # A process is paused after it registered a request, before it writes the
     # first byte. The adapter is evicted in the meantime.
     process = world.processes["south"][1]
@@ -246,7 +248,7 @@
     assert world.network.clock.now_seconds() > use.send_by_seconds
 
 
-def test_without_reports_time_alone_ends_a_use(world) -> None:
+def test_without_reports_a_use_ends_at_its_time_limit(world) -> None:
     world.use(world.processes["south"][1])
     world.network.kill(world.processes["south"][1].node)
     world.desk().evict(NOTES)
@@ -283,24 +285,24 @@
     world = World(checks_fencing=checks_fencing)
     world.run_for(times.USE_LEASE_SECONDS + times.TRANSIT_SECONDS + 2.0)
     former = world.holder()
-    world.engine.hold_back = True
+    world.engine.hold_orders = True
     world.desk().evict(NOTES)
     world.run_for(0.1)
-    assert len(world.engine.held_back) == 1
+    assert len(world.engine.held_orders) == 1
     world.network.pause(former.node)
     world.change_view("north", without=(former,))
-    world.engine.hold_back = False
+    world.engine.hold_orders = False
     world.run_for(60.0)
     use = world.use(world.processes["south"][1])
     world.network.resume(former.node)
-    world.engine.held_back.pop()()
+    world.engine.held_orders.pop()()
     world.views.learn(former.rights)
     world.run_for(5.0)
     assert not world.evicted() and not world.engine.wrong
     world.finish(world.processes["south"][1], use)
 
 
-def test_a_new_holder_waits_for_orders_on_their_way(world) -> None:
+def test_a_new_holder_waits_for_orders_in_flight(world) -> None:
     # An eviction of the former holder may still arrive after its right has
     # ended. It would interrupt requests that the new holder allowed at once.
     former = world.holder()
@@ -326,7 +328,7 @@
         world.run_for(0.1)
 
 
-def test_fencing_numbers_rise_over_holders() -> None:
+def test_fencing_numbers_increase_across_holders() -> None:
     world = World(checks_fencing=True)
     world.run_for(times.USE_LEASE_SECONDS + times.TRANSIT_SECONDS + 2.0)
     world.desk().evict(NOTES)
@@ -342,7 +344,7 @@
     assert numbers == sorted(set(numbers))
 
 
-def test_a_number_refused_as_old_is_learned() -> None:
+def test_a_holder_continues_above_an_unknown_higher_number() -> None:
     # The engine has seen a number from an unknown epoch.
     world = World(checks_fencing=True)
     world.run_for(times.USE_LEASE_SECONDS + times.TRANSIT_SECONDS + 2.0)
@@ -353,7 +355,7 @@
     assert world.engine.highest > 1 << 60
 
 
-def test_a_restarted_engine_voids_what_was_known(world) -> None:
+def test_a_restart_of_the_engine_resets_its_state(world) -> None:
     world.use(world.processes["south"][1])
     world.desk().evict(NOTES)
     world.run_for(0.2)
@@ -369,8 +371,8 @@
     assert not world.evicted()
 
 
-def test_an_unknown_outcome_is_settled_by_a_later_report(world) -> None:
-    world.engine.refuse = sending.NoAnswer(reason="timeout")
+def test_a_later_report_settles_an_unknown_outcome(world) -> None:
+    world.engine.next_outcome = sending.NoAnswer(reason="timeout")
     world.desk().evict(NOTES)
     world.run_for(1.0)
     assert messages.Weights(*NOTES) not in world.desk().loaded
@@ -378,16 +380,16 @@
     assert messages.Weights(*NOTES) in world.desk().loaded
 
 
-def test_a_failed_load_is_not_taken_for_loaded(world) -> None:
+def test_a_failed_load_does_not_count_as_loaded(world) -> None:
     other = work.AdapterVersion("base", "pages", "1")
-    world.engine.refuse = sending.Failed(reason="no_such_weights")
+    world.engine.next_outcome = sending.Failed(reason="no_such_weights")
     world.desk().load(other)
     world.run_for(2.0)
     assert messages.Weights(*other) not in world.desk().loaded
     assert isinstance(world.finished[-1][1], sending.Failed)
 
 
-def test_an_eviction_is_void_after_a_restart(world) -> None:
+def test_a_restart_of_the_engine_cancels_an_eviction(world) -> None:
     # An eviction waits for a request. The engine restarts and its own
     # configuration loads the same adapter again.
     world.use(world.processes["south"][1])
@@ -400,15 +402,15 @@
     assert world.use(world.processes["south"][2])
 
 
-def test_no_use_while_an_order_is_under_way(world) -> None:
+def test_no_use_while_an_order_is_in_flight(world) -> None:
     # The eviction order is in flight and reports still show the adapter.
-    world.engine.hold_back = True
+    world.engine.hold_orders = True
     world.desk().evict(NOTES)
     for _ in range(30):
         process = world.processes["south"][2]
         assert isinstance(process.orders.uses.begin(TARGET), uses.NoLease)
         world.run_for(0.1)
-    world.engine.held_back.pop()()
+    world.engine.held_orders.pop()()
     assert world.evicted() and not world.engine.wrong
 
 
@@ -439,7 +441,7 @@
     assert not world.evicted()
 
 
-def test_a_holder_again_after_a_gap_knows_nothing(world) -> None:
+def test_a_holder_that_missed_a_view_starts_without_state(world) -> None:
     # A holder is paused, another one grants leases, and the first becomes the
     # holder again. Its state of leases and loaded adapters is out of date.
     former = world.holder()
