--- a/src/boragefold/coordination/orders/uses.py
+++ b/src/boragefold/coordination/orders/uses.py
@@ -1,4 +1,4 @@
-"""Leases of use: which requests this instance may send where."""
+"""Leases under which this instance sends requests to endpoints."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Use:
-    """A request that may be sent now; finished exactly once.
+    """Permission to send one request; must be finished exactly once.
 
-    Compare ``send_by_seconds`` with the clock once more right before the
-    first byte is written, after any connecting: a process that was paused in
-    between may find the adapter evicted. The request has to end, or be
-    cancelled, at ``ends_by_seconds``.
+    Compare ``send_by_seconds`` with the clock again immediately before writing
+    the first byte, after the connection is established: if the process was
+    paused in between, the adapter may have been evicted. The request must end
+    or be cancelled by ``ends_by_seconds``.
     """
 
     target: messages.Target
@@ -32,27 +32,27 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NoLease:
-    """The request may not be sent there now."""
+    """The request may not be sent to this endpoint now."""
 
     reason: str
     remedy: str = "wait for the lease, or choose another endpoint"
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Entry:
-    """What we know of one adapter version on one endpoint."""
+class _LeaseState:
+    """The lease on one adapter version of one endpoint, and its use."""
 
-    lease_ends_at_seconds: float = 0.0
+    ends_at_seconds: float = 0.0
     in_flight: int = 0
     used_at_seconds: float = 0.0
-    asked_at_seconds: float | None = None
-    newest_void: int = -1
+    requested_at_seconds: float | None = None
+    last_void_request: int = -1
     refusal: str = "asking"
-    stop: tuple[ids.InstanceId, int] | None = None
+    stop_request: tuple[ids.InstanceId, int] | None = None
 
 
 class UseLeases:
-    """Asks for leases, renews them, and stops uses before an eviction."""
+    """Requests and renews leases, and stops their use for evictions."""
 
     def __init__(
         self,
@@ -62,109 +62,110 @@
         holder_of: Callable[[str], ids.InstanceId | None],
         send: Callable[[ids.InstanceId, Any], None],
     ) -> None:
-        """Start without leases.
+        """Create an empty set of leases.
 
-        :param timers: the timer service
-        :param counters: where refused uses are counted
-        :param holder_of: finds who gives an endpoint orders
-        :param send: sends a message to a peer or to ourselves
+        :param timers: timer service
+        :param counters: counts requests without a lease
+        :param holder_of: returns the instance that holds an endpoint
+        :param send: sends a message to any instance, including this one
         """
         self._timers = timers
         self._counters = counters
         self._holder_of = holder_of
         self._send = send
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
         self._sent_at_seconds: dict[int, float] = {}
-        self._entries: dict[messages.Target, _Entry] = {}
+        self._leases: dict[messages.Target, _LeaseState] = {}
         self._callbacks: list[Callable[[messages.Target], None]] = []
 
     def begin(self, target: messages.Target) -> Use | NoLease:
-        """Begin a use, right before the request is sent.
+        """Register a request immediately before it is sent.
 
-        :param target: the endpoint and the weights
-        :return: the use, or why there is none
+        :param target: endpoint and adapter version
+        :return: permission to send the request, or why there is none
         """
-        entry = self._entries.setdefault(target, _Entry())
+        lease = self._leases.setdefault(target, _LeaseState())
         now_seconds = self._timers.now_seconds()
-        entry.used_at_seconds = now_seconds
-        if not self._may_use(entry):
-            self._ask_once(target, entry)
-        # When we are the holder, the answer has come already.
-        if not self._may_use(entry):
-            self._counters.add("uses_refused", entry.refusal)
-            return NoLease(reason=entry.refusal)
-        entry.in_flight += 1
+        lease.used_at_seconds = now_seconds
+        if not self._has_lease(lease):
+            self._request_lease(target, lease)
+        # If this instance is the holder, the lease request was answered above.
+        if not self._has_lease(lease):
+            self._counters.add("uses_refused", lease.refusal)
+            return NoLease(reason=lease.refusal)
+        lease.in_flight += 1
         return Use(
             target=target,
-            send_by_seconds=entry.lease_ends_at_seconds,
+            send_by_seconds=lease.ends_at_seconds,
             ends_by_seconds=now_seconds + times.LONGEST_USE_SECONDS,
         )
 
     def finish(self, use: Use) -> None:
-        """End a use, when its answer is complete or its stream is cancelled.
+        """End a request whose response is complete or cancelled.
 
-        :param use: from :meth:`begin`; a second time changes nothing
+        :param use: from :meth:`begin`; repeated calls have no effect
         """
         if use.finished:
             return
         use.finished = True
-        entry = self._entries[use.target]
-        entry.in_flight -= 1
-        self._tell_stopped(use.target, entry)
+        lease = self._leases[use.target]
+        lease.in_flight -= 1
+        self._confirm_stopped(use.target, lease)
 
     def subscribe(self, callback: Callable[[messages.Target], None]) -> None:
-        """Be told when a lease has come.
+        """Register a callback for new leases.
 
-        :param callback: called with its target
+        :param callback: called with the target of a lease that was granted
         """
         self._callbacks.append(callback)
 
     def given(self, sender: ids.InstanceId, given: messages.UseGiven) -> None:
-        """Take in leases and refusals.
+        """Apply granted and refused leases.
 
-        :param sender: the holder
-        :param given: its answer
+        :param sender: holder of the endpoints
+        :param given: its reply
         """
         sent_at_seconds = self._sent_at_seconds.pop(given.number, None)
         if sent_at_seconds is None:
             return
         for target in given.targets:
-            entry = self._entries.get(target)
-            # A lease given before the eviction began may arrive late.
-            if entry is None or given.number <= entry.newest_void:
+            lease = self._leases.get(target)
+            # A lease granted before the eviction began may arrive after the
+            # stop request; it must be ignored.
+            if lease is None or given.number <= lease.last_void_request:
                 continue
-            entry.asked_at_seconds = None
-            entry.stop = None
-            entry.lease_ends_at_seconds = max(
-                entry.lease_ends_at_seconds,
+            lease.requested_at_seconds = None
+            lease.stop_request = None
+            lease.ends_at_seconds = max(
+                lease.ends_at_seconds,
                 sent_at_seconds + given.life_seconds,
             )
             for callback in self._callbacks:
                 callback(target)
         for refusal in given.refusals:
-            entry = self._entries.get(refusal.target)
-            if entry is not None:
-                entry.refusal = refusal.reason
+            lease = self._leases.get(refusal.target)
+            if lease is not None:
+                lease.refusal = refusal.reason
 
     def stop_asked(
         self, sender: ids.InstanceId, asked: messages.UseStopAsked
     ) -> None:
-        """Begin no more uses, and say when the last one has ended.
+        """Send no new requests and confirm when the last one has ended.
 
-        :param sender: the holder
-        :param asked: what is to be evicted
+        :param sender: holder of the endpoint
+        :param asked: stop request with the adapter version to be evicted
         """
-        entry = self._entries.setdefault(asked.target, _Entry())
-        entry.lease_ends_at_seconds = 0.0
-        entry.newest_void = next(self._numbers)
-        entry.asked_at_seconds = None
-        entry.refusal = "evicting"
-        entry.stop = (sender, asked.eviction)
-        entry.used_at_seconds = self._timers.now_seconds()
-        self._tell_stopped(asked.target, entry)
+        lease = self._leases.setdefault(asked.target, _LeaseState())
+        lease.ends_at_seconds = 0.0
+        lease.last_void_request = next(self._request_numbers)
+        lease.requested_at_seconds = None
+        lease.refusal = "evicting"
+        lease.stop_request = (sender, asked.eviction)
+        lease.used_at_seconds = self._timers.now_seconds()
+        self._confirm_stopped(asked.target, lease)
 
     def tick(self) -> None:
-        """Renew what is in use, and forget the rest."""
+        """Renew leases in use and remove the state of unused ones."""
         now_seconds = self._timers.now_seconds()
         oldest_seconds = now_seconds - times.USE_LEASE_SECONDS
         self._sent_at_seconds = {
@@ -172,22 +173,22 @@
             for number, at_seconds in self._sent_at_seconds.items()
             if at_seconds > oldest_seconds
         }
-        for target, entry in list(self._entries.items()):
-            recent = entry.used_at_seconds > oldest_seconds
-            if not recent and not entry.in_flight:
-                if entry.lease_ends_at_seconds <= now_seconds:
-                    del self._entries[target]
+        for target, lease in list(self._leases.items()):
+            recent = lease.used_at_seconds > oldest_seconds
+            if not recent and not lease.in_flight:
+                if lease.ends_at_seconds <= now_seconds:
+                    del self._leases[target]
         self._renew(now_seconds)
 
     def _renew(self, now_seconds: float) -> None:
-        soon_seconds = now_seconds + times.USE_LEASE_SECONDS / 2
+        renewal_limit_seconds = now_seconds + times.USE_LEASE_SECONDS / 2
         oldest_seconds = now_seconds - times.USE_LEASE_SECONDS / 2
         due = [
             target
-            for target, entry in self._entries.items()
-            if entry.stop is None
-            and now_seconds < entry.lease_ends_at_seconds < soon_seconds
-            and entry.used_at_seconds > oldest_seconds
+            for target, lease in self._leases.items()
+            if lease.stop_request is None
+            and now_seconds < lease.ends_at_seconds < renewal_limit_seconds
+            and lease.used_at_seconds > oldest_seconds
         ]
         by_holder: dict[ids.InstanceId, list[messages.Target]] = {}
         for target in due:
@@ -195,39 +196,45 @@
             if holder is not None:
                 by_holder.setdefault(holder, []).append(target)
         for holder, targets in by_holder.items():
-            self._ask(holder, targets)
+            self._send_request(holder, targets)
 
-    def _may_use(self, entry: _Entry) -> bool:
+    def _has_lease(self, lease: _LeaseState) -> bool:
         now_seconds = self._timers.now_seconds()
-        return entry.stop is None and now_seconds < entry.lease_ends_at_seconds
+        return (
+            lease.stop_request is None and now_seconds < lease.ends_at_seconds
+        )
 
-    def _ask_once(self, target: messages.Target, entry: _Entry) -> None:
+    def _request_lease(
+        self, target: messages.Target, lease: _LeaseState
+    ) -> None:
         now_seconds = self._timers.now_seconds()
-        asked_seconds = entry.asked_at_seconds
+        requested_seconds = lease.requested_at_seconds
         if (
-            asked_seconds is not None
-            and now_seconds < asked_seconds + times.AGAIN_SECONDS
+            requested_seconds is not None
+            and now_seconds < requested_seconds + times.AGAIN_SECONDS
         ):
             return
         holder = self._holder_of(target.endpoint)
         if holder is None:
-            entry.refusal = "no_holder"
+            lease.refusal = "no_holder"
             return
-        entry.asked_at_seconds = now_seconds
-        entry.refusal = "asking"
-        self._ask(holder, [target])
+        lease.requested_at_seconds = now_seconds
+        lease.refusal = "asking"
+        self._send_request(holder, [target])
 
-    def _ask(
+    def _send_request(
         self, holder: ids.InstanceId, targets: list[messages.Target]
     ) -> None:
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         self._sent_at_seconds[number] = self._timers.now_seconds()
         self._send(holder, messages.UseAsked(number, tuple(targets)))
 
-    def _tell_stopped(self, target: messages.Target, entry: _Entry) -> None:
-        if entry.stop is None or entry.in_flight:
+    def _confirm_stopped(
+        self, target: messages.Target, lease: _LeaseState
+    ) -> None:
+        if lease.stop_request is None or lease.in_flight:
             return
-        holder, eviction = entry.stop
+        holder, eviction = lease.stop_request
         self._send(holder, messages.UseStopped(target, eviction))
 
 
