--- a/src/boragefold/entry/answer_deadline.py
+++ b/src/boragefold/entry/answer_deadline.py
@@ -1,18 +1,18 @@
-"""By when a request must have its answer."""
+"""The deadline of the response to a request."""
 
 from __future__ import annotations
 
 from boragefold.entry import serving
 
-# An answer is given up this long before its caller leaves.
+# The gateway stops waiting for a response this long before its caller does.
 MARGIN_SECONDS = 0.02
-# With more time the margin grows, for an instance short of processor time.
+# Long time limits get a greater margin, for an instance short of CPU time.
 MARGIN_SHARE = 0.025
 MAX_MARGIN_SECONDS = 0.1
 
 
 def ends_at_seconds(admitted: serving.Admitted) -> float:
-    """Tell when the answer to a request is given up.
+    """Compute when the gateway stops waiting for the response to a request.
 
     :param admitted: the request
     :return: reading of the process clock
--- a/src/boragefold/entry/answer_times.py
+++ b/src/boragefold/entry/answer_times.py
@@ -1,4 +1,4 @@
-"""Where the time of one streamed answer went."""
+"""Measures the delays within one streamed response."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Lateness(enum.Enum):
-    """Why an answer is worth less to its caller."""
+    """What made a streamed response exceed the time limits of its route."""
 
     NONE = ""
     FIRST_EVENT = "first_event"
@@ -16,10 +16,11 @@
 
 
 class AnswerTimes:
-    """When the pieces of an answer were passed on.
+    """Measures the times at which the chunks of a response are forwarded.
 
-    ``first_event_seconds`` counts from the caller's request, None before the
-    first piece; ``longest_pause_seconds`` is the longest time between two.
+    ``first_event_seconds`` is the time from the arrival of the request to the
+    first chunk, None until then; ``longest_pause_seconds`` is the longest time
+    between two successive chunks.
     """
 
     def __init__(self, *, arrived_at_seconds: float) -> None:
@@ -29,7 +30,7 @@
         self.longest_pause_seconds = 0.0
 
     def passed(self, *, now_seconds: float) -> None:
-        """Note that a piece was passed on.
+        """Record that a chunk was forwarded.
 
         :param now_seconds: reading of the process clock
         """
@@ -43,10 +44,10 @@
         self._passed_at_seconds = now_seconds
 
     def lateness(self, route: deployment.Route) -> Lateness:
-        """Judge the answer by what its route promises.
+        """Check the measured times against the limits of the route.
 
         :param route: the route
-        :return: what made it late first
+        :return: the limit that was exceeded; the first event takes precedence
         """
         first_seconds = self.first_event_seconds
         if first_seconds is not None and first_seconds > route.target_seconds:
--- a/src/boragefold/entry/answers.py
+++ b/src/boragefold/entry/answers.py
@@ -1,4 +1,4 @@
-"""Writing outcomes to callers, in header and body alike."""
+"""Writes the outcome of a request into the response headers and body."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 def outcome_headers(
     tag: str, reason: str, request_id: str
 ) -> http_server.Headers:
-    """Write the headers that every answer carries.
+    """Create the headers that every response carries.
 
     :param tag: ``ran``, ``not_run`` or ``unknown``
-    :param reason: empty when all is well
-    :param request_id: names the request for ``boragefold explain``
+    :param reason: empty if the request ran normally
+    :param request_id: ID of the request, for ``boragefold explain``
     :return: names and values
     """
     headers = [
@@ -34,11 +34,11 @@
 def error_body(
     refusal: outcomes.NotRun | outcomes.Unknown, extra: dict[str, Any]
 ) -> bytes:
-    """Write the body of a refusal.
+    """Create the JSON body of an error response.
 
-    :param refusal: what happened and what to do
-    :param extra: further members of the error object
-    :return: JSON
+    :param refusal: the outcome and the remedy
+    :param extra: additional members of the error object
+    :return: the encoded JSON
     """
     error = {
         "outcome": refusal.tag,
@@ -56,12 +56,12 @@
     request_id: str,
     **extra: Any,
 ) -> None:
-    """Give a caller its final answer, at once.
+    """Send the complete error response.
 
-    :param exchange: the caller's
-    :param refusal: what happened and what to do
-    :param request_id: names the request
-    :param extra: further members of the error object
+    :param exchange: the HTTP exchange with the caller
+    :param refusal: the outcome and the remedy
+    :param request_id: ID of the request
+    :param extra: additional members of the error object
     """
     headers = [
         JSON,
--- a/src/boragefold/entry/attempt.py
+++ b/src/boragefold/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one endpoint."""
+"""One attempt to send a request to one endpoint."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 if typing.TYPE_CHECKING:
     from boragefold.entry import forwarding as forwardings
 
-# Statuses that say that a request has not run and won't.
+# Statuses which say that the endpoint did not and will not run the request.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 SERVER_ERRORS = range(500, 600)
 SUCCESSES = range(200, 300)
 
 
 class Attempt(http_client.AnswerSink):
-    """One sending of a request to one endpoint."""
+    """One attempt to send a request to one endpoint."""
 
     def __init__(
         self,
@@ -39,16 +39,16 @@
 
     @property
     def rejected(self) -> bool:
-        """Tell whether the endpoint said that the request has not run.
+        """Tell whether the endpoint confirmed that it did not run the request.
 
-        :return: whether it did
+        :return: whether it did so
         """
         return self._facts is not None and self._facts.not_run
 
     def begin(self, call: http_client.Call) -> None:
-        """Send.
+        """Send the request.
 
-        :param call: the request as it goes to the endpoint
+        :param call: the request in the form that the endpoint receives
         """
         shared = self._forwarding.shared
         self._begun_at_seconds = shared.timers.now_seconds()
@@ -56,10 +56,10 @@
         self._pending = shared.client.send(call, self)
 
     def cancel(self, *, failed: bool = False) -> None:
-        """Give up: the endpoint sees its connection closed.
+        """Cancel the attempt by closing the connection to the endpoint.
 
-        :param failed: whether that counts against the endpoint, because it
-            was silent for all the time there was
+        :param failed: whether this counts as a failure of the endpoint,
+            because it did not respond before the deadline
         """
         if self._pending is not None:
             self._pending.cancel()
@@ -67,20 +67,20 @@
             self._judge(failed=failed)
 
     def pause(self) -> None:
-        """Read no more of the answer for now."""
+        """Stop reading the response until ``resume`` is called."""
         if self._pending is not None:
             self._pending.pause()
 
     def resume(self) -> None:
-        """Read the answer again."""
+        """Continue reading the response."""
         if self._pending is not None:
             self._pending.resume()
 
     def head(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head of the answer.
+        """Process the status and the headers of the response.
 
         :param status: the HTTP status
-        :param headers: names in lower case
+        :param headers: values by lower-case name
         """
         shared = self._forwarding.shared
         facts = shared.dialect.read_answer(status, headers)
@@ -101,15 +101,15 @@
                 self._forwarding.attempt_answering()
 
     def data(self, data: bytes) -> None:
-        """Pass a piece of the answer on.
+        """Forward a chunk of the response body.
 
-        :param data: the piece
+        :param data: the chunk
         """
         if self._passed:
             self._forwarding.pass_data(data)
 
     def end(self) -> None:
-        """Finish, or go on elsewhere."""
+        """Finish the request, or try another endpoint."""
         facts = self._facts
         if facts is None or self._forwarding.over:
             return
@@ -127,9 +127,9 @@
             self._forwarding.pass_end(self._status)
 
     def failed(self, failure: http_client.Failure) -> None:
-        """Learn that no whole answer will come.
+        """Handle the failure to receive a complete response.
 
-        :param failure: why
+        :param failure: the cause
         """
         if not self._judged:
             self._judge(failed=True)
@@ -157,7 +157,7 @@
         )
 
     def _is_unfit(self, facts: dialects.AnswerFacts) -> bool:
-        # An unsigned success, or a "not run" that the endpoint didn't confirm.
+        # A success without a signature, or an unconfirmed "not run" status.
         if facts.status in SUCCESSES:
             return not facts.signed
         return facts.status in NOT_RUN_STATUSES
--- a/src/boragefold/entry/caller_answer.py
+++ b/src/boragefold/entry/caller_answer.py
@@ -1,4 +1,4 @@
-"""The answer to one request, as it is passed on to the caller."""
+"""Forwards the response to one request to its caller."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CallerAnswer:
-    """Passes one answer on, though several endpoints may give parts of it."""
+    """Forwards one response, whose parts may come from several endpoints."""
 
     def __init__(
         self,
@@ -33,37 +33,37 @@
 
     @property
     def started(self) -> bool:
-        """Tell whether the caller has got a part of the answer.
+        """Tell whether the response to the caller has begun.
 
-        :return: whether the head is out
+        :return: whether its headers were sent
         """
         return self._exchange.started
 
     @property
     def resumable(self) -> bool:
-        """Tell whether another endpoint could give the rest.
+        """Tell whether another endpoint could supply the rest.
 
-        :return: whether nothing is out, or the rest can be told apart
+        :return: whether nothing was sent yet, or only complete events were
         """
         return self._events is not None or not self.started
 
     @property
     def last_event_id(self) -> str:
-        """Tell which event of a stream the caller got last.
+        """Return the last event of the stream that the caller received.
 
-        :return: its id; empty before the first
+        :return: its ID, at first the one in the caller's request
         """
         if self._events is None or not self._events.last_event_id:
             return self._admitted.request.last_event_id
         return self._events.last_event_id
 
     def pass_head(self, status: int, headers: dict[str, str]) -> bool:
-        """Pass the head of an endpoint's answer on, unless one is out.
+        """Forward the response headers unless headers were already sent.
 
-        :param status: its status
-        :param headers: its headers
-        :return: whether the answer is passed on; one that should continue
-            another with another status is a failure, and nothing of it is
+        :param status: status of the endpoint's response
+        :param headers: headers of the endpoint's response
+        :return: whether to forward the response; a continuation whose status
+            differs from the first one is a failure and is discarded
         """
         if self.started:
             self._continues = status == self._status
@@ -71,7 +71,7 @@
         self._status = status
         passed = self._shared.dialect.caller_headers(headers)
         if self._events is not None:
-            # The rest may come from another endpoint with another length.
+            # The rest may come from an endpoint that states another length.
             passed = [
                 (name, value)
                 for name, value in passed
@@ -81,16 +81,16 @@
         return True
 
     def pass_data(self, data: bytes) -> bool:
-        """Pass a piece of an endpoint's answer on.
+        """Forward a chunk of an endpoint's response.
 
-        :param data: the piece
-        :return: whether the caller keeps up
+        :param data: the chunk
+        :return: whether the caller reads fast enough
         """
         if not self._continues:
             return True
         if self._events is not None:
-            # Whole events only: the rest of a torn one would be joined with
-            # another endpoint's.
+            # Forward complete events only: after a partial event, the output
+            # of another endpoint would be joined to it.
             data = self._events.feed(data)
         if data:
             self.times.passed(now_seconds=self._shared.timers.now_seconds())
@@ -98,7 +98,7 @@
         return keeps_up or self._exchange.finished or not data
 
     def pass_end(self) -> None:
-        """Tell the caller that the answer is whole, if it is."""
+        """Finish the caller's response, or abort it if it is incomplete."""
         if not self._continues:
             self.break_off()
             return
@@ -107,22 +107,25 @@
         self._exchange.finish()
 
     def drop_torn_event(self) -> None:
-        """Forget an event that broke off in the middle."""
+        """Discard a partially received event."""
         if self._events is not None and self.started:
             self._events.drop_torn()
 
     def break_off(self) -> None:
-        """Close the connection: closed normally, the answer looks whole."""
+        """Abort the connection, so that the caller sees a truncated response.
+
+        After a normal close the response would look complete.
+        """
         self._exchange.abort()
 
     def refuse(
         self, kind: refusals.Kind, reason: str, retry_after_seconds: float
     ) -> None:
-        """Answer ourselves, or break off what has begun.
+        """Send an error response, or abort a response that has begun.
 
-        :param kind: which of our own answers
+        :param kind: the kind of error
         :param reason: one of a small fixed set
-        :param retry_after_seconds: when to come back, where that helps
+        :param retry_after_seconds: when to retry, where a retry helps
         """
         if self.started:
             self.break_off()
--- a/src/boragefold/entry/chat_face.py
+++ b/src/boragefold/entry/chat_face.py
@@ -1,4 +1,4 @@
-"""The chat interface: checks a request and hands it to the decisions."""
+"""The chat API: validates requests and submits them for scheduling."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 
 class Desk(abc.ABC):
-    """Takes checked chats in and sees them through."""
+    """Schedules validated chat requests."""
 
     @abc.abstractmethod
     def offer(self, live: live_chat.LiveChat) -> None:
-        """Take a chat in; it will be answered or refused.
+        """Submit a chat request, which will be answered or refused.
 
-        :param live: the chat
+        :param live: the chat request
         """
 
 
 class ChatFace:
-    """Answers ``POST /v1/chat/completions``."""
+    """Handles ``POST /v1/chat/completions``."""
 
     def __init__(
         self,
@@ -62,11 +62,11 @@
         exchange: http_server.Exchange,
         caller: identity.Caller,
     ) -> None:
-        """Take one chat request in.
+        """Handle one chat request.
 
-        :param request: as it came
-        :param exchange: where the answer goes
-        :param caller: whose key came with it
+        :param request: the HTTP request
+        :param exchange: receives the response
+        :param caller: the caller, identified by its API key
         """
         request_id = self._new_request_id()
         parsed = chat.parse(request.body)
@@ -154,11 +154,11 @@
 def read_deadline_seconds(
     request: http_server.Request, default_seconds: float
 ) -> float:
-    """Read how long the caller is willing to wait.
+    """Read the caller's timeout from the request headers.
 
-    :param request: as it came
-    :param default_seconds: of the workspace
-    :return: seconds; the default for a value that is no positive number
+    :param request: the HTTP request
+    :param default_seconds: default timeout of the workspace
+    :return: seconds; the default if the value is missing or out of range
     """
     try:
         seconds = float(request.headers.get(HEADER_DEADLINE, ""))
--- a/src/boragefold/entry/chat_sender.py
+++ b/src/boragefold/entry/chat_sender.py
@@ -1,4 +1,4 @@
-"""Sending a chat to an endpoint, under a lease of use."""
+"""Sends a chat request to an endpoint, under a lease on its adapter."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ChatSender:
-    """Sends attempts, and ends their uses in time."""
+    """Sends attempts and ends each of them before its lease expires."""
 
     def __init__(
         self,
@@ -33,15 +33,15 @@
         self._uses: dict[str, using.Use] = {}
 
     def send(self, live: live_chat.LiveChat, endpoint: str) -> None:
-        """Send an attempt, now or when its lease has come.
+        """Send an attempt, after acquiring a lease if it uses an adapter.
 
-        :param live: the chat
-        :param endpoint: where to
+        :param live: the chat request
+        :param endpoint: name of the endpoint
         """
         needs = live.work.needs
         address = self._address_of(endpoint)
         if address is None:
-            # Unlisted between the decision and this line.
+            # The endpoint was removed after the scheduler had chosen it.
             self._break_later(live, "unlisted")
         elif not needs.adapter:
             live.send(
@@ -59,9 +59,9 @@
             )
 
     def end_use(self, live: live_chat.LiveChat) -> None:
-        """End the use of a chat's attempt, if it has one.
+        """End the adapter use of a chat request's attempt, if there is one.
 
-        :param live: the chat
+        :param live: the chat request
         """
         use = self._uses.pop(live.work.request_id, None)
         if use is not None:
@@ -92,7 +92,7 @@
             live.broken(NOT_HELD, may_have_run=False)
 
     def _use_over(self, live: live_chat.LiveChat, use: using.Use) -> None:
-        # The holder counts on every use to end by now.
+        # The instance that granted the lease may unload the adapter now.
         if not use.finished and not live.finished:
             live.break_attempt("use_over")
 
--- a/src/boragefold/entry/desk.py
+++ b/src/boragefold/entry/desk.py
@@ -1,4 +1,4 @@
-"""Sees chats through: asks the decisions, and does what they say."""
+"""Runs chat requests according to the decisions of the dispatcher."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Desk(chat_face.Desk, live_chat.ChatEvents, actions.Performer):
-    """Connects live chats with the dispatcher."""
+    """Reports the events of chats to the dispatcher, performs its actions."""
 
     def __init__(
         self,
@@ -49,16 +49,16 @@
 
     @property
     def open_chats(self) -> int:
-        """Count the chats that are not over.
+        """Return the number of unfinished chat requests.
 
-        :return: how many
+        :return: the number
         """
         return len(self._chats)
 
     def offer(self, live: live_chat.LiveChat) -> None:
-        """Take a chat in.
+        """Submit a chat request to the dispatcher.
 
-        :param live: the chat
+        :param live: the chat request
         """
         work = live.work
         self._note(work.request_id, "arrived", work.workspace)
@@ -71,7 +71,7 @@
         self.run()
 
     def run(self) -> None:
-        """Do what the decisions want done, and come back when it is due."""
+        """Perform the dispatcher's actions and schedule the next run."""
         if self._running:
             self._run_again = True
             return
@@ -84,12 +84,12 @@
         self._set_wake()
 
     def withdraw_key(self, digest: str) -> None:
-        """End every chat that came with a key that is no longer granted.
+        """End every chat request whose API key was revoked.
 
-        Waiting ones are refused. Streams are cut: what a withdrawn key pays
-        for must not go on for as long as its owner keeps a stream open.
+        Queued requests are refused. Streams are aborted: otherwise the owner
+        of a revoked key could use it for as long as a stream stays open.
 
-        :param digest: of the key
+        :param digest: digest of the key
         """
         gone = [
             live for live in self._chats.values() if live.key_digest == digest
@@ -106,9 +106,9 @@
         self.run()
 
     def answered(self, live: live_chat.LiveChat) -> None:
-        """Note the first token.
+        """Record the arrival of the first token.
 
-        :param live: the chat
+        :param live: the chat request
         """
         now_seconds = self._timers.now_seconds()
         self._dispatcher.first_token(
@@ -119,9 +119,9 @@
         )
 
     def completed(self, live: live_chat.LiveChat) -> None:
-        """Settle a whole answer.
+        """Account for a complete response.
 
-        :param live: the chat
+        :param live: the chat request
         """
         self._end(live, "ran")
         self._counters.add("requests_ran", "chat")
@@ -136,11 +136,11 @@
     def attempt_broken(
         self, live: live_chat.LiveChat, reason: str, *, may_have_run: bool
     ) -> None:
-        """Let the decisions retry, resume or give up.
+        """Let the dispatcher retry, resume or fail the chat request.
 
-        :param live: the chat
-        :param reason: why
-        :param may_have_run: whether the engine may have worked on it
+        :param live: the chat request
+        :param reason: the cause of the failure
+        :param may_have_run: whether the engine may have processed the request
         """
         request_id = live.work.request_id
         now_seconds = self._timers.now_seconds()
@@ -159,9 +159,9 @@
         self.run()
 
     def caller_gone(self, live: live_chat.LiveChat) -> None:
-        """Settle a chat whose caller left.
+        """Cancel a chat request whose caller disconnected.
 
-        :param live: the chat
+        :param live: the chat request
         """
         self._end(live, "caller_gone")
         self._counters.add("requests_cancelled", "caller_gone")
@@ -173,9 +173,9 @@
         self.run()
 
     def send(self, send: actions.Send) -> None:
-        """Send a chat to an endpoint.
+        """Send a chat request to an endpoint.
 
-        :param send: what, where to, and which attempt it is
+        :param send: the request, the endpoint and the number of the attempt
         """
         live = self._chats.get(send.work.request_id)
         if live is None:
@@ -186,18 +186,18 @@
         self._sender.send(live, send.endpoint)
 
     def refuse(self, refuse: actions.Refuse) -> None:
-        """Answer a chat with "not run".
+        """Refuse a chat request, which certainly did not run.
 
-        :param refuse: which one, and why
+        :param refuse: the request and the reason
         """
         live = self._chats.get(refuse.work.request_id)
         if live is not None:
             self._refuse(live, refuse.refused)
 
     def give_up(self, give_up: actions.GiveUp) -> None:
-        """Answer a chat whose last attempt failed.
+        """Fail a chat request whose last attempt failed.
 
-        :param give_up: which one, and whether it may have run
+        :param give_up: the request, and whether it may have run
         """
         live = self._chats.get(give_up.work.request_id)
         if live is None:
@@ -215,25 +215,25 @@
         )
 
     def order(self, order: actions.Order) -> None:
-        """Pass an order on.
+        """Pass on an order to load an adapter.
 
-        :param order: what and where
+        :param order: the adapter and the endpoint
         """
         if self.orderer is not None:
             self.orderer.order(order)
 
     def drain(self, drain: actions.Drain) -> None:
-        """Pass a drain on.
+        """Pass on a request to stop using an adapter at an endpoint.
 
-        :param drain: which
+        :param drain: the adapter and the endpoint
         """
         if self.orderer is not None:
             self.orderer.drain(drain)
 
     def tell(self, tell: actions.Tell) -> None:
-        """Pass a digest on to another instance.
+        """Send a digest to another instance.
 
-        :param tell: to whom, and what
+        :param tell: the receiver and the digest
         """
         self._tell_peer(tell)
 
--- a/src/boragefold/entry/dialect.py
+++ b/src/boragefold/entry/dialect.py
@@ -1,8 +1,8 @@
-"""What a gateway needs of the language that its neighbours speak.
+"""The interface between the gateway and the message formats around it.
 
-Callers, endpoints and the store may speak in the users' own way. A dialect
-translates: it reads requests, answers and reports into the types below, and
-writes calls. It decides nothing.
+Callers, endpoints and the store may use formats of the users' own. A dialect
+converts between them and the types below: it parses requests, responses and
+reports, and creates outgoing headers. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 class CallerRequest(NamedTuple):
-    """A caller's request, understood.
+    """A caller's request after parsing.
 
-    ``deadline_seconds`` is how long the caller will wait, None where it
-    doesn't say. ``needs`` is the adapter that it must run on, None for a plain
-    service. ``usage_tokens`` is what it counts against a rate in tokens, None
-    where it names no tokens. ``last_event_id`` is the event after which the
-    caller resumes a stream.
+    ``deadline_seconds`` is the caller's timeout, None if it states none.
+    ``needs`` is the adapter that the request must run on, None for a plain
+    service. ``usage_tokens`` is the amount charged to a rate limit in tokens,
+    None if the request states no tokens. ``last_event_id`` is the event after
+    which the caller resumes a stream.
     """
 
     request_id: str
@@ -41,18 +41,19 @@
 
 
 class Malformed(NamedTuple):
-    """A request that can't be understood, and what to do."""
+    """The error and the remedy for a request that can't be parsed."""
 
     reason: str
     remedy: str
 
 
 class AnswerFacts(NamedTuple):
-    """What the head of an endpoint's answer says beside its status.
+    """The information in the status and headers of an endpoint's response.
 
-    ``not_run`` is the endpoint's word that the request did not run and never
-    will. ``signed`` tells whether it bears the endpoint's signature. ``busy``
-    and ``slots`` are the endpoint's load, None where it doesn't tell.
+    ``not_run`` is the endpoint's confirmation that it did not run the request
+    and never will. ``signed`` tells whether the response carries the
+    endpoint's signature. ``busy`` and ``slots`` are the load of the endpoint,
+    None if the response doesn't report it.
     """
 
     status: int
@@ -65,10 +66,10 @@
 
 
 class EndpointTarget(NamedTuple):
-    """Where a request is sent, and what goes with it.
+    """The endpoint that a request is sent to, and the request's parameters.
 
-    ``version`` is the version of the adapter that it must run on, 0 for any.
-    ``resume_after`` is the last event that the caller has got.
+    ``version`` is the adapter version that the request must run on, 0 for any.
+    ``resume_after`` is the last event that the caller received.
     """
 
     record: deployment.EndpointRecord
@@ -79,34 +80,34 @@
 
 
 class Dialect(abc.ABC):
-    """Translates between the gateway's types and what is spoken."""
+    """Converts between the gateway's types and the messages on the wire."""
 
     @abc.abstractmethod
     def read_request(
         self, request: http_server.Request
     ) -> CallerRequest | Malformed:
-        """Understand a caller's request.
+        """Parse a caller's request.
 
-        :param request: as it came
-        :return: the request, or what is wrong with it
+        :param request: the HTTP request
+        :return: the parsed request, or the error
         """
 
     @abc.abstractmethod
     def first_event_seconds(self, route: deployment.Route) -> float:
-        """Tell how long callers of a route wait for an answer to begin.
+        """Return the caller's limit for the start of a response on a route.
 
         :param route: the route
-        :return: seconds from the caller's first byte
+        :return: seconds from the first byte of the request
         """
 
     @abc.abstractmethod
     def endpoint_headers(
         self, request: CallerRequest, target: EndpointTarget
     ) -> Headers:
-        """Write the headers of a request to an endpoint.
+        """Create the headers of a request to an endpoint.
 
-        :param request: the caller's
-        :param target: where it goes
+        :param request: the caller's request
+        :param target: the endpoint and parameters of the request
         :return: names and values
         """
 
@@ -114,37 +115,37 @@
     def answers(
         self, request: CallerRequest, headers: Mapping[str, str]
     ) -> bool:
-        """Tell whether an answer is the one to a request.
+        """Tell whether a response belongs to a request.
 
         :param request: the request
-        :param headers: of the answer, names in lower case
-        :return: False for an answer to some other request
+        :param headers: headers of the response, by lower-case name
+        :return: False for the response to another request
         """
 
     @abc.abstractmethod
     def read_answer(
         self, status: int, headers: Mapping[str, str]
     ) -> AnswerFacts:
-        """Understand the head of an endpoint's answer.
+        """Parse the status and headers of an endpoint's response.
 
         :param status: the HTTP status
-        :param headers: names in lower case
-        :return: what it says
+        :param headers: values by lower-case name
+        :return: the information in them
         """
 
     @abc.abstractmethod
     def caller_headers(self, headers: Mapping[str, str]) -> Headers:
-        """Write the headers of an answer that is passed on.
+        """Create the headers of a response that is forwarded to the caller.
 
-        :param headers: of the endpoint's answer, names in lower case
+        :param headers: headers of the endpoint's response, by lower-case name
         :return: names and values
         """
 
     @abc.abstractmethod
     def refusal_headers(self, request: CallerRequest | None) -> Headers:
-        """Write the headers of an answer of our own.
+        """Create the headers of a response that the gateway itself generates.
 
-        :param request: the caller's, None when it was not understood
+        :param request: the caller's request, None if it could not be parsed
         :return: names and values
         """
 
--- a/src/boragefold/entry/event_stream.py
+++ b/src/boragefold/entry/event_stream.py
@@ -1,25 +1,25 @@
-"""Cutting a stream of server-sent events between its events."""
+"""Splits a stream of server-sent events at event boundaries."""
 
 from __future__ import annotations
 
-# A longer event is passed on unfinished rather than kept in memory.
+# A longer event is forwarded in parts, which bounds the memory per stream.
 MAX_EVENT_BYTES = 65_536
 EVENT_END = b"\n\n"
 ID_FIELD = b"id:"
 
 
 class EventSplitter:
-    """Lets whole events through, and knows the id of the last."""
+    """Returns only complete events and tracks the ID of the last one."""
 
     def __init__(self) -> None:
         self._unfinished = bytearray()
         self.last_event_id = ""
 
     def feed(self, data: bytes) -> bytes:
-        """Take a piece of the stream.
+        """Add a chunk of the stream.
 
-        :param data: the piece
-        :return: the events that are whole now
+        :param data: the chunk
+        :return: the events that are complete now
         """
         self._unfinished += data
         end = self._unfinished.rfind(EVENT_END)
@@ -31,16 +31,16 @@
         return whole
 
     def rest(self) -> bytes:
-        """Take what follows the last whole event.
+        """Remove and return the bytes after the last complete event.
 
-        :return: bytes; at the end of a whole answer they belong to it
+        :return: the bytes, which belong to the response if it is complete
         """
         rest = bytes(self._unfinished)
         self._unfinished.clear()
         return rest
 
     def drop_torn(self) -> None:
-        """Forget an event that broke off in the middle."""
+        """Discard a partially received event."""
         self._unfinished.clear()
 
     def _is_too_long(self) -> bool:
--- a/src/boragefold/entry/forwarding.py
+++ b/src/boragefold/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""One request on its way: sent, retried where that is safe, answered."""
+"""Forwards one request: sends it, retries where safe, and responds."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from boragefold.transport import http_client
 from boragefold.transport import http_server
 
-# Where nothing better is known.
+# The default where no better estimate exists.
 RETRY_AFTER_SECONDS = 0.3
-# The deadline ends a request before its connection's silence does.
+# Makes the deadline of a request expire before the timeout of its connection.
 PROGRESS_SLACK_SECONDS = 1.0
 
 
 class Forwarding(abc.ABC):
-    """Sees one request through; exactly one final answer leaves it."""
+    """Forwards one request and sends exactly one final response for it."""
 
     def __init__(
         self,
@@ -51,14 +51,14 @@
 
     @property
     def over(self) -> bool:
-        """Tell whether the caller has its final answer, or is gone.
+        """Tell whether the request is finished or its caller disconnected.
 
-        :return: whether nothing more is to be done
+        :return: whether no more work is to be done
         """
         return self._over
 
     def left_seconds(self) -> float:
-        """Tell how much time is left for the answer.
+        """Return the time until the deadline of the response.
 
         :return: seconds
         """
@@ -66,38 +66,39 @@
 
     @abc.abstractmethod
     def begin(self) -> None:
-        """Choose an endpoint and send the request, or refuse it."""
+        """Choose an endpoint and send the request, or refuse the request."""
 
     @abc.abstractmethod
     def has_untried(self) -> bool:
-        """Tell whether the request could go to a further endpoint.
+        """Tell whether the request could be sent to another endpoint.
 
-        :return: whether there is one and the route allows it
+        :return: whether one is available and the route allows another attempt
         """
 
     @abc.abstractmethod
     def _ended(self) -> None:
-        """Let go of what the request holds elsewhere."""
+        """Release the resources that other objects hold for the request."""
 
     @abc.abstractmethod
     def attempt_answering(self) -> None:
-        """Learn that the endpoint has begun to answer."""
+        """Handle the start of an endpoint's response."""
 
     @abc.abstractmethod
     def attempt_rejected(
         self, endpoint: str, facts: dialects.AnswerFacts
     ) -> None:
-        """Learn that an endpoint didn't run the request.
+        """Handle an endpoint's confirmation that it didn't run the request.
 
-        :param endpoint: which
-        :param facts: what it said
+        :param endpoint: name of the endpoint
+        :param facts: information from its response headers
         """
 
     def may_go_to(self, endpoint: str) -> bool:
-        """Tell whether the route lets the request be sent to an endpoint.
+        """Tell whether the request may be sent to an endpoint.
 
-        :param endpoint: which
-        :return: whether it was sent there before, or to few enough others
+        :param endpoint: name of the endpoint
+        :return: whether it is reachable, and was tried before or the route's
+            limit on the number of endpoints allows one more
         """
         if endpoint in self._unreachable:
             return False
@@ -106,11 +107,11 @@
         return len(set(self._sent_to)) < self.admitted.route.max_attempts
 
     def still_allowed(self) -> bool:
-        """Tell whether the key that came with the request still works.
+        """Tell whether the API key of the request is still valid.
 
-        It may have been withdrawn while the request waited.
+        It may have been revoked while the request was queued.
 
-        :return: whether it does, or none was needed
+        :return: whether it is valid, or no key was required
         """
         current = self.shared.fleet.deployment
         workspace = self.admitted.workspace
@@ -123,7 +124,7 @@
         """Send the request to an endpoint.
 
         :param record: the endpoint
-        :param version: of the adapter, 0 for any
+        :param version: version of the adapter, 0 for any
         """
         admitted, shared = self.admitted, self.shared
         if self._sent_to:
@@ -155,11 +156,11 @@
         attempt.begin(self._call(target))
 
     def may_repeat(self, endpoint: str, *, may_have_run: bool) -> bool:
-        """Ask whether the request may be sent once more.
+        """Check whether the request may be sent again, and consume a retry.
 
-        :param endpoint: where it failed
+        :param endpoint: name of the endpoint where it failed
         :param may_have_run: whether it may have run there
-        :return: whether kind, budget and time allow it
+        :return: whether idempotence, retry budget and deadline allow it
         """
         if self.left_seconds() <= answer_deadline.MARGIN_SECONDS:
             return False
@@ -172,27 +173,27 @@
         )
 
     def pass_head(self, status: int, headers: dict[str, str]) -> bool:
-        """Pass the head of an endpoint's answer on.
+        """Forward the headers of an endpoint's response.
 
-        :param status: its status
-        :param headers: its headers
-        :return: whether the answer may be passed on
+        :param status: status of the response
+        :param headers: headers of the response
+        :return: whether to forward the rest of the response
         """
         return self._answer.pass_head(status, headers)
 
     def pass_data(self, data: bytes) -> None:
-        """Pass a piece of an endpoint's answer on.
+        """Forward a chunk of an endpoint's response.
 
-        :param data: the piece
+        :param data: the chunk
         """
         keeps_up = self._answer.pass_data(data)
         if not keeps_up and self._attempt is not None:
             self._attempt.pause()
 
     def pass_end(self, status: int) -> None:
-        """Tell the caller that the answer is whole.
+        """Finish the caller's response.
 
-        :param status: the answer's
+        :param status: status of the response
         """
         self._answer.pass_end()
         self._finish("answered", status)
@@ -200,10 +201,10 @@
     def attempt_failed(
         self, endpoint: str, reason: str, *, may_have_run: bool
     ) -> None:
-        """Go on after an endpoint failed without a whole answer.
+        """Retry or fail the request after an attempt without full response.
 
-        :param endpoint: which
-        :param reason: why
+        :param endpoint: name of the endpoint that failed
+        :param reason: the cause of the failure
         :param may_have_run: whether the request may have run there
         """
         self.shared.log.write(
@@ -220,7 +221,7 @@
             not may_have_run
             and self.left_seconds() > answer_deadline.MARGIN_SECONDS
         ):
-            # Nothing was sent, so this is no retry.
+            # Nothing was sent, so this doesn't use the retry budget.
             self.begin()
         elif self._answer.resumable and self.may_repeat(
             endpoint, may_have_run=may_have_run
@@ -241,11 +242,11 @@
         reason: str,
         retry_after_seconds: float = RETRY_AFTER_SECONDS,
     ) -> None:
-        """Give the caller its final answer.
+        """Send an error as the final response to the caller.
 
-        :param kind: which of our own answers
+        :param kind: the kind of error
         :param reason: one of a small fixed set
-        :param retry_after_seconds: when to come back, where that helps
+        :param retry_after_seconds: when to retry, where a retry helps
         """
         if self._over:
             return
@@ -254,9 +255,9 @@
         self._finish(reason, kind.status, retry_after_seconds)
 
     def wait_fields(self) -> dict[str, Any]:
-        """Tell where the time before the last sending went, for the log.
+        """Return the time spent before the last attempt, as log fields.
 
-        :return: seconds and counts, by name
+        :return: seconds and counts by field name
         """
         return {}
 
@@ -282,8 +283,8 @@
             target=request.http.target,
             headers=headers,
             body=request.http.body,
-            # An idle connection may be dead, which would leave the outcome of
-            # a non-idempotent request unknown.
+            # If a reused idle connection turned out to be dead, the outcome
+            # of a non-idempotent request would be unknown.
             fresh=not self.admitted.route.repeatable,
             progress_seconds=self._allowed_seconds() + PROGRESS_SLACK_SECONDS,
             may_send=lambda: not self._over,
@@ -334,7 +335,7 @@
         request_end.record(end, admitted=self.admitted, shared=self.shared)
 
     def _give_back_unused(self) -> None:
-        # A request that didn't run isn't charged.
+        # A request that didn't run isn't charged to the rate limit.
         workspace = self.admitted.workspace
         attempt = self._attempt
         unused = attempt is None or attempt.rejected
--- a/src/boragefold/entry/live_chat.py
+++ b/src/boragefold/entry/live_chat.py
@@ -1,4 +1,4 @@
-"""One caller's chat request, from its arrival to its last byte."""
+"""One chat request, from its arrival to the end of the response."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 
 STATUS_OK = 200
 STATUS_BAD_GATEWAY = 502
-# Longer than an engine takes to read a long prompt.
+# Must exceed the time that an engine takes to prefill a long prompt.
 PROGRESS_SECONDS = 10.0
 EVENT_STREAM = ("Content-Type", "text/event-stream")
 
 
 class ChatEvents(abc.ABC):
-    """Learns what becomes of a chat, to decide what happens next."""
+    """Receives the events of chat requests and decides how to proceed."""
 
     @abc.abstractmethod
     def answered(self, live: LiveChat) -> None:
-        """Learn that the first token arrived.
+        """Handle the arrival of the first token.
 
-        :param live: the chat
+        :param live: the chat request
         """
 
     @abc.abstractmethod
     def completed(self, live: LiveChat) -> None:
-        """Learn that the whole answer was passed on.
+        """Handle the end of a complete response.
 
-        :param live: the chat
+        :param live: the chat request
         """
 
     @abc.abstractmethod
     def attempt_broken(
         self, live: LiveChat, reason: str, *, may_have_run: bool
     ) -> None:
-        """Learn that the attempt failed; resume, retry or give up.
+        """Resume, retry or fail a chat request whose attempt failed.
 
-        :param live: the chat
-        :param reason: why
-        :param may_have_run: whether the engine may have worked on it
+        :param live: the chat request
+        :param reason: the cause of the failure
+        :param may_have_run: whether the engine may have processed the request
         """
 
     @abc.abstractmethod
     def caller_gone(self, live: LiveChat) -> None:
-        """Learn that the caller closed the connection.
+        """Handle the disconnection of the caller.
 
-        :param live: the chat
+        :param live: the chat request
         """
 
 
@@ -95,12 +95,12 @@
         body: bytes,
         may_send: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Send the request to an endpoint, from the next token on.
+        """Send the request to an endpoint, starting at the next token.
 
-        :param endpoint: the endpoint's name
-        :param address: where it listens
-        :param body: the engine's request
-        :param may_send: asked right before the first byte is written
+        :param endpoint: name of the endpoint
+        :param address: address of the endpoint
+        :param body: request body for the engine
+        :param may_send: called just before the first byte is written
         """
         self.endpoint = endpoint
         self.attempts += 1
@@ -122,25 +122,25 @@
         self._answer.pending = self._client.send(call, self._answer)
 
     def break_attempt(self, reason: str) -> None:
-        """Give the running attempt up, so that it is resumed elsewhere.
+        """Cancel the running attempt and report it as failed.
 
-        :param reason: why
+        :param reason: the cause
         """
         self._cancel_attempt()
         self.broken(reason, may_have_run=True)
 
     def refuse(self, refusal: outcomes.NotRun | outcomes.Unknown) -> None:
-        """Give the caller its final answer without a whole result.
+        """Send the final response for a request without a complete result.
 
-        :param refusal: what happened and what to do
+        :param refusal: the outcome and the remedy
         """
         if self.finished:
             return
         self.finished = True
         self._cancel_attempt()
         if self._exchange.started:
-            # The error event and the missing terminator show that it isn't
-            # whole.
+            # The error event and the missing terminator mark the response as
+            # incomplete.
             self._exchange.send(
                 b"data: " + answers.error_body(refusal, {}) + b"\n\n"
             )
@@ -149,14 +149,14 @@
             answers.refuse(self._exchange, refusal, self.work.request_id)
 
     def began(self, incarnation: str) -> None:
-        """Note which incarnation of the engine answers.
+        """Record which incarnation of the engine responds.
 
-        :param incarnation: the engine's
+        :param incarnation: the engine's incarnation
         """
         self.incarnation = incarnation
 
     def tokens(self, texts: list[str]) -> None:
-        """Pass tokens on to the caller.
+        """Forward tokens to the caller, or collect them unless streaming.
 
         :param texts: the tokens
         """
@@ -178,9 +178,9 @@
                 pending.pause()
 
     def whole(self, usage: dict[str, int]) -> None:
-        """End the caller's answer.
+        """Finish the caller's response.
 
-        :param usage: tokens as the engine counted them
+        :param usage: token counts that the engine reports
         """
         self.finished = True
         self.usage = usage
@@ -193,10 +193,10 @@
         self._events.completed(self)
 
     def broken(self, reason: str, *, may_have_run: bool) -> None:
-        """Pass a failed attempt on.
+        """Report a failed attempt unless the request is finished.
 
-        :param reason: why
-        :param may_have_run: whether the engine may have worked on it
+        :param reason: the cause of the failure
+        :param may_have_run: whether the engine may have processed the request
         """
         self._answer = None
         if not self.finished:
--- a/src/boragefold/entry/once_call.py
+++ b/src/boragefold/entry/once_call.py
@@ -1,4 +1,4 @@
-"""A non-idempotent call of a plain service, under its ticket."""
+"""A non-idempotent call of a plain service, identified by a ticket."""
 
 from __future__ import annotations
 
@@ -42,10 +42,11 @@
 
 
 class OnceCall(attempt_handler.AttemptHandler):
-    """Runs the call if its registers permit, and says truthfully what was.
+    """Runs a call if the registers of its ticket permit it.
 
-    The caller may disconnect at any time; that cancels nothing, and the
-    outcome can be asked for under the ticket.
+    The response states whether the call ran, did not run, or has an unknown
+    outcome. A disconnection of the caller cancels nothing: the caller can
+    query the outcome by the ticket.
     """
 
     def __init__(
@@ -64,16 +65,16 @@
         self._refused = refused
 
     def go(self, attempt: once_messages.Attempt) -> None:
-        """Send the call.
+        """Send the call to the service.
 
-        :param attempt: recorded by both registers
+        :param attempt: the attempt, which both registers have recorded
         """
         self._start_call(lambda result: self._ended(attempt, result))
 
     def replay(self, answer: once_messages.StoredAnswer) -> None:
-        """Answer with what an earlier attempt got.
+        """Respond with the stored result of an earlier attempt.
 
-        :param answer: as stored
+        :param answer: the stored response
         """
         headers = answers.outcome_headers("ran", "replayed", self._request_id)
         body = answer.body
@@ -83,9 +84,9 @@
         self._exchange.reply(answer.status, [content_type, *headers], body)
 
     def not_run(self, reason: str) -> None:
-        """Refuse the call.
+        """Respond that the call did not run.
 
-        :param reason: why nothing ran
+        :param reason: why it did not run
         """
         status, remedy = REFUSALS[reason]
         waits = status == STATUS_UNAVAILABLE
@@ -99,9 +100,9 @@
         answers.refuse(self._exchange, refusal, self._request_id)
 
     def unknown(self, reason: str) -> None:
-        """Say that nobody can tell whether the call ran.
+        """Respond that it is unknown whether the call ran.
 
-        :param reason: why
+        :param reason: why it is unknown
         """
         self._refused(reason)
         refusal = outcomes.Unknown(
--- a/src/boragefold/entry/plain_call.py
+++ b/src/boragefold/entry/plain_call.py
@@ -1,4 +1,4 @@
-"""Sending a call to a plain service, at one address after the other."""
+"""Calls a plain service, trying its addresses in order."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PlainRequest(NamedTuple):
-    """What goes to the service; nothing of the caller's key is in it."""
+    """A request to a plain service, without the caller's API key."""
 
     method: str
     target: str
@@ -26,14 +26,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotSent:
-    """No address took a connection; no byte of the call was sent."""
+    """No address accepted a connection, so no byte of the call was sent."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AnswerLost:
-    """The call was sent and no whole answer came back."""
+    """The call was sent, but no complete response was received."""
 
     reason: str
 
@@ -42,12 +42,12 @@
 
 
 class PlainCall:
-    """Tries addresses in turn, as far as retries are safe.
+    """Tries the addresses in order as long as a retry is safe.
 
-    A call that may not be repeated goes on a connection of its own: on a
-    reused one that is silently dead, the write succeeds and nobody can tell
-    whether the service got it. It moves on to the next address only while no
-    byte can have reached one.
+    A non-idempotent call uses a new connection: on a reused connection that
+    is dead but not yet closed, the write succeeds and it is unknown whether
+    the service received the call. Such a call proceeds to the next address
+    only if no byte can have reached the service.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self._done = done
 
     def begin(self) -> None:
-        """Send to the first address."""
+        """Send the call to the first address."""
         self._next(NotSent(reason="no_address"))
 
     def _next(self, otherwise: Result) -> None:
@@ -107,12 +107,12 @@
 def prepare(
     request: http_server.Request, path: str, serial: str = ""
 ) -> PlainRequest:
-    """Write the call as the service gets it.
+    """Create the request that is sent to the service.
 
-    :param request: the caller's
+    :param request: the caller's HTTP request
     :param path: the path at the service
-    :param serial: the ticket's serial, for services that deduplicate too
-    :return: the call
+    :param serial: serial of the ticket, for services that also deduplicate
+    :return: the request to the service
     """
     headers = [
         (name.title(), request.headers[name])
--- a/src/boragefold/entry/refusals.py
+++ b/src/boragefold/entry/refusals.py
@@ -1,4 +1,4 @@
-"""The answers of our own, and what each promises."""
+"""The error responses that the gateway generates itself."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Kind(NamedTuple):
-    """One of our own answers.
+    """A kind of error response.
 
-    ``outcome`` is ``not_run`` where that is certain, ``unknown`` where the
-    request may have run. ``returns`` tells whether to come back helps.
+    ``outcome`` is ``not_run`` if the request certainly didn't run, and
+    ``unknown`` if it may have run. ``returns`` tells whether a retry helps.
     """
 
     status: int
@@ -41,13 +41,13 @@
     retry_after_seconds: float,
     headers: list[tuple[str, str]],
 ) -> None:
-    """Write one of our own answers.
+    """Send an error response.
 
-    :param exchange: the caller's
-    :param kind: which answer
+    :param exchange: the HTTP exchange with the caller
+    :param kind: the kind of error
     :param reason: one of a small fixed set
-    :param retry_after_seconds: when to come back, where that helps
-    :param headers: further headers
+    :param retry_after_seconds: when to retry, where a retry helps
+    :param headers: additional headers
     """
     error: dict[str, object] = {
         "outcome": kind.outcome,
--- a/src/boragefold/entry/request_end.py
+++ b/src/boragefold/entry/request_end.py
@@ -1,4 +1,4 @@
-"""What is logged and counted when a request has ended."""
+"""Logs and counts the end of a request."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class RequestEnd(NamedTuple):
-    """How a request ended, and where its time went.
+    """The outcome of a request and the time that its phases took.
 
-    ``waited_seconds`` is the time before the last sending; ``wait_fields``
-    tells its parts.
+    ``waited_seconds`` is the time before the last attempt; ``wait_fields``
+    breaks it down.
     """
 
     outcome: str
@@ -30,11 +30,11 @@
 def record(
     end: RequestEnd, *, admitted: serving.Admitted, shared: serving.Shared
 ) -> None:
-    """Count the end of a request, and write its line.
+    """Count the end of a request and write its log entry.
 
-    :param end: how it ended
+    :param end: the outcome and the times
     :param admitted: the request
-    :param shared: the log and the counters
+    :param shared: provides the log and the counters
     """
     took_seconds = shared.timers.now_seconds() - admitted.arrived_at_seconds
     current = shared.fleet.deployment
--- a/src/boragefold/entry/router.py
+++ b/src/boragefold/entry/router.py
@@ -1,4 +1,4 @@
-"""Callers' requests by path, after their key was checked."""
+"""Checks the callers' API keys and routes their requests by path."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Router:
-    """The application behind the callers' face."""
+    """The HTTP application that serves callers."""
 
     def __init__(
         self,
@@ -46,10 +46,10 @@
     def __call__(
         self, request: http_server.Request, exchange: http_server.Exchange
     ) -> None:
-        """Answer one request.
+        """Handle one request.
 
-        :param request: as it came
-        :param exchange: where the answer goes
+        :param request: the HTTP request
+        :param exchange: receives the response
         """
         refusal = self._not_ready() or self._key_in_request(request)
         if refusal is not None:
@@ -94,7 +94,7 @@
     def _key_in_request(
         self, request: http_server.Request
     ) -> outcomes.NotRun | None:
-        # A key in the body or query would reach whoever runs the endpoint.
+        # A key in the body or query would be exposed to the endpoint operator.
         authorization = request.headers.get("authorization", "")
         key = authorization.partition(" ")[2].strip()
         if not key:
--- a/src/boragefold/entry/service_face.py
+++ b/src/boragefold/entry/service_face.py
@@ -1,4 +1,4 @@
-"""The interface to plain services."""
+"""The API for calls of plain services."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 STATUS_NOT_FOUND = 404
 STATUS_UNAVAILABLE = 503
-# Silence of a service for longer than this is taken for a dead connection.
+# A connection without any progress for longer than this is considered dead.
 PROGRESS_SECONDS = 10.0
 
 
 class ServiceFace:
-    """Answers ``/services/...``."""
+    """Handles ``/services/...``."""
 
     def __init__(
         self,
@@ -53,12 +53,12 @@
         service_name: str,
         path: str,
     ) -> None:
-        """Answer a call of a plain service.
+        """Handle a call of a plain service.
 
-        :param request: as it came
-        :param exchange: where the answer goes
-        :param caller: whose key came with it
-        :param service_name: the service
+        :param request: the HTTP request
+        :param exchange: receives the response
+        :param caller: the caller, identified by its API key
+        :param service_name: name of the service
         :param path: the path at the service
         """
         request_id = self._new_request_id()
--- a/src/boragefold/entry/service_forwarding.py
+++ b/src/boragefold/entry/service_forwarding.py
@@ -1,4 +1,4 @@
-"""A request to a plain service: the least loaded endpoint, now."""
+"""Forwards a request to the least loaded endpoint of a plain service."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class ServiceForwarding(forwarding.Forwarding):
-    """Sends a request to an endpoint of a plain service."""
+    """Forwards a request to an endpoint of a plain service, never queued."""
 
     def begin(self) -> None:
-        """Choose an endpoint and send the request, or refuse it."""
+        """Choose an endpoint and send the request, or refuse the request."""
         if not self.still_allowed():
             self.refuse(refusals.NO_KEY, "key_withdrawn")
             return
@@ -23,22 +23,22 @@
         self.send(record, version=0)
 
     def has_untried(self) -> bool:
-        """Tell whether the request could go to a further endpoint.
+        """Tell whether the request could be sent to another endpoint.
 
-        :return: whether there is one and the route allows it
+        :return: whether one is available and the route allows another attempt
         """
         return self._choose() is not None
 
     def attempt_answering(self) -> None:
-        """Do nothing: nobody waits for it."""
+        """Do nothing: no schedule tracks the request."""
 
     def attempt_rejected(
         self, endpoint: str, facts: dialects.AnswerFacts
     ) -> None:
-        """Go on after an endpoint didn't run the request.
+        """Retry or refuse a request that an endpoint didn't run.
 
-        :param endpoint: which
-        :param facts: what it said
+        :param endpoint: name of the endpoint
+        :param facts: information from its response headers
         """
         reason = "endpoint_leaving" if facts.leaving else "endpoint_full"
         if self.has_untried() and self.may_repeat(
@@ -69,7 +69,7 @@
         return None if name is None else candidates[name]
 
     def _ended(self) -> None:
-        """Do nothing: nothing is held elsewhere."""
+        """Do nothing: no other object holds resources for the request."""
 
 
 __all__ = [
--- a/src/boragefold/entry/ticket_face.py
+++ b/src/boragefold/entry/ticket_face.py
@@ -1,4 +1,4 @@
-"""Tickets towards callers: fetched, used and asked about."""
+"""The API for tickets: issues them, runs calls and reports outcomes."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 STATUS_CREATED = 201
 STATUS_FORBIDDEN = 403
 STATUS_PRECONDITION_REQUIRED = 428
-# How long a question about an outcome may take.
+# Timeout of a query for an outcome.
 ASK_SECONDS = 10.0
 
 
 class TicketFace:
-    """Answers ``/v1/tickets`` and ``/v1/outcomes/...``, and runs tickets."""
+    """Handles ``/v1/tickets`` and ``/v1/outcomes/...``, and ticketed calls."""
 
     def __init__(
         self,
@@ -45,10 +45,10 @@
     def mint(
         self, exchange: http_server.Exchange, caller: identity.Caller
     ) -> None:
-        """Answer ``POST /v1/tickets``.
+        """Handle ``POST /v1/tickets``.
 
-        :param exchange: where the answer goes
-        :param caller: whose ticket it will be
+        :param exchange: receives the response
+        :param caller: owner of the new ticket
         """
         request_id = self._new_request_id()
         headers = answers.outcome_headers("ran", "", request_id)
@@ -66,11 +66,11 @@
         exchange: http_server.Exchange,
         caller: identity.Caller,
     ) -> None:
-        """Answer ``GET /v1/outcomes/TICKET``.
+        """Handle ``GET /v1/outcomes/TICKET``.
 
-        :param text: the ticket
-        :param exchange: where the answer goes
-        :param caller: who asks
+        :param text: the ticket in its text form
+        :param exchange: receives the response
+        :param caller: the caller, who must own the ticket
         """
         request_id = self._new_request_id()
         ticket = self.read_ticket(text, caller)
@@ -94,14 +94,14 @@
         deadline_seconds: float,
         start_call: once_call.StartCall,
     ) -> None:
-        """Run a call under a ticket, if its registers permit.
-
-        :param exchange: where the answer goes
-        :param request_id: names the request
-        :param ticket: as read
-        :param digest: of the request
-        :param deadline_seconds: how long the caller waits
-        :param start_call: sends the call
+        """Run a call if the registers of its ticket permit it.
+
+        :param exchange: receives the response
+        :param request_id: ID of the request
+        :param ticket: the parsed ticket
+        :param digest: digest of the request
+        :param deadline_seconds: the caller's timeout
+        :param start_call: sends the call to the service
         """
         now_seconds = self._timers.now_seconds()
         self._runner.begin(
@@ -112,21 +112,21 @@
         )
 
     def new_ticket(self, caller: identity.Caller) -> str:
-        """Mint a ticket.
+        """Create a ticket.
 
-        :param caller: whose it will be
-        :return: the ticket as callers see it
+        :param caller: owner of the new ticket
+        :return: the ticket in its text form
         """
         return tickets.write(self._office.mint(caller.settings.workspace))
 
     def read_ticket(
         self, text: str, caller: identity.Caller
     ) -> once_messages.Ticket | outcomes.NotRun:
-        """Read a ticket that a caller sent.
+        """Parse a caller's ticket and check its owner.
 
-        :param text: as it came
-        :param caller: who must be its owner
-        :return: the ticket, or the refusal
+        :param text: the ticket in its text form
+        :param caller: the caller, who must own the ticket
+        :return: the ticket, or the error response
         """
         ticket = tickets.read(text)
         if isinstance(ticket, tickets.Unreadable):
--- a/src/boragefold/entry/traffic.py
+++ b/src/boragefold/entry/traffic.py
@@ -1,4 +1,4 @@
-"""What an instance does with chats: the decisions and what feeds them."""
+"""Assembles the components of an instance that schedule and send chats."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from boragefold.timing import timers as timing
 from boragefold.transport import http_client
 
-# What an endpoint's place and distance are read from.
+# Documents that state the data centre of an endpoint and its distance.
 ENDPOINT_KINDS = ("endpoints", "data_centres")
 
 
 class HeldOrders(homes.OrderRights):
-    """Whose order right an endpoint's is, by the views of the fleet."""
+    """Tells which instance controls which endpoint, by the fleet's views."""
 
     def __init__(self, *, rights: rights_module.Rights) -> None:
         self._rights = rights
@@ -42,26 +42,26 @@
 
     @property
     def self_name(self) -> str:
-        """Tell who we are.
+        """Return the identity of this instance.
 
-        :return: our own incarnation
+        :return: incarnation of this instance
         """
         return self._rights.self_id.incarnation
 
     def ordered(self) -> Collection[str]:
-        """List the endpoints that we may give orders at this moment.
+        """List the endpoints to which this instance may send orders now.
 
-        :return: their names
+        :return: names of the endpoints
         """
         if self.reports is None:
             return ()
         return frozenset(filter(self._is_ready, self.reports.names()))
 
     def orderer(self, endpoint: str) -> str | None:
-        """Tell who gives orders to an endpoint, as far as we know.
+        """Return the instance that sends orders to an endpoint.
 
-        :param endpoint: its name
-        :return: an incarnation, or None
+        :param endpoint: name of the endpoint
+        :return: incarnation of the instance, or None if it is unknown
         """
         record = self.reports and self.reports.record(endpoint)
         if not record:
@@ -78,7 +78,7 @@
 
 
 class Traffic:
-    """The dispatcher, the desk and their feeds."""
+    """Connects the dispatcher with chats, reports, orders and digests."""
 
     def __init__(
         self,
@@ -161,7 +161,7 @@
         self._follow_configuration()
 
     def start(self) -> None:
-        """Begin to ask endpoints for their load."""
+        """Start to poll the endpoints for load reports."""
         self.reports.start()
 
     def _follow_configuration(self) -> None:
@@ -174,7 +174,7 @@
         self.orders.uses.subscribe(self._gate.lease_came)
 
     def _changed(self, change: trees.Change) -> None:
-        # Spares a look at every endpoint for each path of a catalogue.
+        # Other changes of the catalogue require no check of all endpoints.
         parsed = paths.parse(change.path)
         if parsed is not None and parsed.kind in ENDPOINT_KINDS:
             self._refresh()
--- a/tests/entry/test_caller_answer.py
+++ b/tests/entry/test_caller_answer.py
@@ -1,4 +1,4 @@
-"""What a caller gets of an answer that several endpoints give parts of."""
+"""Tests a response whose parts come from several endpoints."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_a_failure_is_not_joined_to_a_stream_that_is_resumed() -> None:
-    # The rest of a stream is asked for elsewhere, and that endpoint fails.
+    # The endpoint that is asked to continue the stream fails with status 500.
     exchange = Exchange()
     answer = caller_answer.CallerAnswer(
         admitted=types.SimpleNamespace(
