--- a/src/boragefold/entry/answer_times.py
+++ b/src/boragefold/entry/answer_times.py
@@ -25,7 +25,7 @@
 
     def __init__(self, *, arrived_at_seconds: float) -> None:
         self._arrived_at_seconds = arrived_at_seconds
-        self._passed_at_seconds: float | None = None
+        self._last_chunk_at_seconds: float | None = None
         self.first_event_seconds: float | None = None
         self.longest_pause_seconds = 0.0
 
@@ -34,14 +34,14 @@
 
         :param now_seconds: reading of the process clock
         """
-        if self._passed_at_seconds is None:
+        if self._last_chunk_at_seconds is None:
             self.first_event_seconds = now_seconds - self._arrived_at_seconds
         else:
-            pause_seconds = now_seconds - self._passed_at_seconds
+            pause_seconds = now_seconds - self._last_chunk_at_seconds
             self.longest_pause_seconds = max(
                 self.longest_pause_seconds, pause_seconds
             )
-        self._passed_at_seconds = now_seconds
+        self._last_chunk_at_seconds = now_seconds
 
     def lateness(self, route: deployment.Route) -> Lateness:
         """Check the measured times against the limits of the route.
--- a/src/boragefold/entry/attempt.py
+++ b/src/boragefold/entry/attempt.py
@@ -32,10 +32,10 @@
         self._pending: http_client.Pending | None = None
         self._status = 0
         self._facts: dialects.AnswerFacts | None = None
-        self._begun_at_seconds = 0.0
-        self._judged = False
-        self._held_back = False
-        self._passed = False
+        self._sent_at_seconds = 0.0
+        self._result_recorded = False
+        self._retry_at_end = False
+        self._forwarded = False
 
     @property
     def rejected(self) -> bool:
@@ -51,7 +51,7 @@
         :param call: the request in the form that the endpoint receives
         """
         shared = self._forwarding.shared
-        self._begun_at_seconds = shared.timers.now_seconds()
+        self._sent_at_seconds = shared.timers.now_seconds()
         shared.choice.sent(self._record.name)
         self._pending = shared.client.send(call, self)
 
@@ -63,8 +63,8 @@
         """
         if self._pending is not None:
             self._pending.cancel()
-        if not self._judged:
-            self._judge(failed=failed)
+        if not self._result_recorded:
+            self._record_result(failed=failed)
 
     def pause(self) -> None:
         """Stop reading the response until ``resume`` is called."""
@@ -92,12 +92,14 @@
                 slots=facts.slots,
                 now_seconds=shared.timers.now_seconds(),
             )
-        self._judge(failed=status in SERVER_ERRORS and not facts.not_held)
-        if self._is_to_be_repeated(facts):
-            self._held_back = True
-        elif not facts.not_run and not self._is_unfit(facts):
-            self._passed = self._forwarding.pass_head(status, headers)
-            if self._passed:
+        self._record_result(
+            failed=status in SERVER_ERRORS and not facts.not_held
+        )
+        if self._try_retry(facts):
+            self._retry_at_end = True
+        elif not facts.not_run and not self._is_invalid(facts):
+            self._forwarded = self._forwarding.pass_head(status, headers)
+            if self._forwarded:
                 self._forwarding.attempt_answering()
 
     def data(self, data: bytes) -> None:
@@ -105,7 +107,7 @@
 
         :param data: the chunk
         """
-        if self._passed:
+        if self._forwarded:
             self._forwarding.pass_data(data)
 
     def end(self) -> None:
@@ -115,11 +117,11 @@
             return
         if facts.not_run:
             self._forwarding.attempt_rejected(self._record.name, facts)
-        elif self._held_back:
+        elif self._retry_at_end:
             self._forwarding.begin()
-        elif self._is_unfit(facts):
+        elif self._is_invalid(facts):
             self._forwarding.refuse(refusals.UNKNOWN, "answer_unfit")
-        elif not self._passed:
+        elif not self._forwarded:
             self._forwarding.attempt_failed(
                 self._record.name, "resume_failed", may_have_run=True
             )
@@ -131,8 +133,8 @@
 
         :param failure: the cause
         """
-        if not self._judged:
-            self._judge(failed=True)
+        if not self._result_recorded:
+            self._record_result(failed=True)
         if self._forwarding.over:
             return
         if self.rejected and self._facts is not None:
@@ -144,7 +146,7 @@
                 may_have_run=failure.may_have_arrived,
             )
 
-    def _is_to_be_repeated(self, facts: dialects.AnswerFacts) -> bool:
+    def _try_retry(self, facts: dialects.AnswerFacts) -> bool:
         route = self._forwarding.admitted.route
         if facts.not_run or not route.repeatable:
             return False
@@ -156,20 +158,20 @@
             self._record.name, may_have_run=True
         )
 
-    def _is_unfit(self, facts: dialects.AnswerFacts) -> bool:
+    def _is_invalid(self, facts: dialects.AnswerFacts) -> bool:
         # A success without a signature, or an unconfirmed "not run" status.
         if facts.status in SUCCESSES:
             return not facts.signed
         return facts.status in NOT_RUN_STATUSES
 
-    def _judge(self, *, failed: bool) -> None:
+    def _record_result(self, *, failed: bool) -> None:
         shared = self._forwarding.shared
         now_seconds = shared.timers.now_seconds()
-        self._judged = True
+        self._result_recorded = True
         shared.choice.ended(
             self._record.name,
             failed=failed,
-            took_seconds=now_seconds - self._begun_at_seconds,
+            took_seconds=now_seconds - self._sent_at_seconds,
             now_seconds=now_seconds,
         )
 
--- a/src/boragefold/entry/caller_answer.py
+++ b/src/boragefold/entry/caller_answer.py
@@ -26,7 +26,7 @@
             event_stream.EventSplitter() if admitted.route.resumable else None
         )
         self._status = 0
-        self._continues = True
+        self._accepted = True
         self.times = answer_times.AnswerTimes(
             arrived_at_seconds=admitted.arrived_at_seconds
         )
@@ -66,18 +66,18 @@
             differs from the first one is a failure and is discarded
         """
         if self.started:
-            self._continues = status == self._status
-            return self._continues
+            self._accepted = status == self._status
+            return self._accepted
         self._status = status
-        passed = self._shared.dialect.caller_headers(headers)
+        forwarded = self._shared.dialect.caller_headers(headers)
         if self._events is not None:
             # The rest may come from an endpoint that states another length.
-            passed = [
+            forwarded = [
                 (name, value)
-                for name, value in passed
+                for name, value in forwarded
                 if name.lower() != "content-length"
             ]
-        self._exchange.start(status, passed)
+        self._exchange.start(status, forwarded)
         return True
 
     def pass_data(self, data: bytes) -> bool:
@@ -86,7 +86,7 @@
         :param data: the chunk
         :return: whether the caller reads fast enough
         """
-        if not self._continues:
+        if not self._accepted:
             return True
         if self._events is not None:
             # Forward complete events only: after a partial event, the output
@@ -99,7 +99,7 @@
 
     def pass_end(self) -> None:
         """Finish the caller's response, or abort it if it is incomplete."""
-        if not self._continues:
+        if not self._accepted:
             self.break_off()
             return
         if self._events is not None:
--- a/src/boragefold/entry/chat_sender.py
+++ b/src/boragefold/entry/chat_sender.py
@@ -42,7 +42,7 @@
         address = self._address_of(endpoint)
         if address is None:
             # The endpoint was removed after the scheduler had chosen it.
-            self._break_later(live, "unlisted")
+            self._fail_later(live, "unlisted")
         elif not needs.adapter:
             live.send(
                 endpoint=endpoint,
@@ -54,8 +54,8 @@
             self._gate.enter(
                 endpoint=endpoint,
                 adapter=needs,
-                granted=lambda use: self._send_under(live, address, use),
-                refused=lambda reason: self._not_let_in(live, reason),
+                granted=lambda use: self._send_with_lease(live, address, use),
+                refused=lambda reason: self._on_refused(live, reason),
             )
 
     def end_use(self, live: live_chat.LiveChat) -> None:
@@ -67,7 +67,7 @@
         if use is not None:
             self._gate.leave(use)
 
-    def _send_under(
+    def _send_with_lease(
         self, live: live_chat.LiveChat, address: str, use: using.Use
     ) -> None:
         if live.finished:
@@ -77,7 +77,7 @@
         now_seconds = self._timers.now_seconds()
         self._timers.once(
             delay_seconds=use.ends_by_seconds - now_seconds,
-            callback=lambda: self._use_over(live, use),
+            callback=lambda: self._on_use_expired(live, use),
         )
         live.send(
             endpoint=live.endpoint,
@@ -86,17 +86,19 @@
             may_send=lambda: self._timers.now_seconds() < use.send_by_seconds,
         )
 
-    def _not_let_in(self, live: live_chat.LiveChat, reason: str) -> None:
+    def _on_refused(self, live: live_chat.LiveChat, reason: str) -> None:
         self._counters.add("uses_not_begun", reason)
         if not live.finished:
             live.broken(NOT_HELD, may_have_run=False)
 
-    def _use_over(self, live: live_chat.LiveChat, use: using.Use) -> None:
+    def _on_use_expired(
+        self, live: live_chat.LiveChat, use: using.Use
+    ) -> None:
         # The instance that granted the lease may unload the adapter now.
         if not use.finished and not live.finished:
             live.break_attempt("use_over")
 
-    def _break_later(self, live: live_chat.LiveChat, reason: str) -> None:
+    def _fail_later(self, live: live_chat.LiveChat, reason: str) -> None:
         self._timers.once(
             delay_seconds=0.0,
             callback=lambda: live.broken(reason, may_have_run=False),
--- a/src/boragefold/entry/desk.py
+++ b/src/boragefold/entry/desk.py
@@ -41,8 +41,8 @@
         self._tell_peer = tell_peer
         self._sender = sender
         self._chats: dict[str, live_chat.LiveChat] = {}
-        self._wake: timing.Subscription | None = None
-        self._wake_at_seconds = math.inf
+        self._next_run: timing.Subscription | None = None
+        self._next_run_at_seconds = math.inf
         self._running = False
         self._run_again = False
         self.orderer: orderers.Orderer | None = None
@@ -61,7 +61,7 @@
         :param live: the chat request
         """
         work = live.work
-        self._note(work.request_id, "arrived", work.workspace)
+        self._trace(work.request_id, "arrived", work.workspace)
         self._chats[work.request_id] = live
         refused = self._dispatcher.offer(
             work, idempotent=True, now_seconds=self._timers.now_seconds()
@@ -81,7 +81,7 @@
             self._run_again = False
             self._dispatcher.run(self, now_seconds=self._timers.now_seconds())
         self._running = False
-        self._set_wake()
+        self._schedule_run()
 
     def withdraw_key(self, digest: str) -> None:
         """End every chat request whose API key was revoked.
@@ -91,10 +91,10 @@
 
         :param digest: digest of the key
         """
-        gone = [
+        revoked = [
             live for live in self._chats.values() if live.key_digest == digest
         ]
-        for live in gone:
+        for live in revoked:
             self._counters.add("requests_refused", "key_withdrawn")
             self._end(live, "key_withdrawn")
             self._dispatcher.cancel(
@@ -146,7 +146,7 @@
         now_seconds = self._timers.now_seconds()
         self._sender.end_use(live)
         self._counters.add("attempts_broken", reason)
-        self._note(request_id, "attempt_broken", f"{live.endpoint}: {reason}")
+        self._trace(request_id, "attempt_broken", f"{live.endpoint}: {reason}")
         if reason == chat_sender.NOT_HELD:
             self._dispatcher.not_held(request_id, now_seconds=now_seconds)
         else:
@@ -180,7 +180,7 @@
         live = self._chats.get(send.work.request_id)
         if live is None:
             return
-        self._note(send.work.request_id, "sent", send.endpoint)
+        self._trace(send.work.request_id, "sent", send.endpoint)
         if send.attempt > 1:
             self._counters.add("requests_retried", "attempt_broken")
         self._sender.send(live, send.endpoint)
@@ -250,33 +250,33 @@
             )
         )
 
-    def _end(self, live: live_chat.LiveChat, what: str) -> None:
+    def _end(self, live: live_chat.LiveChat, event: str) -> None:
         self._chats.pop(live.work.request_id, None)
         self._sender.end_use(live)
-        self._note(live.work.request_id, what)
+        self._trace(live.work.request_id, event)
 
-    def _note(self, request_id: str, what: str, detail: str = "") -> None:
+    def _trace(self, request_id: str, event: str, detail: str = "") -> None:
         self._stories.add(
             request_id,
-            what,
+            event,
             now_seconds=self._timers.now_seconds(),
             detail=detail,
         )
 
-    def _set_wake(self) -> None:
+    def _schedule_run(self) -> None:
         due_seconds = self._dispatcher.next_due_seconds()
-        if self._wake is not None:
-            if due_seconds == self._wake_at_seconds:
+        if self._next_run is not None:
+            if due_seconds == self._next_run_at_seconds:
                 return
-            self._wake.cancel()
-        self._wake_at_seconds = due_seconds
+            self._next_run.cancel()
+        self._next_run_at_seconds = due_seconds
         delay = max(0.0, due_seconds - self._timers.now_seconds())
-        self._wake = self._timers.once(
-            delay_seconds=delay, callback=self._woken
+        self._next_run = self._timers.once(
+            delay_seconds=delay, callback=self._on_run_due
         )
 
-    def _woken(self) -> None:
-        self._wake = None
+    def _on_run_due(self) -> None:
+        self._next_run = None
         self.run()
 
 
--- a/src/boragefold/entry/event_stream.py
+++ b/src/boragefold/entry/event_stream.py
@@ -12,7 +12,7 @@
     """Returns only complete events and tracks the ID of the last one."""
 
     def __init__(self) -> None:
-        self._unfinished = bytearray()
+        self._partial = bytearray()
         self.last_event_id = ""
 
     def feed(self, data: bytes) -> bytes:
@@ -21,35 +21,35 @@
         :param data: the chunk
         :return: the events that are complete now
         """
-        self._unfinished += data
-        end = self._unfinished.rfind(EVENT_END)
+        self._partial += data
+        end = self._partial.rfind(EVENT_END)
         if end < 0:
             return self.rest() if self._is_too_long() else b""
-        whole = bytes(self._unfinished[: end + len(EVENT_END)])
-        del self._unfinished[: end + len(EVENT_END)]
-        self._note_id(whole)
-        return whole
+        complete = bytes(self._partial[: end + len(EVENT_END)])
+        del self._partial[: end + len(EVENT_END)]
+        self._update_last_id(complete)
+        return complete
 
     def rest(self) -> bytes:
         """Remove and return the bytes after the last complete event.
 
         :return: the bytes, which belong to the response if it is complete
         """
-        rest = bytes(self._unfinished)
-        self._unfinished.clear()
+        rest = bytes(self._partial)
+        self._partial.clear()
         return rest
 
     def drop_torn(self) -> None:
         """Discard a partially received event."""
-        self._unfinished.clear()
+        self._partial.clear()
 
     def _is_too_long(self) -> bool:
-        return len(self._unfinished) > MAX_EVENT_BYTES
+        return len(self._partial) > MAX_EVENT_BYTES
 
-    def _note_id(self, whole: bytes) -> None:
+    def _update_last_id(self, complete: bytes) -> None:
         ids = [
             line[len(ID_FIELD) :].strip()
-            for line in whole.split(b"\n")
+            for line in complete.split(b"\n")
             if line.startswith(ID_FIELD)
         ]
         if ids:
--- a/src/boragefold/entry/forwarding.py
+++ b/src/boragefold/entry/forwarding.py
@@ -37,16 +37,16 @@
         self._attempt: attempts.Attempt | None = None
         self._sent_to: list[str] = []
         self._unreachable: set[str] = set()
-        self._over = False
+        self._finished = False
         self._sent_at_seconds = admitted.arrived_at_seconds
         self._answer = caller_answer.CallerAnswer(
             admitted=admitted, exchange=exchange, shared=shared
         )
         self.ends_at_seconds = answer_deadline.ends_at_seconds(admitted)
-        exchange.on_closed = self._caller_gone
-        exchange.on_drained = self._caller_caught_up
+        exchange.on_closed = self._on_caller_disconnected
+        exchange.on_drained = self._on_drained
         self._timeout = shared.timers.once(
-            delay_seconds=self.left_seconds(), callback=self._timed_out
+            delay_seconds=self.left_seconds(), callback=self._on_timeout
         )
 
     @property
@@ -55,7 +55,7 @@
 
         :return: whether no more work is to be done
         """
-        return self._over
+        return self._finished
 
     def left_seconds(self) -> float:
         """Return the time until the deadline of the response.
@@ -140,7 +140,7 @@
         workspace = admitted.workspace
         target = dialects.EndpointTarget(
             record=record,
-            deadline_seconds=self._allowed_seconds(),
+            deadline_seconds=self._remaining_seconds(),
             workspace="" if workspace is None else workspace.name,
             version=version,
             resume_after=self._answer.last_event_id,
@@ -216,7 +216,7 @@
             answer_begun=self._answer.started,
         )
         if not may_have_run:
-            self._note_unreachable(endpoint)
+            self._record_unreachable(endpoint)
         if (
             not may_have_run
             and self.left_seconds() > answer_deadline.MARGIN_SECONDS
@@ -248,7 +248,7 @@
         :param reason: one of a small fixed set
         :param retry_after_seconds: when to retry, where a retry helps
         """
-        if self._over:
+        if self._finished:
             return
         self._answer.refuse(kind, reason, retry_after_seconds)
         self.shared.counters.add("requests_refused", reason)
@@ -261,13 +261,13 @@
         """
         return {}
 
-    def _allowed_seconds(self) -> float:
+    def _remaining_seconds(self) -> float:
         return max(self.left_seconds(), answer_deadline.MARGIN_SECONDS)
 
     def _waited_seconds(self) -> float:
         return self._sent_at_seconds - self.admitted.arrived_at_seconds
 
-    def _note_unreachable(self, endpoint: str) -> None:
+    def _record_unreachable(self, endpoint: str) -> None:
         self._sent_to.remove(endpoint)
         self._unreachable.add(endpoint)
         self.shared.choice.unreachable(
@@ -286,25 +286,26 @@
             # If a reused idle connection turned out to be dead, the outcome
             # of a non-idempotent request would be unknown.
             fresh=not self.admitted.route.repeatable,
-            progress_seconds=self._allowed_seconds() + PROGRESS_SLACK_SECONDS,
-            may_send=lambda: not self._over,
+            progress_seconds=self._remaining_seconds()
+            + PROGRESS_SLACK_SECONDS,
+            may_send=lambda: not self._finished,
             accepts=lambda found: self.shared.dialect.answers(request, found),
             whole_at_close=True,
         )
 
-    def _caller_gone(self) -> None:
+    def _on_caller_disconnected(self) -> None:
         route = self.admitted.route
         once = route.kind is deployment.RouteKind.NON_IDEMPOTENT
         if self._attempt is not None and not once:
             self._attempt.cancel()
         self._finish("caller_gone", 0)
 
-    def _caller_caught_up(self) -> None:
+    def _on_drained(self) -> None:
         if self._attempt is not None:
             self._attempt.resume()
 
-    def _timed_out(self) -> None:
-        if self._over:
+    def _on_timeout(self) -> None:
+        if self._finished:
             return
         attempt = self._attempt
         if attempt is not None:
@@ -317,12 +318,12 @@
     def _finish(
         self, outcome: str, status: int, retry_after_seconds: float = 0.0
     ) -> None:
-        if self._over:
+        if self._finished:
             return
-        self._over = True
+        self._finished = True
         self._timeout.cancel()
         self._ended()
-        self._give_back_unused()
+        self._refund_unused()
         end = request_end.RequestEnd(
             outcome=outcome,
             status=status,
@@ -334,7 +335,7 @@
         )
         request_end.record(end, admitted=self.admitted, shared=self.shared)
 
-    def _give_back_unused(self) -> None:
+    def _refund_unused(self) -> None:
         # A request that didn't run isn't charged to the rate limit.
         workspace = self.admitted.workspace
         attempt = self._attempt
--- a/src/boragefold/entry/live_chat.py
+++ b/src/boragefold/entry/live_chat.py
@@ -84,8 +84,8 @@
         self._streaming = request.get("stream", False)
         self._texts: list[str] = []
         self._answer: engine_answer.EngineAnswer | None = None
-        exchange.on_closed = self._on_caller_gone
-        exchange.on_drained = self._on_caller_caught_up
+        exchange.on_closed = self._on_caller_disconnected
+        exchange.on_drained = self._on_drained
 
     def send(
         self,
@@ -224,13 +224,13 @@
         if answer is not None and answer.pending is not None:
             answer.pending.cancel()
 
-    def _on_caller_gone(self) -> None:
+    def _on_caller_disconnected(self) -> None:
         if not self.finished:
             self.finished = True
             self._cancel_attempt()
             self._events.caller_gone(self)
 
-    def _on_caller_caught_up(self) -> None:
+    def _on_drained(self) -> None:
         if self._answer is not None and self._answer.pending is not None:
             self._answer.pending.resume()
 
--- a/src/boragefold/entry/once_call.py
+++ b/src/boragefold/entry/once_call.py
@@ -19,7 +19,7 @@
 STATUS_BAD_GATEWAY = 502
 STATUS_UNAVAILABLE = 503
 STATUS_GATEWAY_TIMEOUT = 504
-ASK_AGAIN_SECONDS = 2.0
+OUTCOME_RETRY_SECONDS = 2.0
 
 REFUSALS = {
     "ticket_sealed": (STATUS_GONE, "fetch a new ticket and repeat the call"),
@@ -69,7 +69,7 @@
 
         :param attempt: the attempt, which both registers have recorded
         """
-        self._start_call(lambda result: self._ended(attempt, result))
+        self._start_call(lambda result: self._on_result(attempt, result))
 
     def replay(self, answer: once_messages.StoredAnswer) -> None:
         """Respond with the stored result of an earlier attempt.
@@ -110,11 +110,11 @@
             reason=reason,
             remedy="ask GET /v1/outcomes/TICKET; don't use a new ticket "
             "before you know",
-            retry_after_seconds=ASK_AGAIN_SECONDS,
+            retry_after_seconds=OUTCOME_RETRY_SECONDS,
         )
         answers.refuse(self._exchange, refusal, self._request_id)
 
-    def _ended(
+    def _on_result(
         self, attempt: once_messages.Attempt, result: plain_call.Result
     ) -> None:
         if isinstance(result, plain_call.NotSent):
@@ -124,9 +124,9 @@
             self._runner.lost(attempt)
             self.unknown("answer_lost")
         else:
-            self._confirm(attempt, result)
+            self._finish(attempt, result)
 
-    def _confirm(
+    def _finish(
         self,
         attempt: once_messages.Attempt,
         answer: whole_answer.WholeAnswer,
--- a/src/boragefold/entry/plain_call.py
+++ b/src/boragefold/entry/plain_call.py
@@ -71,11 +71,11 @@
 
     def begin(self) -> None:
         """Send the call to the first address."""
-        self._next(NotSent(reason="no_address"))
+        self._try_next(NotSent(reason="no_address"))
 
-    def _next(self, otherwise: Result) -> None:
+    def _try_next(self, fallback: Result) -> None:
         if not self._addresses:
-            self._done(otherwise)
+            self._done(fallback)
             return
         call = http_client.Call(
             address=self._addresses.pop(0),
@@ -86,10 +86,10 @@
             fresh=not self._idempotent,
             progress_seconds=self._progress_seconds,
         )
-        sink = whole_answer.WholeAnswerSink(done=self._ended)
+        sink = whole_answer.WholeAnswerSink(done=self._on_response)
         self._client.send(call, sink)
 
-    def _ended(
+    def _on_response(
         self, answer: whole_answer.WholeAnswer | http_client.Failure
     ) -> None:
         if isinstance(answer, whole_answer.WholeAnswer):
@@ -97,9 +97,9 @@
             return
         self._counters.add("service_attempts_broken", answer.reason)
         if not answer.may_have_arrived:
-            self._next(NotSent(reason=answer.reason))
+            self._try_next(NotSent(reason=answer.reason))
         elif self._idempotent:
-            self._next(AnswerLost(reason=answer.reason))
+            self._try_next(AnswerLost(reason=answer.reason))
         else:
             self._done(AnswerLost(reason=answer.reason))
 
--- a/src/boragefold/entry/service_face.py
+++ b/src/boragefold/entry/service_face.py
@@ -62,7 +62,7 @@
         :param path: the path at the service
         """
         request_id = self._new_request_id()
-        service = self._service_for(service_name, caller)
+        service = self._allowed_service(service_name, caller)
         route = self._catalogue.route(
             service=service_name, method=request.method, path=path
         )
@@ -75,13 +75,13 @@
             )
             self._refuse(exchange, refusal, request_id)
         elif route["idempotent"]:
-            self._call_repeatable(request, exchange, request_id, service, path)
+            self._call_idempotent(request, exchange, request_id, service, path)
         else:
-            self._call_once(
+            self._call_non_idempotent(
                 request, exchange, request_id, caller, service, path
             )
 
-    def _call_repeatable(
+    def _call_idempotent(
         self,
         request: http_server.Request,
         exchange: http_server.Exchange,
@@ -91,14 +91,14 @@
     ) -> None:
         def done(result: plain_call.Result) -> None:
             if isinstance(result, whole_answer.WholeAnswer):
-                self._pass_on(exchange, request_id, result)
+                self._forward(exchange, request_id, result)
             else:
-                self._refuse(exchange, _repeatable_refusal(result), request_id)
+                self._refuse(exchange, _idempotent_refusal(result), request_id)
 
         prepared = plain_call.prepare(request, path)
         self._start(prepared, service, True, done)
 
-    def _call_once(
+    def _call_non_idempotent(
         self,
         request: http_server.Request,
         exchange: http_server.Exchange,
@@ -148,16 +148,16 @@
         ).begin()
 
     def _addresses(self, service: documents.Service) -> list[str]:
-        near = service["addresses"].get(self._data_centre, [])
-        far = (
+        local = service["addresses"].get(self._data_centre, [])
+        remote = (
             address
             for data_centre, addresses in service["addresses"].items()
             if data_centre != self._data_centre
             for address in addresses
         )
-        return [*near, *far]
+        return [*local, *remote]
 
-    def _service_for(
+    def _allowed_service(
         self, name: str, caller: identity.Caller
     ) -> documents.Service | None:
         service = self._catalogue.service(name)
@@ -167,7 +167,7 @@
         )
         return service if allowed else None
 
-    def _pass_on(
+    def _forward(
         self,
         exchange: http_server.Exchange,
         request_id: str,
@@ -194,7 +194,7 @@
         answers.refuse(exchange, refusal, request_id, **extra)
 
 
-def _repeatable_refusal(
+def _idempotent_refusal(
     result: plain_call.NotSent | plain_call.AnswerLost,
 ) -> outcomes.NotRun | outcomes.Unknown:
     kind = (
--- a/src/boragefold/entry/ticket_face.py
+++ b/src/boragefold/entry/ticket_face.py
@@ -21,7 +21,7 @@
 STATUS_FORBIDDEN = 403
 STATUS_PRECONDITION_REQUIRED = 428
 # Timeout of a query for an outcome.
-ASK_SECONDS = 10.0
+QUERY_TIMEOUT_SECONDS = 10.0
 
 
 class TicketFace:
@@ -81,7 +81,8 @@
         handler = self._once_call(exchange, request_id, lambda done: None)
         self._runner.ask(
             ticket=ticket,
-            give_up_at_seconds=self._timers.now_seconds() + ASK_SECONDS,
+            give_up_at_seconds=self._timers.now_seconds()
+            + QUERY_TIMEOUT_SECONDS,
             handler=handler,
         )
 
@@ -154,7 +155,9 @@
             exchange=exchange,
             request_id=request_id,
             start_call=start_call,
-            refused=lambda why: self._counters.add("requests_refused", why),
+            refused=lambda reason: self._counters.add(
+                "requests_refused", reason
+            ),
         )
 
 
--- a/src/boragefold/entry/traffic.py
+++ b/src/boragefold/entry/traffic.py
@@ -126,7 +126,7 @@
             client=client,
             timers=timers,
             counters=counters,
-            sampled=self._sampled,
+            sampled=self._on_sample,
             changed=self.desk.run,
         )
         self.digests = work_digests.WorkDigests(
@@ -158,22 +158,22 @@
         )
         rights.orders = self.orders
         rights.reports = self.reports
-        self._follow_configuration()
+        self._subscribe()
 
     def start(self) -> None:
         """Start to poll the endpoints for load reports."""
         self.reports.start()
 
-    def _follow_configuration(self) -> None:
+    def _subscribe(self) -> None:
         together = self._together
-        together.tree.subscribe(self._changed)
+        together.tree.subscribe(self._on_change)
         together.catalogue.subscribe_leaving(lambda record: self._refresh())
         together.catalogue.subscribe_withdrawn(self.desk.withdraw_key)
         together.rates.stock.subscribe(lambda workspace: self.desk.run())
         together.load_budget.subscribe(self.desk.run)
         self.orders.uses.subscribe(self._gate.lease_came)
 
-    def _changed(self, change: trees.Change) -> None:
+    def _on_change(self, change: trees.Change) -> None:
         # Other changes of the catalogue require no check of all endpoints.
         parsed = paths.parse(change.path)
         if parsed is not None and parsed.kind in ENDPOINT_KINDS:
@@ -183,7 +183,7 @@
         self.reports.refresh()
         self.orders.update_endpoints(self.reports.documents())
 
-    def _sampled(
+    def _on_sample(
         self,
         endpoint: str,
         report: load_reports.EngineReport,
--- a/tests/entry/test_answer_times.py
+++ b/tests/entry/test_answer_times.py
@@ -7,7 +7,7 @@
 
 
 def route(**changes):
-    wanted = {
+    fields = {
         "name": "notes",
         "host": "h",
         "prefix": "/",
@@ -21,7 +21,7 @@
         "public": False,
         "resumable": False,
     }
-    return deployment.Route(**(wanted | changes))
+    return deployment.Route(**(fields | changes))
 
 
 @pytest.mark.parametrize(
