--- a/src/boragefold/entry/attempt.py
+++ b/src/boragefold/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one endpoint."""
+"""One attempt to send a request to one endpoint."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 if typing.TYPE_CHECKING:
     from boragefold.entry import forwarding as forwardings
 
-# Statuses that say that a request has not run and won't.
+# Statuses which say that the endpoint did not and will not run the request.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 SERVER_ERRORS = range(500, 600)
 SUCCESSES = range(200, 300)
 
 
 class Attempt(http_client.AnswerSink):
-    """One sending of a request to one endpoint."""
+    """One attempt to send a request to one endpoint."""
 
     def __init__(
         self,
@@ -32,55 +32,55 @@
         self._pending: http_client.Pending | None = None
         self._status = 0
         self._facts: dialects.AnswerFacts | None = None
-        self._begun_at_seconds = 0.0
-        self._judged = False
-        self._held_back = False
-        self._passed = False
+        self._sent_at_seconds = 0.0
+        self._result_recorded = False
+        self._retry_at_end = False
+        self._forwarded = False
 
     @property
     def rejected(self) -> bool:
-        """Tell whether the endpoint said that the request has not run.
+        """Tell whether the endpoint confirmed that it did not run the request.
 
-        :return: whether it did
+        :return: whether it did so
         """
         return self._facts is not None and self._facts.not_run
 
     def begin(self, call: http_client.Call) -> None:
-        """Send.
+        """Send the request.
 
-        :param call: the request as it goes to the endpoint
+        :param call: the request in the form that the endpoint receives
         """
         shared = self._forwarding.shared
-        self._begun_at_seconds = shared.timers.now_seconds()
+        self._sent_at_seconds = shared.timers.now_seconds()
         shared.choice.sent(self._record.name)
         self._pending = shared.client.send(call, self)
 
     def cancel(self, *, failed: bool = False) -> None:
-        """Give up: the endpoint sees its connection closed.
+        """Cancel the attempt by closing the connection to the endpoint.
 
-        :param failed: whether that counts against the endpoint, because it
-            was silent for all the time there was
+        :param failed: whether this counts as a failure of the endpoint,
+            because it did not respond before the deadline
         """
         if self._pending is not None:
             self._pending.cancel()
-        if not self._judged:
-            self._judge(failed=failed)
+        if not self._result_recorded:
+            self._record_result(failed=failed)
 
     def pause(self) -> None:
-        """Read no more of the answer for now."""
+        """Stop reading the response until ``resume`` is called."""
         if self._pending is not None:
             self._pending.pause()
 
     def resume(self) -> None:
-        """Read the answer again."""
+        """Continue reading the response."""
         if self._pending is not None:
             self._pending.resume()
 
     def head(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head of the answer.
+        """Process the status and the headers of the response.
 
         :param status: the HTTP status
-        :param headers: names in lower case
+        :param headers: values by lower-case name
         """
         shared = self._forwarding.shared
         facts = shared.dialect.read_answer(status, headers)
@@ -92,34 +92,36 @@
                 slots=facts.slots,
                 now_seconds=shared.timers.now_seconds(),
             )
-        self._judge(failed=status in SERVER_ERRORS and not facts.not_held)
-        if self._is_to_be_repeated(facts):
-            self._held_back = True
-        elif not facts.not_run and not self._is_unfit(facts):
-            self._passed = self._forwarding.pass_head(status, headers)
-            if self._passed:
+        self._record_result(
+            failed=status in SERVER_ERRORS and not facts.not_held
+        )
+        if self._try_retry(facts):
+            self._retry_at_end = True
+        elif not facts.not_run and not self._is_invalid(facts):
+            self._forwarded = self._forwarding.pass_head(status, headers)
+            if self._forwarded:
                 self._forwarding.attempt_answering()
 
     def data(self, data: bytes) -> None:
-        """Pass a piece of the answer on.
+        """Forward a chunk of the response body.
 
-        :param data: the piece
+        :param data: the chunk
         """
-        if self._passed:
+        if self._forwarded:
             self._forwarding.pass_data(data)
 
     def end(self) -> None:
-        """Finish, or go on elsewhere."""
+        """Finish the request, or try another endpoint."""
         facts = self._facts
         if facts is None or self._forwarding.over:
             return
         if facts.not_run:
             self._forwarding.attempt_rejected(self._record.name, facts)
-        elif self._held_back:
+        elif self._retry_at_end:
             self._forwarding.begin()
-        elif self._is_unfit(facts):
+        elif self._is_invalid(facts):
             self._forwarding.refuse(refusals.UNKNOWN, "answer_unfit")
-        elif not self._passed:
+        elif not self._forwarded:
             self._forwarding.attempt_failed(
                 self._record.name, "resume_failed", may_have_run=True
             )
@@ -127,12 +129,12 @@
             self._forwarding.pass_end(self._status)
 
     def failed(self, failure: http_client.Failure) -> None:
-        """Learn that no whole answer will come.
+        """Handle the failure to receive a complete response.
 
-        :param failure: why
+        :param failure: the cause
         """
-        if not self._judged:
-            self._judge(failed=True)
+        if not self._result_recorded:
+            self._record_result(failed=True)
         if self._forwarding.over:
             return
         if self.rejected and self._facts is not None:
@@ -144,7 +146,7 @@
                 may_have_run=failure.may_have_arrived,
             )
 
-    def _is_to_be_repeated(self, facts: dialects.AnswerFacts) -> bool:
+    def _try_retry(self, facts: dialects.AnswerFacts) -> bool:
         route = self._forwarding.admitted.route
         if facts.not_run or not route.repeatable:
             return False
@@ -156,20 +158,20 @@
             self._record.name, may_have_run=True
         )
 
-    def _is_unfit(self, facts: dialects.AnswerFacts) -> bool:
-        # An unsigned success, or a "not run" that the endpoint didn't confirm.
+    def _is_invalid(self, facts: dialects.AnswerFacts) -> bool:
+        # A success without a signature, or an unconfirmed "not run" status.
         if facts.status in SUCCESSES:
             return not facts.signed
         return facts.status in NOT_RUN_STATUSES
 
-    def _judge(self, *, failed: bool) -> None:
+    def _record_result(self, *, failed: bool) -> None:
         shared = self._forwarding.shared
         now_seconds = shared.timers.now_seconds()
-        self._judged = True
+        self._result_recorded = True
         shared.choice.ended(
             self._record.name,
             failed=failed,
-            took_seconds=now_seconds - self._begun_at_seconds,
+            took_seconds=now_seconds - self._sent_at_seconds,
             now_seconds=now_seconds,
         )
 
--- a/src/boragefold/entry/chat_sender.py
+++ b/src/boragefold/entry/chat_sender.py
@@ -1,4 +1,4 @@
-"""Sending a chat to an endpoint, under a lease of use."""
+"""Sends a chat request to an endpoint, under a lease on its adapter."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ChatSender:
-    """Sends attempts, and ends their uses in time."""
+    """Sends attempts and ends each of them before its lease expires."""
 
     def __init__(
         self,
@@ -33,16 +33,16 @@
         self._uses: dict[str, using.Use] = {}
 
     def send(self, live: live_chat.LiveChat, endpoint: str) -> None:
-        """Send an attempt, now or when its lease has come.
+        """Send an attempt, after acquiring a lease if it uses an adapter.
 
-        :param live: the chat
-        :param endpoint: where to
+        :param live: the chat request
+        :param endpoint: name of the endpoint
         """
         needs = live.work.needs
         address = self._address_of(endpoint)
         if address is None:
-            # Unlisted between the decision and this line.
-            self._break_later(live, "unlisted")
+            # The endpoint was removed after the scheduler had chosen it.
+            self._fail_later(live, "unlisted")
         elif not needs.adapter:
             live.send(
                 endpoint=endpoint,
@@ -54,20 +54,20 @@
             self._gate.enter(
                 endpoint=endpoint,
                 adapter=needs,
-                granted=lambda use: self._send_under(live, address, use),
-                refused=lambda reason: self._not_let_in(live, reason),
+                granted=lambda use: self._send_with_lease(live, address, use),
+                refused=lambda reason: self._on_refused(live, reason),
             )
 
     def end_use(self, live: live_chat.LiveChat) -> None:
-        """End the use of a chat's attempt, if it has one.
+        """End the adapter use of a chat request's attempt, if there is one.
 
-        :param live: the chat
+        :param live: the chat request
         """
         use = self._uses.pop(live.work.request_id, None)
         if use is not None:
             self._gate.leave(use)
 
-    def _send_under(
+    def _send_with_lease(
         self, live: live_chat.LiveChat, address: str, use: using.Use
     ) -> None:
         if live.finished:
@@ -77,7 +77,7 @@
         now_seconds = self._timers.now_seconds()
         self._timers.once(
             delay_seconds=use.ends_by_seconds - now_seconds,
-            callback=lambda: self._use_over(live, use),
+            callback=lambda: self._on_use_expired(live, use),
         )
         live.send(
             endpoint=live.endpoint,
@@ -86,17 +86,19 @@
             may_send=lambda: self._timers.now_seconds() < use.send_by_seconds,
         )
 
-    def _not_let_in(self, live: live_chat.LiveChat, reason: str) -> None:
+    def _on_refused(self, live: live_chat.LiveChat, reason: str) -> None:
         self._counters.add("uses_not_begun", reason)
         if not live.finished:
             live.broken(NOT_HELD, may_have_run=False)
 
-    def _use_over(self, live: live_chat.LiveChat, use: using.Use) -> None:
-        # The holder counts on every use to end by now.
+    def _on_use_expired(
+        self, live: live_chat.LiveChat, use: using.Use
+    ) -> None:
+        # The instance that granted the lease may unload the adapter now.
         if not use.finished and not live.finished:
             live.break_attempt("use_over")
 
-    def _break_later(self, live: live_chat.LiveChat, reason: str) -> None:
+    def _fail_later(self, live: live_chat.LiveChat, reason: str) -> None:
         self._timers.once(
             delay_seconds=0.0,
             callback=lambda: live.broken(reason, may_have_run=False),
--- a/src/boragefold/entry/desk.py
+++ b/src/boragefold/entry/desk.py
@@ -1,4 +1,4 @@
-"""Sees chats through: asks the decisions, and does what they say."""
+"""Runs chat requests according to the decisions of the dispatcher."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Desk(chat_face.Desk, live_chat.ChatEvents, actions.Performer):
-    """Connects live chats with the dispatcher."""
+    """Reports the events of chats to the dispatcher, performs its actions."""
 
     def __init__(
         self,
@@ -41,27 +41,27 @@
         self._tell_peer = tell_peer
         self._sender = sender
         self._chats: dict[str, live_chat.LiveChat] = {}
-        self._wake: timing.Subscription | None = None
-        self._wake_at_seconds = math.inf
+        self._next_run: timing.Subscription | None = None
+        self._next_run_at_seconds = math.inf
         self._running = False
         self._run_again = False
         self.orderer: orderers.Orderer | None = None
 
     @property
     def open_chats(self) -> int:
-        """Count the chats that are not over.
+        """Return the number of unfinished chat requests.
 
-        :return: how many
+        :return: the number
         """
         return len(self._chats)
 
     def offer(self, live: live_chat.LiveChat) -> None:
-        """Take a chat in.
+        """Submit a chat request to the dispatcher.
 
-        :param live: the chat
+        :param live: the chat request
         """
         work = live.work
-        self._note(work.request_id, "arrived", work.workspace)
+        self._trace(work.request_id, "arrived", work.workspace)
         self._chats[work.request_id] = live
         refused = self._dispatcher.offer(
             work, idempotent=True, now_seconds=self._timers.now_seconds()
@@ -71,7 +71,7 @@
         self.run()
 
     def run(self) -> None:
-        """Do what the decisions want done, and come back when it is due."""
+        """Perform the dispatcher's actions and schedule the next run."""
         if self._running:
             self._run_again = True
             return
@@ -81,20 +81,20 @@
             self._run_again = False
             self._dispatcher.run(self, now_seconds=self._timers.now_seconds())
         self._running = False
-        self._set_wake()
+        self._schedule_run()
 
     def withdraw_key(self, digest: str) -> None:
-        """End every chat that came with a key that is no longer granted.
+        """End every chat request whose API key was revoked.
 
-        Waiting ones are refused. Streams are cut: what a withdrawn key pays
-        for must not go on for as long as its owner keeps a stream open.
+        Queued requests are refused. Streams are aborted: otherwise the owner
+        of a revoked key could use it for as long as a stream stays open.
 
-        :param digest: of the key
+        :param digest: digest of the key
         """
-        gone = [
+        revoked = [
             live for live in self._chats.values() if live.key_digest == digest
         ]
-        for live in gone:
+        for live in revoked:
             self._counters.add("requests_refused", "key_withdrawn")
             self._end(live, "key_withdrawn")
             self._dispatcher.cancel(
@@ -106,9 +106,9 @@
         self.run()
 
     def answered(self, live: live_chat.LiveChat) -> None:
-        """Note the first token.
+        """Record the arrival of the first token.
 
-        :param live: the chat
+        :param live: the chat request
         """
         now_seconds = self._timers.now_seconds()
         self._dispatcher.first_token(
@@ -119,9 +119,9 @@
         )
 
     def completed(self, live: live_chat.LiveChat) -> None:
-        """Settle a whole answer.
+        """Account for a complete response.
 
-        :param live: the chat
+        :param live: the chat request
         """
         self._end(live, "ran")
         self._counters.add("requests_ran", "chat")
@@ -136,17 +136,17 @@
     def attempt_broken(
         self, live: live_chat.LiveChat, reason: str, *, may_have_run: bool
     ) -> None:
-        """Let the decisions retry, resume or give up.
+        """Let the dispatcher retry, resume or fail the chat request.
 
-        :param live: the chat
-        :param reason: why
-        :param may_have_run: whether the engine may have worked on it
+        :param live: the chat request
+        :param reason: the cause of the failure
+        :param may_have_run: whether the engine may have processed the request
         """
         request_id = live.work.request_id
         now_seconds = self._timers.now_seconds()
         self._sender.end_use(live)
         self._counters.add("attempts_broken", reason)
-        self._note(request_id, "attempt_broken", f"{live.endpoint}: {reason}")
+        self._trace(request_id, "attempt_broken", f"{live.endpoint}: {reason}")
         if reason == chat_sender.NOT_HELD:
             self._dispatcher.not_held(request_id, now_seconds=now_seconds)
         else:
@@ -159,9 +159,9 @@
         self.run()
 
     def caller_gone(self, live: live_chat.LiveChat) -> None:
-        """Settle a chat whose caller left.
+        """Cancel a chat request whose caller disconnected.
 
-        :param live: the chat
+        :param live: the chat request
         """
         self._end(live, "caller_gone")
         self._counters.add("requests_cancelled", "caller_gone")
@@ -173,31 +173,31 @@
         self.run()
 
     def send(self, send: actions.Send) -> None:
-        """Send a chat to an endpoint.
+        """Send a chat request to an endpoint.
 
-        :param send: what, where to, and which attempt it is
+        :param send: the request, the endpoint and the number of the attempt
         """
         live = self._chats.get(send.work.request_id)
         if live is None:
             return
-        self._note(send.work.request_id, "sent", send.endpoint)
+        self._trace(send.work.request_id, "sent", send.endpoint)
         if send.attempt > 1:
             self._counters.add("requests_retried", "attempt_broken")
         self._sender.send(live, send.endpoint)
 
     def refuse(self, refuse: actions.Refuse) -> None:
-        """Answer a chat with "not run".
+        """Refuse a chat request, which certainly did not run.
 
-        :param refuse: which one, and why
+        :param refuse: the request and the reason
         """
         live = self._chats.get(refuse.work.request_id)
         if live is not None:
             self._refuse(live, refuse.refused)
 
     def give_up(self, give_up: actions.GiveUp) -> None:
-        """Answer a chat whose last attempt failed.
+        """Fail a chat request whose last attempt failed.
 
-        :param give_up: which one, and whether it may have run
+        :param give_up: the request, and whether it may have run
         """
         live = self._chats.get(give_up.work.request_id)
         if live is None:
@@ -215,25 +215,25 @@
         )
 
     def order(self, order: actions.Order) -> None:
-        """Pass an order on.
+        """Pass on an order to load an adapter.
 
-        :param order: what and where
+        :param order: the adapter and the endpoint
         """
         if self.orderer is not None:
             self.orderer.order(order)
 
     def drain(self, drain: actions.Drain) -> None:
-        """Pass a drain on.
+        """Pass on a request to stop using an adapter at an endpoint.
 
-        :param drain: which
+        :param drain: the adapter and the endpoint
         """
         if self.orderer is not None:
             self.orderer.drain(drain)
 
     def tell(self, tell: actions.Tell) -> None:
-        """Pass a digest on to another instance.
+        """Send a digest to another instance.
 
-        :param tell: to whom, and what
+        :param tell: the receiver and the digest
         """
         self._tell_peer(tell)
 
@@ -250,33 +250,33 @@
             )
         )
 
-    def _end(self, live: live_chat.LiveChat, what: str) -> None:
+    def _end(self, live: live_chat.LiveChat, event: str) -> None:
         self._chats.pop(live.work.request_id, None)
         self._sender.end_use(live)
-        self._note(live.work.request_id, what)
+        self._trace(live.work.request_id, event)
 
-    def _note(self, request_id: str, what: str, detail: str = "") -> None:
+    def _trace(self, request_id: str, event: str, detail: str = "") -> None:
         self._stories.add(
             request_id,
-            what,
+            event,
             now_seconds=self._timers.now_seconds(),
             detail=detail,
         )
 
-    def _set_wake(self) -> None:
+    def _schedule_run(self) -> None:
         due_seconds = self._dispatcher.next_due_seconds()
-        if self._wake is not None:
-            if due_seconds == self._wake_at_seconds:
+        if self._next_run is not None:
+            if due_seconds == self._next_run_at_seconds:
                 return
-            self._wake.cancel()
-        self._wake_at_seconds = due_seconds
+            self._next_run.cancel()
+        self._next_run_at_seconds = due_seconds
         delay = max(0.0, due_seconds - self._timers.now_seconds())
-        self._wake = self._timers.once(
-            delay_seconds=delay, callback=self._woken
+        self._next_run = self._timers.once(
+            delay_seconds=delay, callback=self._on_run_due
         )
 
-    def _woken(self) -> None:
-        self._wake = None
+    def _on_run_due(self) -> None:
+        self._next_run = None
         self.run()
 
 
--- a/src/boragefold/entry/event_stream.py
+++ b/src/boragefold/entry/event_stream.py
@@ -1,55 +1,55 @@
-"""Cutting a stream of server-sent events between its events."""
+"""Splits a stream of server-sent events at event boundaries."""
 
 from __future__ import annotations
 
-# A longer event is passed on unfinished rather than kept in memory.
+# A longer event is forwarded in parts, which bounds the memory per stream.
 MAX_EVENT_BYTES = 65_536
 EVENT_END = b"\n\n"
 ID_FIELD = b"id:"
 
 
 class EventSplitter:
-    """Lets whole events through, and knows the id of the last."""
+    """Returns only complete events and tracks the ID of the last one."""
 
     def __init__(self) -> None:
-        self._unfinished = bytearray()
+        self._partial = bytearray()
         self.last_event_id = ""
 
     def feed(self, data: bytes) -> bytes:
-        """Take a piece of the stream.
+        """Add a chunk of the stream.
 
-        :param data: the piece
-        :return: the events that are whole now
+        :param data: the chunk
+        :return: the events that are complete now
         """
-        self._unfinished += data
-        end = self._unfinished.rfind(EVENT_END)
+        self._partial += data
+        end = self._partial.rfind(EVENT_END)
         if end < 0:
             return self.rest() if self._is_too_long() else b""
-        whole = bytes(self._unfinished[: end + len(EVENT_END)])
-        del self._unfinished[: end + len(EVENT_END)]
-        self._note_id(whole)
-        return whole
+        complete = bytes(self._partial[: end + len(EVENT_END)])
+        del self._partial[: end + len(EVENT_END)]
+        self._update_last_id(complete)
+        return complete
 
     def rest(self) -> bytes:
-        """Take what follows the last whole event.
+        """Remove and return the bytes after the last complete event.
 
-        :return: bytes; at the end of a whole answer they belong to it
+        :return: the bytes, which belong to the response if it is complete
         """
-        rest = bytes(self._unfinished)
-        self._unfinished.clear()
+        rest = bytes(self._partial)
+        self._partial.clear()
         return rest
 
     def drop_torn(self) -> None:
-        """Forget an event that broke off in the middle."""
-        self._unfinished.clear()
+        """Discard a partially received event."""
+        self._partial.clear()
 
     def _is_too_long(self) -> bool:
-        return len(self._unfinished) > MAX_EVENT_BYTES
+        return len(self._partial) > MAX_EVENT_BYTES
 
-    def _note_id(self, whole: bytes) -> None:
+    def _update_last_id(self, complete: bytes) -> None:
         ids = [
             line[len(ID_FIELD) :].strip()
-            for line in whole.split(b"\n")
+            for line in complete.split(b"\n")
             if line.startswith(ID_FIELD)
         ]
         if ids:
