--- a/src/boragefold/coordination/fleet/awaited.py
+++ b/src/boragefold/coordination/fleet/awaited.py
@@ -1,4 +1,4 @@
-"""Which of the instances that we speak to owe us a heartbeat."""
+"""Which instances this one expects heartbeats from, and which are overdue."""
 
 from __future__ import annotations
 
@@ -7,15 +7,18 @@
 
 from boragefold.timing import timers as timing
 
-# An instance that didn't answer is no hub for this long.
+# An instance that stopped answering isn't chosen as a hub for this long.
 AVOID_HUB_SECONDS = 8.0
 
 
 class Awaited:
-    """Since when each instance that we speak to hasn't answered."""
+    """The time of the last heartbeat from each instance that owes one.
+
+    An instance that this one sends heartbeats to is expected to reply in kind.
+    """
 
     def __init__(self, *, timers: timing.TimerService) -> None:
-        """Begin as one that speaks to nobody.
+        """Start with no expected instances.
 
         :param timers: the process clock
         """
@@ -26,10 +29,10 @@
     def await_from(
         self, addresses: Collection[str], *, silent_seconds: float
     ) -> None:
-        """Note whom we speak to, and who hasn't answered for too long.
+        """Replace the set of expected instances and record which timed out.
 
-        :param addresses: those that should speak to us too
-        :param silent_seconds: how long they may be silent
+        :param addresses: the instances that should send heartbeats
+        :param silent_seconds: time without a heartbeat after which one failed
         """
         now_seconds = self._timers.now_seconds()
         self._since_seconds = {
@@ -43,7 +46,7 @@
         )
 
     def heard(self, address: str) -> None:
-        """Note that an instance spoke to us.
+        """Record that an instance sent a message.
 
         :param address: its address
         """
@@ -52,18 +55,18 @@
             self._since_seconds[address] = self._timers.now_seconds()
 
     def renewed(self, address: str) -> None:
-        """Note that another process listens at an address.
+        """Record that a new process listens at an address.
 
-        What the former one left unanswered says nothing of it.
+        Timeouts of the previous process say nothing about the new one.
 
-        :param address: where
+        :param address: the address
         """
         self._failed_at_seconds.pop(address, None)
 
     def late(self, *, beyond_seconds: float) -> frozenset[str]:
-        """List the instances that owe us a heartbeat.
+        """List the instances whose heartbeat is overdue.
 
-        :param beyond_seconds: for longer than this
+        :param beyond_seconds: the time since the last one must exceed this
         :return: their addresses
         """
         oldest_seconds = self._timers.now_seconds() - beyond_seconds
@@ -74,18 +77,18 @@
         )
 
     def is_awaited(self, address: str) -> bool:
-        """Tell whether we speak to an instance.
+        """Tell whether an instance is expected to send heartbeats.
 
         :param address: its address
-        :return: whether it should speak to us too
+        :return: whether this instance sends heartbeats to it
         """
         return address in self._since_seconds
 
     def failed_lately(self, address: str) -> bool:
-        """Tell whether an instance left us without an answer.
+        """Tell whether an instance recently timed out.
 
         :param address: its address
-        :return: whether it is no hub for now
+        :return: whether it must not be chosen as a hub for now
         """
         failed_at_seconds = self._failed_at_seconds.get(address, -math.inf)
         age_seconds = self._timers.now_seconds() - failed_at_seconds
--- a/src/boragefold/coordination/fleet/heartbeats.py
+++ b/src/boragefold/coordination/fleet/heartbeats.py
@@ -1,4 +1,4 @@
-"""The heartbeats of an instance, and how it finds the others."""
+"""Sending and receiving heartbeats, and discovering other instances."""
 
 from __future__ import annotations
 
@@ -19,21 +19,22 @@
 from boragefold.protocol import peer_messages as messages
 from boragefold.timing import timers as timing
 
-# On a new connection each time: the old one may be dead without a sign.
+# Each attempt opens a new connection: the old one may be dead without a sign.
 GREET_SECONDS = 1.0
-# By all that hear each other together: hundreds that each greet whoever is
-# behind a cut are busy with connections that don't open.
+# Of all mutually reachable instances together. If hundreds each contacted all
+# instances behind a network partition, they would be busy with connections
+# that don't open.
 GREETINGS_PER_SECOND = 6.0
-# An instance that hears fewer peers than this asks for all that others know.
+# An instance with fewer reachable peers than this asks for the full list.
 FEW = 3
-# Two instances that know different peers level out within some seconds.
+# Two instances that know different peers converge within some seconds.
 EXCHANGE_SECONDS = 2.0
-# News within this time shares one message.
+# Changes within this time share one message.
 NEWS_SECONDS = 0.05
 
 
 class Heartbeats:
-    """Tells the others that we live, and hears that they do."""
+    """Sends this instance's heartbeats and handles those of the others."""
 
     def __init__(
         self,
@@ -46,15 +47,15 @@
         rng: random.Random,
         rates: rate_messages.RateMessages,
     ) -> None:
-        """Begin with the addresses from the settings.
+        """Start with the addresses from the settings.
 
         :param link: to the peers
         :param timers: the process clock
-        :param members: keeps what is heard
+        :param members: records what is received
         :param seeds: IP numbers and ports where instances may listen
-        :param compose: makes our own heartbeat
+        :param compose: builds this instance's own heartbeat
         :param rng: chooses among peers
-        :param rates: what heartbeats carry of workspaces' rates
+        :param rates: adds the rate limit usage of workspaces to heartbeats
         """
         self._link = link
         self._timers = timers
@@ -84,14 +85,14 @@
 
     @property
     def is_hub(self) -> bool:
-        """Tell whether heartbeats of others travel through us.
+        """Tell whether this instance forwards the heartbeats of others.
 
-        :return: whether we took ourselves for a hub last
+        :return: whether it chose itself as a hub at its last heartbeat
         """
         return self._is_hub
 
     def start(self) -> None:
-        """Begin to greet and to send heartbeats."""
+        """Start discovery and heartbeats."""
         self._greet()
         self._timers.every(period_seconds=GREET_SECONDS, callback=self._greet)
         self._timers.every(
@@ -100,7 +101,7 @@
         self._beat()
 
     def add_seeds(self, seeds: Iterable[str]) -> None:
-        """Take note of addresses where instances may listen.
+        """Add addresses where instances may listen.
 
         :param seeds: IP numbers and ports
         """
@@ -109,7 +110,7 @@
             self._members.know(ids.InstanceId("", seed, ""))
 
     def refresh(self) -> None:
-        """Send a heartbeat at once if others must hear of something new."""
+        """Send a heartbeat at once if there is a change to send."""
         if member_module.news_of(self._compose()) != self._told_news:
             self.beat_now()
         else:
@@ -126,7 +127,7 @@
         )
         followers = self._routes.followers(routes.targets)
         self._has_followers = bool(followers)
-        # After the followers are known: who fell silent is news as well.
+        # After listing the followers, which may find a newly silent instance.
         self._passed_version = self._members.news_version
         lacks = {*self._members.lacks(), *self._rates.lacks()}
         heartbeat = messages.Heartbeat(own, lacks=tuple(sorted(lacks)))
@@ -201,7 +202,7 @@
         if heard < FEW:
             wanted |= self._seeds & silent.keys()
         if heard < FEW or self._is_hub:
-            # Hubs of both sides of a cut bring the others together.
+            # The hubs of both sides of a partition rejoin the others.
             best = hubs.hubs(map(member_module.candidate_of, silent.values()))
             every = itertools.chain.from_iterable(best.values())
             wanted.update(candidate.address for candidate in every)
@@ -243,7 +244,7 @@
             )
         if body.heard is None:
             return
-        # Only a new instance is told of all: a list would repeat what the
+        # Only a new instance gets the full list, which would repeat what the
         # others know.
         if body.heard < FEW:
             self._introduce(sender.address, known=self._members.instances())
@@ -259,7 +260,7 @@
             self._to_hubs.missed(sender)
             self._to_followers.missed(sender)
         if self._link.self_id.address in body.beat.unheard:
-            # Our messages don't arrive there: that connection may be dead.
+            # The sender gets nothing from here: the connection may be dead.
             self._link.reconnect(sender)
         self._rates.take(sender, body)
         self._pass_news_on_soon()
@@ -278,7 +279,7 @@
 
 
 def _anyone(address: str) -> ids.InstanceId:
-    # Any incarnation: the process may have been restarted.
+    # Addresses any incarnation: the process may have been restarted.
     return ids.InstanceId("", address, "")
 
 
--- a/src/boragefold/coordination/fleet/hub_reports.py
+++ b/src/boragefold/coordination/fleet/hub_reports.py
@@ -1,4 +1,4 @@
-"""The newest reports of all hubs that tell us of other instances."""
+"""The newest reports of all hubs that report to this instance."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class HubReports:
-    """Keeps for whom each hub vouches, and since when it is silent.
+    """Tracks which instances each hub reports, and when it last did.
 
-    A hub that started again is another hub: what its predecessor said still
-    counts for as long as a silent hub's word does.
+    A restarted hub counts as a new hub: the reports of its previous
+    incarnation stay valid for as long as those of any silent hub.
     """
 
     def __init__(self) -> None:
@@ -29,13 +29,13 @@
         *,
         now_seconds: float,
     ) -> tuple[Told, bool]:
-        """Take a report over.
+        """Apply a report.
 
-        :param hub: whose it is
+        :param hub: the hub that sent it
         :param report: the report
         :param now_seconds: reading of the process clock
-        :return: what it tells by instance, and whether the hub hears others
-            than before
+        :return: the entries by instance, and whether the set of instances
+            that the hub hears has changed
         """
         reader = self._readers.setdefault(hub, reports.ReportReader())
         before = reader.vouched
@@ -43,9 +43,9 @@
         return told, reader.vouched is not before
 
     def lacking(self, *, since_seconds: float) -> tuple[str, ...]:
-        """List the hubs of which we missed a report.
+        """List the hubs of which a report was missed.
 
-        :param since_seconds: only those that were heard since then
+        :param since_seconds: only hubs that sent a report since this time
         :return: their addresses
         """
         return tuple(
@@ -55,9 +55,9 @@
         )
 
     def forget(self, *, before_seconds: float) -> None:
-        """Drop the hubs whose word counts no longer.
+        """Drop the hubs whose reports have expired.
 
-        :param before_seconds: those that were heard last before this
+        :param before_seconds: those whose last report is older than this
         """
         self._readers = {
             hub: reader
@@ -66,7 +66,7 @@
         }
 
     def date(self, members: Mapping[str, member_module.Member]) -> None:
-        """Note at each instance when somebody said last that it lives.
+        """Update when each instance was last known to be alive.
 
         :param members: the instances by address
         """
@@ -75,7 +75,7 @@
             member.first_hand_at_seconds = member.direct_at_seconds
         for reader in self._readers.values():
             for address, instance in reader.vouched.items():
-                # Hubs tell an instance of itself, too.
+                # A hub's report also lists its receiver, which isn't a member.
                 vouched = members.get(address)
                 if vouched is not None and vouched.instance == instance:
                     vouched.vouch(
--- a/src/boragefold/coordination/fleet/hubs.py
+++ b/src/boragefold/coordination/fleet/hubs.py
@@ -1,15 +1,16 @@
-"""Through which instances heartbeats travel.
-
-Load pattern: dozens of small instances that all have to know of each other.
-Told by each to each, 86 instances send 7,310 heartbeats a second, and each
-spends most of its control budget on reading them. Here a few hubs of each data
-centre hear its instances, tell each other, and tell their instances in one
-message: 900 messages a second. In a data centre of up to three instances
-everyone is a hub, and all speak to each other.
-
-Nobody appoints a hub. Every instance ranks those it knows, and whoever is
-spoken to as a hub acts as one; that two instances rank differently for a
-moment costs messages and nothing else.
+"""The hubs that forward heartbeats between instances.
+
+Load pattern: dozens of small instances that all need to know of each other.
+If each sent its heartbeat to every other, 86 instances would send 7,310
+heartbeats a second, and each would spend most of its control budget on
+reading them. Instead, a few hubs in each data centre receive the heartbeats
+of its instances, exchange them with the other hubs, and forward them to their
+instances in one message: 900 messages a second. In a data centre of up to
+three instances all are hubs and exchange heartbeats directly.
+
+There is no election. Every instance ranks those that it knows, and an
+instance that is addressed as a hub acts as one. If two instances rank
+differently for a moment, this costs extra messages and nothing else.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
 
 import xxhash
 
-# Two hubs of a data centre may be lost at once.
+# Two hubs of a data centre may fail at once.
 HUBS = 3
-# A hub's messages would hold answers up on a narrow link.
+# On a narrow link, the messages of a hub would delay responses to callers.
 WIDE_SHARE = 0.5
 FEWEST_HUBS = 2
-# One hub may be lost without a gap.
+# One hub may fail without a gap in the heartbeats.
 UPLINKS = 2
 
 
 class Candidate(NamedTuple):
-    """An instance that could be a hub; ``capacity`` is its link's speed."""
+    """A possible hub; ``capacity`` is the speed of its network link."""
 
     address: str
     data_centre: str
@@ -39,12 +40,13 @@
 
 
 def rank(candidates: Iterable[Candidate]) -> list[Candidate]:
-    """Order instances by how well they would serve as hubs.
+    """Order instances by their suitability as hubs.
 
-    The widest links first: a hub sends what all its instances receive.
+    The fastest links come first: a hub sends what all its instances receive.
 
-    :param candidates: those of one data centre
-    :return: the best first, the same at every instance that knows them
+    :param candidates: the instances of one data centre
+    :return: the best first, in the same order at every instance that knows
+        the same candidates
     """
     return sorted(
         candidates,
@@ -87,17 +89,17 @@
     *,
     late: Collection[str] = (),
 ) -> list[str]:
-    """Choose the hubs that an instance speaks to.
+    """Choose the hubs that an instance sends its heartbeats to.
 
-    Which of a data centre's hubs depends on the instance, so that they share
-    its instances. A hub that is late is joined by the next in the order
-    before it is given up: an instance whose hubs were lost together is heard
-    again before the others take it for silent.
+    The order of a data centre's hubs depends on the instance, which spreads
+    the instances over the hubs. The next candidate is added while a hub is
+    overdue, before that hub is given up: an instance that loses all its hubs
+    at once is heard again before the others consider it silent.
 
-    :param own_address: the instance's
+    :param own_address: the address of the instance
     :param ranked: the other instances of its data centre, best hub first
-    :param late: the addresses that should have been heard and were not
-    :return: addresses; with late ones there are more of them
+    :param late: the addresses whose heartbeat is overdue
+    :return: addresses; more of them if some are overdue
     """
     chosen_hubs = best(ranked)
     first = sorted(
--- a/src/boragefold/coordination/fleet/lapses.py
+++ b/src/boragefold/coordination/fleet/lapses.py
@@ -1,10 +1,11 @@
-"""Endpoints whose entries lapsed while the store was away.
-
-Endpoints renew their entries in the store. While it is down nobody can, and
-when it returns, entries of sound endpoints may be missing for a moment until
-they have registered anew. Dropped at once, whole services would have no
-endpoint just when their callers come back. So a removal that is read right
-after the store's return waits; an entry that is back by then never went.
+"""Grace period for endpoints whose registrations expired in a store outage.
+
+Endpoints renew their registrations in the store, which fails while the store
+is down. When it recovers, the registrations of healthy endpoints may be
+missing for a moment, until the endpoints have registered again. If they were
+dropped at once, whole services would have no endpoint just when their callers
+return. A removal that is read right after the store's recovery is therefore
+delayed, and cancelled if the registration is back by then.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 
 from boragefold.timing import timers as timing
 
-# Live endpoints have renewed their entries by then.
+# Live endpoints have renewed their registrations by then.
 RETURN_SECONDS = 2.3
 
 
 class Lapses:
-    """Decides when a removed endpoint is really dropped."""
+    """Decides when a removed endpoint is dropped."""
 
     def __init__(
         self,
@@ -27,12 +28,13 @@
         drop: Callable[[str], None],
         store_was_up: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Begin with a store that is sound.
+        """Start without a grace period.
 
         :param timers: the process clock
         :param drop: drops an endpoint for good
-        :param store_was_up: tells whether a peer has had the store all along:
-            then it turned only us away, no entry lapsed, and a removal is one
+        :param store_was_up: tells whether the store answered a peer all the
+            time: then it refused only this instance, no registration expired,
+            and a removal is genuine
         """
         self._store_was_up = store_was_up
         self._timers = timers
@@ -41,22 +43,22 @@
         self._missing: set[str] = set()
 
     def settling_seconds(self) -> float:
-        """Tell how long removals still wait.
+        """Tell how much longer removals are delayed.
 
-        :return: seconds; 0 when they count at once
+        :return: seconds; 0 when they take effect at once
         """
         return max(0.0, self._until_seconds - self._timers.now_seconds())
 
     def store_returned(self, within_seconds: float = RETURN_SECONDS) -> None:
-        """Note that the store answers again, here or at a peer.
+        """Record that the store answers again, here or at a peer.
 
-        :param within_seconds: how long endpoints may take to come back
+        :param within_seconds: time that endpoints may take to register again
         """
         until_seconds = self._timers.now_seconds() + within_seconds
         self._until_seconds = max(self._until_seconds, until_seconds)
 
     def removed(self, endpoint: str) -> None:
-        """Note that an endpoint's entry was removed.
+        """Drop an endpoint whose registration was removed, now or later.
 
         :param endpoint: its name
         """
@@ -71,7 +73,7 @@
         )
 
     def present(self, endpoint: str) -> None:
-        """Note that an endpoint's entry is there.
+        """Cancel the delayed removal of an endpoint that is registered.
 
         :param endpoint: its name
         """
--- a/src/boragefold/coordination/fleet/member.py
+++ b/src/boragefold/coordination/fleet/member.py
@@ -1,4 +1,4 @@
-"""One other instance, as it was last heard."""
+"""The state of another instance as last received."""
 
 from __future__ import annotations
 
@@ -12,16 +12,18 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Member:
-    """Another instance, as it was last heard.
-
-    ``heard_at_seconds`` is when it was last known to live, by its own word or
-    a hub's; ``direct_at_seconds`` by its own; ``follows_at_seconds`` when it
-    last spoke to us as to its hub; ``vouched_at_seconds`` by the
-    newest word of those who still hear it, and ``first_hand_at_seconds`` of
-    those among them that hear it themselves. ``standing_said_milliseconds``
-    and ``engines_said_milliseconds`` are its uptimes when it said what
-    ``beat`` holds, ``started_at_seconds`` is its start on our clock.
-    ``former`` are the incarnations that were replaced by later ones.
+    """The state of another instance as last received.
+
+    ``heard_at_seconds`` is when it was last known to be alive, from its own
+    messages or a hub's report; ``direct_at_seconds`` is when it last sent a
+    message to this instance; ``follows_at_seconds`` when it last did so with
+    this instance as its hub. ``vouched_at_seconds`` is the time of the newest
+    message from it or report that lists it as alive;
+    ``first_hand_at_seconds`` is the same without the reports of hubs that
+    repeat other hubs. ``standing_said_milliseconds`` and
+    ``engines_said_milliseconds`` are its uptimes when it sent the two parts
+    of ``beat``. ``started_at_seconds`` is its start time by the local clock.
+    ``former`` holds the incarnations that were replaced by later ones.
     """
 
     instance: ids.InstanceId
@@ -39,19 +41,19 @@
 
     @property
     def said_milliseconds(self) -> int:
-        """Tell when the instance said the newest of what is known of it.
+        """Tell at which uptime the instance sent its newest known state.
 
-        :return: its uptime then
+        :return: milliseconds
         """
         return max(
             self.standing_said_milliseconds, self.engines_said_milliseconds
         )
 
     def vouch(self, at_seconds: float, *, first_hand: bool) -> None:
-        """Note that a hub hears this instance.
+        """Record that a hub reported this instance as alive.
 
-        :param at_seconds: when the hub said so
-        :param first_hand: whether it hears the instance itself
+        :param at_seconds: when the report arrived
+        :param first_hand: whether the hub receives its heartbeats directly
         """
         if self.vouched_at_seconds < at_seconds:
             self.vouched_at_seconds = at_seconds
@@ -59,9 +61,9 @@
             self.first_hand_at_seconds = at_seconds
 
     def renew(self, instance: ids.InstanceId) -> None:
-        """Forget what a former incarnation said.
+        """Discard the state of the previous incarnation.
 
-        :param instance: the incarnation that took its place
+        :param instance: the incarnation that replaced it
         """
         if self.beat is not None:
             self.former.add(self.instance.incarnation)
@@ -73,11 +75,12 @@
 
 
 def news_of(beat: messages.Beat) -> tuple[object, ...]:
-    """Pick out what others must hear of at once when it changes.
+    """Pick out the state whose changes are sent on at once.
 
-    :param beat: what an instance tells of itself
-    :return: engines it owns and can't load at, whether it leaves, what it
-        gives up, and the newest published change that it knows
+    :param beat: the state that an instance reports of itself
+    :return: engines it owns and whether each can load now, whether it is
+        leaving, engines it can't reach, and the newest published revisions
+        that it has
     """
     engines = tuple(
         (engine.name, engine.orders_in_seconds > 0) for engine in beat.engines
@@ -86,10 +89,11 @@
 
 
 def claims_of(beat: messages.Beat) -> tuple[object, ...]:
-    """Pick out what decides who owns engines and who is a hub.
+    """Pick out the state that decides who owns engines and who is a hub.
 
-    :param beat: what an instance tells of itself
-    :return: engines it owns, whether it leaves, and what it gives up
+    :param beat: the state that an instance reports of itself
+    :return: engines it owns, whether it is leaving, and engines that it can't
+        reach
     """
     names = tuple(engine.name for engine in beat.engines)
     return names, beat.leaving, beat.avoids
@@ -99,7 +103,7 @@
     """Describe an instance as a possible hub.
 
     :param member: the instance
-    :return: what its rank depends on
+    :return: the properties that its rank depends on
     """
     beat = member.beat
     return hubs.Candidate(
--- a/src/boragefold/coordination/fleet/members.py
+++ b/src/boragefold/coordination/fleet/members.py
@@ -1,10 +1,10 @@
-"""Which other instances there are, and which of them answer.
+"""The known instances of the fleet, and which of them are alive.
 
-Nothing lists the instances. Each is told of a few addresses at its start,
-which may be out of date or down, and learns the rest from whoever answers.
-Known addresses are never given up quickly: a process that was restarted
-listens at the address of its predecessor, so those that remember it find it
-even when every address that it was told of is down.
+There is no central list of instances. Each starts with a few seed addresses,
+which may be out of date or down, and learns the rest from whichever instance
+answers. Known addresses are kept for a long time: a restarted process listens
+at the address of its predecessor, so instances that remember the address find
+it even when every seed of the restarted process is down.
 """
 
 from __future__ import annotations
@@ -23,31 +23,31 @@
 from boragefold.protocol import peer_messages as messages
 from boragefold.timing import timers as timing
 
-# The interval grows with the fleet, to bound what hubs send.
+# The heartbeat interval grows with the fleet, to bound what hubs send.
 BEAT_SECONDS = 0.25
 BEATS_PER_SECOND = 48.0
 MAX_BEAT_SECONDS = 0.5
-# One lost datagram or a short pause isn't a failure.
+# A single lost datagram or a short pause must not count as a failure.
 SILENT_BEATS = 4
-# A late hub is replaced before its instances are taken for silent.
+# An overdue hub is replaced before the instances behind it count as silent.
 LATE_BEATS = 1.5
-# An instance that lost all its hubs takes the others for alive this long,
-# while it looks for another hub.
+# An instance that lost all its hubs keeps treating the others as alive this
+# long, while it looks for another hub.
 ORPHAN_SECONDS = 2.0
-# An address that nothing was heard from for so long is given up.
+# An address without any message for this long is forgotten.
 FORGET_SECONDS = 120.0
 
 
 class Members:
-    """The other instances by address."""
+    """The other instances, by address."""
 
     def __init__(
         self, *, timers: timing.TimerService, self_id: ids.InstanceId
     ) -> None:
-        """Begin with nobody known.
+        """Start with no known instances.
 
         :param timers: the process clock
-        :param self_id: who we are
+        :param self_id: the identity of this instance
         """
         self._timers = timers
         self._self_id = self_id
@@ -63,11 +63,11 @@
         self._silent: set[str] = set()
         self._direct_at_seconds = self._started_at_seconds
         self._reachable: dict[str, member_module.Member] = {}
-        # Until then nobody who is heard can have fallen silent.
+        # No reachable instance can become silent before this time.
         self._valid_until_seconds = -math.inf
-        # Counts the changes that others must hear of at once.
+        # Counts the changes that are sent on at once.
         self.news_version = 0
-        # Counts the changes of who is heard, owns an engine or leaves.
+        # Counts the changes to who is reachable, owns an engine or is leaving.
         self.version = 0
 
     def subscribe(
@@ -79,12 +79,12 @@
             lambda peer, silent: None
         ),
     ) -> None:
-        """Be told of what others say and of their ends.
+        """Register callbacks for heartbeats, restarts and silence.
 
-        :param on_beat: called with each heartbeat that comes from the
-            instance itself
+        :param on_beat: called with each heartbeat that the instance sent to
+            this one itself
         :param on_gone: called when an incarnation was replaced by another
-        :param on_silent: called when a peer falls silent or is heard again
+        :param on_silent: called when a peer becomes silent, or reachable again
         """
         self._on_beat.append(on_beat)
         self._on_gone.append(on_gone)
@@ -92,14 +92,14 @@
 
     @property
     def uptime_seconds(self) -> float:
-        """Tell how long this process takes part.
+        """Tell for how long this process has been a member of the fleet.
 
         :return: seconds
         """
         return self._timers.now_seconds() - self._started_at_seconds
 
     def beat_seconds(self) -> float:
-        """Tell how long there is between two heartbeats.
+        """Calculate the heartbeat interval.
 
         :return: seconds
         """
@@ -114,9 +114,9 @@
         return SILENT_BEATS * self.beat_seconds()
 
     def reachable(self) -> list[member_module.Member]:
-        """List the instances that are heard.
+        """List the instances that are alive.
 
-        :return: those with a heartbeat that is not too old
+        :return: those with a heartbeat or report within the silence timeout
         """
         if self._timers.now_seconds() >= self._valid_until_seconds:
             self._look_who_is_heard()
@@ -125,35 +125,35 @@
     def age_seconds(self, member: member_module.Member) -> float:
         """Tell how long ago an instance started.
 
-        :param member: which
-        :return: seconds, as far as it is known
+        :param member: the instance
+        :return: seconds; negative infinity as long as it is unknown
         """
         return self._timers.now_seconds() - member.started_at_seconds
 
     def heard_seconds_ago(self, member: member_module.Member) -> float:
-        """Tell how long ago an instance was last known to live.
+        """Tell how long ago an instance was last known to be alive.
 
-        :param member: which
-        :return: seconds; infinite for one that was never heard
+        :param member: the instance
+        :return: seconds; infinite if it was never known to be alive
         """
         return self._timers.now_seconds() - member.heard_at_seconds
 
     def unheard_seconds(self, member: member_module.Member) -> float:
-        """Tell how long ago an instance was heard, or heard of, last.
+        """Tell how long ago an instance was last alive or first discovered.
 
-        :param member: which
+        :param member: the instance
         :return: seconds
         """
         last_seconds = max(member.heard_at_seconds, member.found_at_seconds)
         return self._timers.now_seconds() - last_seconds
 
     def to_vouch_for(self) -> list[member_module.Member]:
-        """List the instances that others may be told of.
+        """List the instances that this one may report as alive.
 
-        Two hubs that told each other what they have from each other would
-        take a lost instance for alive for ever.
+        Two hubs that repeated each other's reports would keep a lost instance
+        alive for ever.
 
-        :return: those heard by us, or by hubs that hear them themselves
+        :return: those heard directly, or by a hub that hears them directly
         """
         self._hub_reports.date(self._members)
         oldest = self._timers.now_seconds() - self.silent_seconds()
@@ -164,7 +164,7 @@
         ]
 
     def beats(self) -> list[messages.Beat]:
-        """List what the instances that are heard tell of themselves.
+        """List the states that the reachable instances report of themselves.
 
         :return: their last heartbeats
         """
@@ -175,9 +175,9 @@
         ]
 
     def unreachable(self) -> list[member_module.Member]:
-        """List the instances that are known and not heard.
+        """List the instances that are known but not reachable.
 
-        :return: those whose end isn't long past
+        :return: those that aren't forgotten yet
         """
         self.reachable()
         return [
@@ -187,9 +187,9 @@
         ]
 
     def direct(self) -> list[member_module.Member]:
-        """List the instances that speak to us themselves.
+        """List the instances that send messages to this one directly.
 
-        :return: those heard lately
+        :return: those heard within the silence timeout
         """
         oldest = self._timers.now_seconds() - self.silent_seconds()
         return [
@@ -199,9 +199,9 @@
         ]
 
     def followers(self) -> list[member_module.Member]:
-        """List the instances that take us for a hub.
+        """List the instances that use this one as a hub.
 
-        :return: those that spoke to us as to their hub lately
+        :return: those that did so within the silence timeout
         """
         oldest = self._timers.now_seconds() - self.silent_seconds()
         return [
@@ -213,10 +213,10 @@
     def hub_candidates(
         self, data_centre: str | None = None
     ) -> list[hubs.Candidate]:
-        """List the other instances that heartbeats could travel through.
+        """List the other instances that may serve as hubs.
 
-        :param data_centre: only those of this one
-        :return: those that live, or were found a moment ago
+        :param data_centre: only instances of this data centre
+        :return: those that are reachable or were discovered a moment ago
         """
         now_seconds = self._timers.now_seconds()
         new_since = now_seconds - self.silent_seconds()
@@ -235,7 +235,7 @@
         ]
 
     def late(self) -> frozenset[str]:
-        """List the instances that owe us a heartbeat.
+        """List the instances whose heartbeat is overdue.
 
         :return: their addresses
         """
@@ -244,9 +244,9 @@
         )
 
     def ages_seconds(self) -> list[float]:
-        """Tell how long ago each peer was heard that was ever heard.
+        """Tell how long each peer has been silent.
 
-        :return: seconds; 0 for those that are heard
+        :return: seconds for every peer ever heard; 0 for reachable ones
         """
         self.reachable()
         now_seconds = self._timers.now_seconds()
@@ -260,33 +260,33 @@
         ]
 
     def instances(self) -> list[ids.InstanceId]:
-        """List every instance that is known.
+        """List every known instance.
 
-        :return: as last heard
+        :return: their identities as last received
         """
         return [member.instance for member in self._members.values()]
 
     def identity(self, address: str) -> ids.InstanceId:
-        """Tell who listens at an address.
+        """Look up the instance at an address.
 
         :param address: the address
-        :return: as last heard
+        :return: its identity as last received
         """
         member = self._members.get(address)
         unknown = ids.InstanceId("", address, "")
         return unknown if member is None else member.instance
 
     def digest(self) -> int:
-        """Make a number that two instances share if they hear the same.
+        """Hash the set of reachable instances, to compare it between peers.
 
-        :return: a hash of the addresses, our own among them
+        :return: a hash of their addresses and that of this instance
         """
         self.reachable()
         text = "\0".join(sorted({*self._reachable, self._self_id.address}))
         return xxhash.xxh3_64_intdigest(text.encode())
 
     def unheard(self) -> tuple[str, ...]:
-        """List the peers that we speak to and whose heartbeats stopped.
+        """List the silent peers that this instance sends heartbeats to.
 
         :return: their addresses
         """
@@ -299,7 +299,7 @@
         )
 
     def lacks(self) -> tuple[str, ...]:
-        """List the hubs whose reports we missed.
+        """List the hubs of which a report was missed.
 
         :return: their addresses
         """
@@ -308,7 +308,7 @@
         )
 
     def note_silence(self) -> None:
-        """Tell subscribers who fell silent and who is heard again."""
+        """Tell subscribers who became silent and who is reachable again."""
         self.reachable()
         for address, member in list(self._members.items()):
             silent = address not in self._reachable and member.beat is not None
@@ -318,7 +318,7 @@
                     callback(member.instance, silent)
 
     def forget_lost(self) -> None:
-        """Give up the addresses that nothing was heard from for long."""
+        """Forget addresses without any message for ``FORGET_SECONDS``."""
         now_seconds = self._timers.now_seconds()
         lost = [
             address
@@ -338,11 +338,11 @@
         *,
         follows: bool = False,
     ) -> None:
-        """Note that an instance spoke to us.
+        """Record a message that an instance sent to this one.
 
-        :param sender: which
+        :param sender: the instance
         :param beat: its heartbeat, if it sent one
-        :param follows: whether it takes us for its hub
+        :param follows: whether the sender uses this instance as its hub
         """
         member = self.know(sender)
         now_seconds = self._timers.now_seconds()
@@ -372,7 +372,7 @@
     def hear_report(
         self, sender: ids.InstanceId, report: messages.Report
     ) -> None:
-        """Take over what a hub tells of the instances that it hears.
+        """Apply a hub's report of the instances that it hears.
 
         :param sender: the hub
         :param report: its report
@@ -387,10 +387,10 @@
             self._valid_until_seconds = -math.inf
 
     def know(self, instance: ids.InstanceId) -> member_module.Member | None:
-        """Take note of an address where an instance may listen.
+        """Add an address where an instance may listen.
 
-        :param instance: as far as it is known
-        :return: what is known of it; None for ourselves
+        :param instance: its identity, as far as it is known
+        :return: its record; None for this instance itself
         """
         if instance.address == self._self_id.address:
             return None
@@ -426,7 +426,8 @@
         self, before: messages.Beat | None, member: member_module.Member
     ) -> None:
         self.news_version += 1
-        # Most news is of what was published, which moves no engine and no hub.
+        # Most changes are of published revisions, which affect neither engine
+        # ownership nor the choice of hubs.
         if (
             before is None
             or member.beat is None
--- a/src/boragefold/coordination/fleet/rate_messages.py
+++ b/src/boragefold/coordination/fleet/rate_messages.py
@@ -1,4 +1,4 @@
-"""What heartbeats carry of workspaces' rates."""
+"""Exchange of the workspaces' admitted rates through heartbeats."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 from boragefold.protocol import rate_ledger_messages as messages
 from boragefold.timing import timers as timing
 
-# A hub that has just started hears of the others' entries within this.
+# A hub that has just started receives the entries of the others within this.
 ERA_SECONDS = 1.0
-# Hubs that start together begin an era one after the other: the first one's
+# Hubs that start together wait in turn to begin an epoch, so that all join the
+# first one's.
 # serves all.
 ERA_STEP_SECONDS = 0.25
 LEDGER_ASK_SECONDS = 1.0
 
 
 class RateMessages:
-    """Brings the accounts of rates into heartbeats and out of them."""
+    """Adds the accounts of admitted rates to heartbeats and reads them."""
 
     def __init__(
         self,
@@ -33,11 +34,11 @@
         accounts: rate_accounts.RateAccounts,
         timers: timing.TimerService,
     ) -> None:
-        """Begin as an instance that nobody gives accounts.
+        """Start as an instance that counts no rates for others.
 
         :param link: to the peers
         :param members: the other instances
-        :param accounts: what was admitted, here and elsewhere
+        :param accounts: the amounts admitted, here and elsewhere
         :param timers: the process clock
         """
         self._link = link
@@ -46,8 +47,8 @@
         self._timers = timers
         self._counting_since_seconds = math.inf
         self._asked_at_seconds = -math.inf
-        # The hubs that tell totals, by incarnation: their entries, and when
-        # they told them first and last.
+        # The hubs that send totals, by incarnation: the names of their entries
+        # and when their totals arrived last and first.
         self._counters: dict[str, str] = {}
         self._counts_at_seconds: dict[str, float] = {}
         self._counts_since_seconds: dict[str, float] = {}
@@ -59,11 +60,11 @@
         link.subscribe(messages.Ledger, self._take_ledger)
 
     def compose(self, routes: routes_module.Chosen) -> messages.Account | None:
-        """Count what we admitted, or state it for the hub that does.
+        """Count what was admitted here, or report it to the hub that counts.
 
-        :param routes: whom we speak to
-        :return: the account; None where we count ourselves, no hub counts, or
-            the one that does has all
+        :param routes: the targets of the heartbeat
+        :return: the account for that hub; None if this instance counts itself,
+            no hub counts, or the hub that does has everything
         """
         now_seconds = self._timers.now_seconds()
         if routes.counts:
@@ -80,9 +81,9 @@
         return account._replace(amounts=_plain(account.amounts))
 
     def entry(self) -> messages.ToldEntry | None:
-        """State what we count, for other hubs.
+        """Report to other hubs what is counted here.
 
-        :return: None from whoever counts nothing
+        :return: None if this instance counts nothing
         """
         told = self._accounts.told_entry(
             now_seconds=self._timers.now_seconds()
@@ -93,10 +94,10 @@
         return told._replace(entry=entry)
 
     def totals(self, *, whole: bool) -> messages.Totals | None:
-        """State what all hubs count, for the instances that speak to us.
+        """Report what all hubs count, for the followers of this instance.
 
-        :param whole: whether the receivers know nothing yet
-        :return: None from whoever doesn't know it
+        :param whole: whether the receivers need the full totals
+        :return: None if this instance doesn't know the totals
         """
         totals = self._accounts.told_totals(
             whole=whole, now_seconds=self._timers.now_seconds()
@@ -104,7 +105,7 @@
         return totals and totals._replace(amounts=_plain(totals.amounts))
 
     def lacks(self) -> Iterator[str]:
-        """List the hubs that have to tell us their totals whole.
+        """List the hubs that must send their full totals.
 
         :return: their addresses
         """
@@ -118,9 +119,9 @@
     def take(
         self, sender: ids.InstanceId, heartbeat: peer_messages.Heartbeat
     ) -> None:
-        """Take over what a heartbeat says of rates.
+        """Apply the rates in a heartbeat.
 
-        :param sender: whose it is
+        :param sender: its sender
         :param heartbeat: the heartbeat
         """
         now_seconds = self._timers.now_seconds()
@@ -136,7 +137,7 @@
             )
 
     def forget(self) -> None:
-        """Drop what was heard of hubs that are gone."""
+        """Drop the state of hubs that are gone."""
         now_seconds = self._timers.now_seconds()
         self._accounts.forget(now_seconds=now_seconds)
         for hub in list(self._counters):
@@ -213,7 +214,7 @@
         counters = {self._counters[hub] for hub in counting}
         if self._accounts.counter in counters:
             return self._accounts.counter
-        # One that has just started has not heard of all instances yet.
+        # A hub that has just started hasn't heard from all instances yet.
         hub = min(counting, key=self._counting_since, default=None)
         return None if hub is None else self._counters[hub]
 
@@ -227,7 +228,7 @@
 
 
 def _plain(amounts: dict[str, float]) -> dict[str, float]:
-    # A whole number takes a third of the bytes of a float.
+    # An integer takes a third of the bytes of a float.
     return {
         workspace: int(amount) if float(amount).is_integer() else amount
         for workspace, amount in amounts.items()
--- a/src/boragefold/coordination/fleet/readers.py
+++ b/src/boragefold/coordination/fleet/readers.py
@@ -1,11 +1,12 @@
-"""Which instances read the store for their data centre.
-
-Each call on the store is paid for, and its rate grows more slowly than the
-fleet. One instance of each data centre reads it; the others learn from it, a
-heartbeat later, and if it is lost, from the readers of other data centres.
-Where none of those is heard two read. The first by hashing read, of those that
-are heard and that the store answers: a reader that is killed, cut off or
-turned away is replaced within the time in which its silence is noticed.
+"""The choice of the instances that read the store for their data centre.
+
+Each call to the store is paid for, and the number of calls may grow only more
+slowly than the fleet. One instance of each data centre reads the store. The
+others receive the changes from it one heartbeat later, or, if it fails, from
+the readers of other data centres. A data centre that can't reach any other
+has two readers. The readers are the first in hash order among the reachable
+instances that can use the store: a reader that is killed, partitioned or
+refused by the store is replaced as soon as its silence is detected.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 from boragefold.coordination.fleet import member as member_module
 from boragefold.protocol import ids
 
-# Of a data centre that hears no other: one may be lost without a gap.
+# In a data centre that reaches no other: one may fail without a gap.
 READERS = 2
-# Of one that hears others.
+# In a data centre that reaches others.
 READERS_BESIDE_OTHERS = 1
 
 
@@ -28,9 +29,9 @@
 ) -> bool:
     """Tell whether this instance reads the store.
 
-    :param self_id: who we are
-    :param members: the instances that are heard
-    :return: whether too few others do
+    :param self_id: the identity of this instance
+    :param members: the reachable other instances
+    :return: whether it ranks among the readers of its data centre
     """
     able = [
         member.instance
--- a/src/boragefold/coordination/fleet/relay.py
+++ b/src/boragefold/coordination/fleet/relay.py
@@ -1,9 +1,10 @@
-"""What was published, passed on between instances.
+"""Forwarding of published changes between instances.
 
-The store turns some instances away while it serves the others. Those would
-go on with routes, keys and endpoints that are no more, while their callers
-are answered differently elsewhere. Each heartbeat tells the sender's newest
-revision; whoever is behind, and has no answer of the store, asks for the rest.
+The store may refuse some instances while it serves others. These instances
+would continue with outdated routes, keys and endpoints, while other instances
+answer the same callers differently. Each heartbeat carries the newest
+revision of its sender; an instance that is behind, and gets no answer from
+the store, requests the missing changes.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 from boragefold.state import published_items
 from boragefold.timing import timers as timing
 
-# After this the next peer is asked.
+# Without an answer within this time, the next peer is asked.
 ASK_PAUSE_SECONDS = 0.3
 
 
 class Relay:
-    """Asks peers for what the store doesn't tell, and answers them."""
+    """Requests published changes from peers and answers their requests."""
 
     def __init__(
         self,
@@ -33,14 +34,14 @@
         behind: Callable[[], bool],
         lapses: lapses_module.Lapses,
     ) -> None:
-        """Begin to answer.
+        """Start to answer requests.
 
         :param link: to the peers
-        :param items: what was published
+        :param items: the published items
         :param timers: the process clock
-        :param lapses: delays removals after the store's return
-        :param behind: tells whether we don't read the store, or it has not
-            answered lately
+        :param lapses: delays removals after the store recovers
+        :param behind: tells whether this instance doesn't read the store, or
+            the store has not answered it lately
         """
         self._link = link
         self._items = items
@@ -52,7 +53,7 @@
         link.subscribe(messages.Published, self._take)
 
     def on_beat(self, sender: ids.InstanceId, beat: messages.Beat) -> None:
-        """Ask a peer that knows more than we do.
+        """Request the missing changes from a peer that has newer ones.
 
         :param sender: the peer
         :param beat: its heartbeat
--- a/src/boragefold/coordination/fleet/reports.py
+++ b/src/boragefold/coordination/fleet/reports.py
@@ -1,10 +1,11 @@
-"""What hubs tell of the instances that they hear, as changes.
-
-Load pattern: hundreds of instances that have to know of each other, of which
-few join, leave or own an engine. Told of everyone twice a second, an
-instance spends all that control may cost on what it knows already. A report
-here holds what changed since the one before. Reports are numbered: whoever
-misses one says so, and is told everything once.
+"""Incremental reports of a hub about the instances that it hears.
+
+Load pattern: hundreds of instances that need to know of each other, of which
+few join, leave or own an engine. If each were sent the full state twice a
+second, an instance would spend its whole control budget on what it knows
+already. Therefore a report holds only the changes since the previous report.
+Reports are numbered: a receiver that misses one says so, and is sent the full
+state once.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class Known(NamedTuple):
-    """What was last told of an instance, and under which number."""
+    """The last reported state of an instance, and its number in reports."""
 
     number: int
     instance: ids.InstanceId
@@ -33,14 +34,15 @@
 
 
 class ReportWriter:
-    """One hub's reports to one group of receivers."""
+    """Writes one hub's reports for one group of receivers."""
 
     def __init__(self, *, numbering: Iterator[int], first_hand: bool) -> None:
-        """Begin without a receiver.
+        """Start without receivers.
 
-        :param numbering: of all reports of this hub: whoever moves from one
-            group to the other tells by it which report is newer
-        :param first_hand: whether it tells only of those that it hears itself
+        :param numbering: shared by all reports of this hub, so that a receiver
+            that moves between groups can tell which report is newer
+        :param first_hand: whether the reports list only instances that the
+            hub hears directly
         """
         self._numbering = numbering
         self._first_hand = first_hand
@@ -59,10 +61,10 @@
         """Write the next report.
 
         :param members: the instances that the hub hears
-        :param receivers: who gets the report
+        :param receivers: the instances that the report is sent to
         :param now_seconds: reading of the process clock
-        :return: a report for those who have all former ones, and another for
-            those who have to be told everything; each with its receivers
+        :return: an incremental report for receivers that have all previous
+            ones, and a full one for the others; each with its receivers
         """
         changes = self._changes(members, now_seconds)
         former = [one for one in receivers if one in self._receivers]
@@ -74,9 +76,9 @@
             yield self._whole(members, now_seconds), new
 
     def missed(self, receiver: ids.InstanceId) -> None:
-        """Tell a receiver everything with the next report.
+        """Send a receiver the full state with the next report.
 
-        :param receiver: who missed one
+        :param receiver: the instance that missed a report
         """
         self._receivers.discard(receiver)
 
@@ -133,7 +135,7 @@
         )
         now_known = known._replace(
             standing=standing,
-            # As the receivers have them: the next change names their places.
+            # As the receivers have it: the next change refers to positions.
             engines=beat.engines if engines is None else engines,
             said_milliseconds=member.said_milliseconds,
         )
@@ -162,12 +164,12 @@
 
 
 class ReportReader:
-    """What one incarnation of a hub says that it hears.
+    """Assembles the reports of one incarnation of a hub.
 
-    ``heard_at_seconds`` is when its last report came, ``vouched`` are the
-    instances by address that it hears, and ``complete`` tells whether no
-    report of it was missed. ``first_hand`` tells whether it hears all of them
-    itself.
+    ``heard_at_seconds`` is when its last report arrived, ``vouched`` holds the
+    instances that it hears, by address, and ``complete`` tells whether no
+    report was missed. ``first_hand`` tells whether the hub hears all of them
+    directly.
     """
 
     def __init__(self) -> None:
@@ -181,11 +183,11 @@
     def take(
         self, report: messages.Report, *, now_seconds: float
     ) -> list[tuple[ids.InstanceId, messages.Told]]:
-        """Take a report over.
+        """Apply a report.
 
-        :param report: the report, perhaps doubled or late
+        :param report: the report, possibly duplicated or out of order
         :param now_seconds: reading of the process clock
-        :return: what it tells, by instance
+        :return: its entries, by instance
         """
         whole = report.since is None
         if report.number < self._number or (
@@ -218,7 +220,7 @@
                 self._instances[told.number] = told.instance
             instance = self._instances.get(told.number)
             if instance is None:
-                # The report that named it was missed.
+                # The report that introduced this number was missed.
                 self.complete = False
             else:
                 yield instance, told
--- a/src/boragefold/coordination/fleet/routes.py
+++ b/src/boragefold/coordination/fleet/routes.py
@@ -1,4 +1,4 @@
-"""To which instances the heartbeats of an instance go."""
+"""The choice of the instances that heartbeats are sent to."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from boragefold.protocol import peer_messages as messages
 from boragefold.timing import timers as timing
 
-# Who is a hub is looked at anew after this, or when somebody comes or goes.
+# The choice is repeated after this time, or when an instance comes or goes.
 LOOK_AGAIN_SECONDS = 1.0
 
 
 class Chosen(NamedTuple):
-    """Whom an instance speaks to, best first, and whether it is a hub.
+    """The targets of heartbeats, and whether this instance is a hub.
 
-    Whoever stands in for a hub that is late passes heartbeats on, and
-    ``counts`` rates only when that hub is given up: a count that moves with
-    each late heartbeat loses what was under way.
+    An instance that replaces an overdue hub forwards heartbeats at once, but
+    ``counts`` admitted rates only when that hub is given up: if the count
+    moved with each late heartbeat, amounts in flight would be lost.
     """
 
     targets: tuple[str, ...]
@@ -31,7 +31,7 @@
 
 
 class Routes:
-    """Chooses the hubs that an instance speaks to."""
+    """Chooses the hubs that an instance sends its heartbeats to."""
 
     def __init__(
         self,
@@ -40,9 +40,9 @@
         members: members_module.Members,
         timers: timing.TimerService,
     ) -> None:
-        """Begin without a choice.
+        """Start without a choice.
 
-        :param self_id: who we are
+        :param self_id: the identity of this instance
         :param members: the other instances
         :param timers: the process clock
         """
@@ -53,10 +53,11 @@
         self._chosen_for: tuple[object, ...] = ()
 
     def choose(self, own: messages.Beat) -> Chosen:
-        """Choose whom to speak to now.
+        """Choose the targets of the next heartbeat.
 
-        :param own: our own heartbeat
-        :return: the other hubs for a hub, else some hubs of our data centre
+        :param own: this instance's own heartbeat
+        :return: the other hubs if this instance is a hub, else some hubs of
+            its data centre
         """
         late = self._members.late()
         slot = self._timers.now_seconds() // LOOK_AGAIN_SECONDS
@@ -75,11 +76,11 @@
     def followers(
         self, targets: tuple[str, ...]
     ) -> list[member_module.Member]:
-        """List the instances that take us for a hub, whether we do or not.
+        """List the instances that use this one as a hub, even if it is none.
 
-        :param targets: whom we speak to ourselves
-        :return: those of our data centre that speak to us as to their hub, and
-            those that leave theirs as the last
+        :param targets: the addresses that this instance sends heartbeats to
+        :return: those of the same data centre, and of others the instances
+            that are leaving as the last of their data centre
         """
         return [
             member
@@ -98,14 +99,14 @@
             own.link_megabits,
         )
         near = hubs.rank(self._members.hub_candidates(us.data_centre))
-        # A late hub's successor acts before that hub is given up, or nobody
-        # would hear of its instances.
+        # The successor of an overdue hub acts as a hub before that one is
+        # given up, or the heartbeats of its instances would be lost.
         beside = [other for other in near if other.address not in late]
         if own.leaving or us not in hubs.best(hubs.rank([us, *beside])):
             uplinks = hubs.uplinks(us.address, near, late=late)
-            # Whoever leaves as the last of its data centre tells the others.
+            # The last instance of a data centre tells other hubs as it leaves.
             return Chosen(tuple(uplinks) or self._far_hubs(late), False, False)
-        # Only a hub has to know the hubs of other data centres.
+        # Only hubs need to know the hubs of other data centres.
         others = self._members.hub_candidates()
         sound = [other for other in others if other.address not in late]
         at_once = hubs.hubs([us, *sound])
--- a/src/boragefold/coordination/fleet/self_link.py
+++ b/src/boragefold/coordination/fleet/self_link.py
@@ -1,4 +1,4 @@
-"""The link to peers, for an instance that is also its own peer."""
+"""A link to peers that also delivers messages to this instance itself."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 class SelfLink(links.PeerLink):
-    """Gives messages to this instance itself without a socket.
+    """Delivers messages to this instance itself without a socket.
 
-    Whoever asks the owner of an engine need not know whether that is this
-    instance. As with any peer, nothing is delivered inside the send.
+    The sender of a request to the owner of an engine need not know whether
+    that is this instance. As with any peer, the message is delivered after
+    the call to send returns.
     """
 
     def __init__(
@@ -27,7 +28,7 @@
 
     @property
     def self_id(self) -> ids.InstanceId:
-        """Tell who we are.
+        """Tell the identity of this instance.
 
         :return: the identity that messages are sent under
         """
@@ -48,7 +49,7 @@
         )
 
     def send_all(self, *, to: Iterable[ids.InstanceId], body: Any) -> None:
-        """Send one message to several peers, none of which is ourselves.
+        """Send one message to several peers, but not to this instance.
 
         :param to: the receivers
         :param body: an object of a registered message kind
@@ -65,9 +66,9 @@
         self._link.subscribe(kind, handler)
 
     def reconnect(self, peer: ids.InstanceId) -> None:
-        """Talk to a silent peer over a new connection.
+        """Open a new connection to a silent peer.
 
-        :param peer: which
+        :param peer: the peer
         """
         self._link.reconnect(peer)
 
--- a/src/boragefold/coordination/fleet/told_parts.py
+++ b/src/boragefold/coordination/fleet/told_parts.py
@@ -1,7 +1,7 @@
-"""Taking over what is said of an instance, by itself or by hubs.
+"""Merging the state of an instance from its own messages and hub reports.
 
-A hub tells only the parts that changed, and two hubs tell the same at
-different times: of each part the newer word counts.
+A hub reports only the parts that changed, and two hubs report the same change
+at different times: for each part, the newer state wins.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
     *,
     now_seconds: float,
 ) -> bool:
-    """Tell whether a hub speaks of the newest incarnation at an address.
+    """Tell whether a hub reports the newest incarnation at an address.
 
-    :param member: what is known of that address
-    :param instance: the incarnation that the hub tells of
-    :param told: what it tells
+    :param member: the known state of that address
+    :param instance: the incarnation that the hub reports
+    :param told: the entry of the report
     :param now_seconds: reading of the process clock
-    :return: whether it is the one that is known, or started later
+    :return: whether it is the known one, or started later
     """
     if instance.incarnation == member.instance.incarnation:
         return True
@@ -50,11 +50,11 @@
 ) -> bool:
     """Tell whether a message comes from a process that was replaced.
 
-    :param member: what is known of the sender's address
-    :param sender: the incarnation that sent it
-    :param beat: what it tells of itself, if anything
+    :param member: the known state of the sender's address
+    :param sender: the incarnation that sent the message
+    :param beat: the state that it reports of itself, if any
     :param now_seconds: reading of the process clock
-    :return: whether a later start at that address is known
+    :return: whether a process that started later is known at that address
     """
     if sender.incarnation not in member.former:
         return False
@@ -67,18 +67,18 @@
 def take_beat(
     member: member_module.Member, beat: messages.Beat, *, now_seconds: float
 ) -> bool:
-    """Take over an instance's own heartbeat.
+    """Apply an instance's own heartbeat.
 
     :param member: the instance
-    :param beat: what it tells of itself
+    :param beat: the state that it reports of itself
     :param now_seconds: reading of the process clock
-    :return: whether others must hear of the change at once
+    :return: whether the change must be sent on at once
     """
     said_milliseconds = round(
         beat.uptime_seconds * engine_changes.MILLISECONDS
     )
     if said_milliseconds < member.standing_said_milliseconds:
-        # A newer one has come already, by a shorter way.
+        # A newer state has already arrived by a shorter path.
         return False
     before, member.beat = member.beat, beat
     member.standing_said_milliseconds = said_milliseconds
@@ -90,12 +90,12 @@
 def take_told(
     member: member_module.Member, told: messages.Told, *, now_seconds: float
 ) -> bool:
-    """Take over what a hub tells of an instance.
+    """Apply what a hub reports of an instance.
 
     :param member: the instance
     :param told: the parts that changed
     :param now_seconds: reading of the process clock
-    :return: whether others must hear of the change at once
+    :return: whether the change must be sent on at once
     """
     before = member.beat
     beat = NOTHING_SAID if before is None else before
--- a/tests/coordination/fleet/test_fleet.py
+++ b/tests/coordination/fleet/test_fleet.py
@@ -1,4 +1,4 @@
-"""Finding each other, owning engines, and passing on what was published."""
+"""Discovery, engine ownership, and the forwarding of published changes."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def test_a_restarted_instance_is_found_though_its_seeds_are_down() -> None:
-    # The seeds of a restarted instance are down, yet the others must find it.
+    # The other instances must remember the address of a killed instance.
     fleet = settled()
     lost = fleet.addresses[6]
     fleet.kill(lost)
@@ -76,7 +76,7 @@
 
 
 def test_engines_have_owners_soon_after_all_were_killed() -> None:
-    # After a restart of all, no instance may claim every engine at once.
+    # No instance may claim every engine while it is still discovering others.
     fleet = gateways.Gateways()
     fleet.run(1.0)
     assert not any(fleet.claimants().values())
@@ -93,7 +93,8 @@
 
 
 def test_an_owner_that_comes_back_takes_nothing_away() -> None:
-    # Engines that change owners with every restart stand still each time.
+    # An engine serves nothing for a while whenever its owner changes, so a
+    # restart must not cause a second change.
     fleet = settled()
     (owner,) = fleet.claimants()["e0"]
     fleet.kill(owner)
@@ -114,7 +115,8 @@
 
 
 def test_the_last_of_a_data_centre_tells_the_others_that_it_leaves() -> None:
-    # It has no hub near and told nobody, so it was taken for silent.
+    # Without a hub in its data centre, the instance sent its heartbeats to
+    # nobody, and the others saw it become silent instead of leaving.
     fleet = settled(count=3)
     leaver = fleet.instances["10.1.0.1:70"]
     leaver.leaving = True
@@ -131,7 +133,8 @@
 def test_the_last_of_a_data_centre_hears_the_others_while_it_leaves(
     seed,
 ) -> None:
-    # Its hubs elsewhere told it nothing, and it took all others for gone.
+    # The hubs of other data centres sent it no reports, so it considered all
+    # other instances lost.
     fleet = gateways.Gateways(3, seed=seed)
     fleet.run(8.0)
     leaver = fleet.instances["10.1.0.1:70"]
@@ -143,7 +146,8 @@
 
 
 def test_an_engine_that_its_owner_cant_reach_goes_to_another() -> None:
-    # An engine partitioned from its owner alone must get another, for good.
+    # An engine partitioned from its owner alone must get another owner, which
+    # keeps the engine after the partition heals.
     fleet = settled()
     (owner,) = fleet.claimants()["e0"]
     fleet.instances[owner].avoided.add("e0")
@@ -156,7 +160,8 @@
 
 
 def test_a_new_owner_tells_whom_it_replaced_and_whom_it_hears() -> None:
-    # The log of an incident told neither.
+    # The log of an ownership change must hold both for the analysis of an
+    # incident.
     fleet = settled()
     engine = gateways.ENGINES[0]
     (lost,) = fleet.claimants()[engine.name]
@@ -181,7 +186,8 @@
     [owner_changes.LEAVING, owner_changes.UNREACHABLE],
 )
 def test_an_instance_tells_why_it_gave_an_engine_up(reason) -> None:
-    # Whoever can't reach an engine looked like one that was cut off.
+    # Without a reason, an instance that can't reach an engine looks like one
+    # that is itself partitioned.
     fleet = settled()
     engine = gateways.ENGINES[0]
     (former,) = fleet.claimants()[engine.name]
@@ -240,7 +246,7 @@
 
 
 def test_peers_tell_what_the_store_doesnt() -> None:
-    # An instance that the store turns away must learn of a withdrawn key.
+    # An instance that the store refuses must still learn of a withdrawn key.
     fleet = settled()
     shunned, *others = fleet.instances.values()
     shunned.behind = True
@@ -254,7 +260,8 @@
 
 
 def test_prefixes_that_are_read_apart_are_told_apart() -> None:
-    # Being behind on one prefix must not hide a newer change of another.
+    # A peer that is behind on one prefix must not hide a newer change of
+    # another prefix.
     fleet = settled()
     ignorant, half, other, *_ = fleet.instances.values()
     ignorant.behind = True
@@ -271,7 +278,8 @@
 
 
 def test_a_change_that_is_known_already_isnt_asked_for_again() -> None:
-    # News that is known already must not be asked for with every heartbeat.
+    # Changes that are already known must not be requested with every
+    # heartbeat.
     items = published_items.PublishedItems(prefixes=["op/"])
     items.take([published_items.Item("op/x", 5, b"x")], revision=5)
     items.take([], revision=7, told={"op/": 7})
--- a/tests/coordination/fleet/test_hubs.py
+++ b/tests/coordination/fleet/test_hubs.py
@@ -1,4 +1,4 @@
-"""Heartbeats of a large fleet, passed on by a few instances."""
+"""Heartbeats of a large fleet, forwarded by a few hubs."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def test_the_widest_links_are_hubs() -> None:
-    # A hub on a narrow link would hold its callers' answers up.
+    # A hub on a narrow link would delay the responses to its callers.
     wide = [candidate(number, capacity=200.0) for number in range(2)]
     narrow = [candidate(number) for number in range(2, 9)]
     chosen = hubs.hubs([*narrow, *wide, candidate(20, "dc-b")])
@@ -83,7 +83,7 @@
     fleet = large()
     before = fleet.network.sent
     fleet.run(10.0)
-    # Each to each would be 3,540 for each half second.
+    # If each sent to each, this would be 3,540 for each half second.
     assert (fleet.network.sent - before) / 10 < 900
     assert everyone_hears_everyone(fleet)
 
@@ -123,8 +123,9 @@
 
 
 def test_a_hub_that_was_restarted_is_a_hub_for_all() -> None:
-    # Whoever stood in for it took itself for a hub beside it for as long as
-    # the former process was held against the new one; nobody told it sums.
+    # The instance that replaced a killed hub stayed a hub beside the restarted
+    # one for as long as the timeout of the previous process counted against
+    # the new one, and no instance sent the replacement any sums.
     fleet = gateways.Gateways(24)
     fleet.run(SETTLED_SECONDS)
     hubs_of_all = {
@@ -151,7 +152,7 @@
 
 
 def test_an_owner_that_leaves_is_replaced_at_once() -> None:
-    # News of a leaving owner must not wait for heartbeats.
+    # The change must be sent on without waiting for the next heartbeats.
     fleet = large()
     (owner,) = fleet.claimants()["e0"]
     fleet.instances[owner].leaving = True
@@ -162,7 +163,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_large_fleet_finds_itself_after_cuts_and_kills(seed) -> None:
-    # After a partition and losses on both sides, all must meet again.
+    # After a partition with failures on both sides, all must rejoin.
     fleet = large(seed=seed, loss=0.01)
     rng = fleet.network.random
     inside = [
@@ -187,7 +188,7 @@
 
 
 def test_a_change_that_one_instance_read_is_everywhere_at_once() -> None:
-    # News of a withdrawn key must not wait for heartbeats.
+    # A withdrawn key must be known without waiting for the next heartbeats.
     fleet = large()
     for instance in fleet.instances.values():
         instance.behind = True
@@ -200,8 +201,8 @@
 
 
 def test_a_cut_causes_no_storm_of_greetings() -> None:
-    # Each greeted up to a dozen that are behind the cut, each second, on
-    # connections that don't open.
+    # Each instance tried to contact up to a dozen behind the partition every
+    # second, on connections that don't open.
     fleet = large()
     inside = [
         address
@@ -221,7 +222,7 @@
 
     fleet.network.post = counted
     fleet.run(4.0)
-    # Those of all together, and a few of hubs.
+    # The limit that all instances share, and some attempts by hubs.
     assert len(across) / 4.0 < 8 * LARGE
     fleet.network.post = post
     fleet.heal()
@@ -230,7 +231,7 @@
 
 
 def test_an_instance_that_is_cut_off_alone_serves_what_it_can() -> None:
-    # An instance partitioned from all must serve the engines it reaches.
+    # After its partition heals, an isolated instance must rejoin the fleet.
     fleet = large()
     alone = fleet.addresses[-1]
     fleet.cut([alone], [each for each in fleet.addresses if each != alone])
--- a/tests/coordination/fleet/test_hundreds.py
+++ b/tests/coordination/fleet/test_hundreds.py
@@ -1,4 +1,4 @@
-"""Hundreds of instances: what one costs, and that nobody notices later."""
+"""Cost per instance and detection times in a fleet of hundreds."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 FEW = 30
 MANY = 195
 SETTLED_SECONDS = 6.0
-# The users' aims for what control may send and receive.
+# Required limits for what the control plane sends and receives.
 BYTES_PER_SECOND = 6_000
 BUSIEST_BYTES_PER_SECOND = 60_000
 MESSAGES_PER_SECOND = 30
-# Of the mean from one size to the next.
+# Most growth of the mean from the small fleet to the large one.
 GROWTH = 1.1
 ENGINES = [
     gateways.engine(f"e{number}", gateways.CENTRES[number % 3])
@@ -25,7 +25,7 @@
 
 
 class Traffic:
-    """What instances send and receive, as it is packed."""
+    """Counts the messages that instances exchange, and their encoded bytes."""
 
     def __init__(self, fleet, seconds):
         codec = envelope.Codec(kinds=messages.KINDS)
@@ -64,7 +64,8 @@
 
 
 def test_an_instance_costs_the_same_in_a_large_fleet() -> None:
-    # Told of everyone twice a second, hundreds are busy with each other.
+    # If each is sent the state of all others twice a second, hundreds of
+    # instances spend their time on each other's heartbeats.
     few, many = Traffic(settled(FEW), 2.0), Traffic(settled(MANY), 2.0)
     assert many.mean(many.bytes) <= BYTES_PER_SECOND
     assert many.busiest(many.bytes) <= BUSIEST_BYTES_PER_SECOND
@@ -73,8 +74,8 @@
 
 
 def test_only_hubs_pass_on_what_they_hear() -> None:
-    # Two that had met took each other for followers for good: each told the
-    # other all that it heard, and passed each piece of news on.
+    # Two instances that had exchanged messages treated each other as followers
+    # for good: each sent the other all its state and every change.
     fleet = settled(MANY)
     hubs = {
         address
@@ -96,7 +97,7 @@
 
 
 def test_who_is_no_hub_looks_at_its_own_data_centre_only() -> None:
-    # Each ranked the whole fleet every second, to find that it is no hub.
+    # Each ranked the whole fleet every second, only to find that it is no hub.
     fleet = settled(MANY)
     looked_at = collections.defaultdict(set)
 
@@ -122,7 +123,7 @@
 
 
 def test_what_is_published_moves_no_engine_and_no_hub() -> None:
-    # Each publication had every instance look at all owners ten times a
+    # Each publication made every instance recompute all owners ten times a
     # second, for seconds.
     fleet = settled(FEW)
     for instance in fleet.instances.values():
@@ -155,7 +156,7 @@
     (successor,) = fleet.claimants()["e3"]
     assert successor != owner
 
-    # One instance reads that a key was withdrawn.
+    # One instance reads a withdrawn key from the store.
     for instance in fleet.instances.values():
         instance.behind = True
     reader = fleet.instances[fleet.addresses[100]]
@@ -167,7 +168,8 @@
 
 
 def test_hundreds_that_were_killed_together_find_each_other() -> None:
-    # All power is lost: lists of all to all would hold the links up.
+    # After a power failure, full lists sent by all to all would fill the
+    # links.
     fleet = settled(MANY)
     for address in list(fleet.instances):
         fleet.kill(address)
--- a/tests/coordination/fleet/test_lapses.py
+++ b/tests/coordination/fleet/test_lapses.py
@@ -32,7 +32,7 @@
 
 
 def test_an_endpoint_that_comes_back_never_went(side) -> None:
-    # An entry that lapsed while the store was down is no removal.
+    # A registration that expired in a store outage isn't a removal.
     side.lapses.store_returned()
     side.lapses.removed("e1")
     side.lapses.removed("e2")
@@ -61,7 +61,7 @@
 
 
 def test_a_removal_counts_at_once_where_only_we_lost_the_store(side) -> None:
-    # A removal must count at once where only this instance lost the store.
+    # If a peer kept its connection to the store, no registration expired.
     lapses = lapses_module.Lapses(
         timers=side.timers, drop=side.dropped.append, store_was_up=lambda: True
     )
--- a/tests/coordination/fleet/test_rate_cuts.py
+++ b/tests/coordination/fleet/test_rate_cuts.py
@@ -1,4 +1,4 @@
-"""What a workspace is given while instances can't hear each other."""
+"""Rate limits of a workspace during and after network partitions."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
     plain_tokens=1.0,
 )
 WINDOW_SECONDS = 8.0
-# The rate and burst in a window, and a quarter on top.
+# The rate and burst within a window, with a tolerance of a quarter.
 MOST_IN_A_WINDOW = 1.25 * (WINDOW_SECONDS * RATE + BURST)
 
 
 class Callers:
-    """Callers that send through all instances, whatever these are told."""
+    """Callers that send to all instances and ignore requests to wait."""
 
     def __init__(self, *, use, seed=1):
-        """Begin.
+        """Start a fleet.
 
-        :param use: what they send as a part of the rate
-        :param seed: of all chances
+        :param use: the rate of requests relative to the rate limit
+        :param seed: of the random numbers
         """
         self.fleet = gateways.Gateways(COUNT, seed=seed)
         self.admitted = []
@@ -99,8 +99,8 @@
 def test_a_cut_that_is_over_refuses_nobody_inside_the_rate(
     side, cut_seconds
 ) -> None:
-    # What the other side had admitted from its own part was taken out of
-    # buckets that had been filled with this side's part alone.
+    # What the other side had admitted within its own share was subtracted from
+    # buckets that had been filled with this side's share alone.
     callers = Callers(use=0.8)
     callers.send_over_a_cut(sides(callers, side), cut_seconds)
     assert not callers.refused
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize("side", ["instance", "data centre"])
 @pytest.mark.parametrize("cut_seconds", [6.0, 15.0])
 def test_a_cut_gives_nobody_more_than_the_rate(side, cut_seconds) -> None:
-    # Guards against the other side's part that is given here once more.
+    # The other side's share must not be granted on this side a second time.
     callers = Callers(use=3.0)
     callers.send_over_a_cut(sides(callers, side), cut_seconds)
     most = callers.most_in_a_window() * REQUEST_TOKENS
@@ -117,7 +117,8 @@
 
 
 def test_a_long_cut_gives_nobody_more_than_the_rate() -> None:
-    # Whoever is silent for long is taken for ended, and its part is given up.
+    # Instances that are silent for long are considered ended, and their share
+    # is given up.
     callers = Callers(use=3.0)
     callers.send_over_a_cut(sides(callers, "data centre"), 30.0)
     most = callers.most_in_a_window() * REQUEST_TOKENS
--- a/tests/coordination/fleet/test_rate_walk.py
+++ b/tests/coordination/fleet/test_rate_walk.py
@@ -1,4 +1,4 @@
-"""What instances believe of a rate, after everything that befalls messages."""
+"""Accuracy of the shared rate sums under failures and message loss."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 COUNT = 24
 FULL_TOKENS = 1e9
-# Nothing is refused and nothing is filled: a bucket's level tells the sum.
+# Nothing is refused or refilled, so the level of a bucket shows the sum.
 WORKSPACE = deployment.Workspace(
     name="press",
     keys=frozenset({"k"}),
@@ -23,20 +23,20 @@
     plain_tokens=1.0,
 )
 ROUNDS = 4
-# A heartbeat at the instance, one at its hub, one at the other hubs.
+# One heartbeat each of the instance, of its hub and of the other hubs.
 UNTOLD_SECONDS = 1.5
 
 
 class Walk:
-    """Instances that admit, while some are killed and messages are lost."""
+    """A fleet that admits requests during failures and message loss."""
 
     def __init__(self, seed, **options):
         self.fleet = gateways.Gateways(COUNT, seed=seed, **options)
         self.random = random.Random(seed)
         self.admitted = []
         self.fleet.run(8.0)
-        # Of a workspace that is new to an instance the first word is where
-        # its sum begins.
+        # An instance takes the first totals of a workspace that is new to it
+        # as the start of its sum.
         for amount in (0.0, 1.0):
             for instance in self.fleet.instances.values():
                 self._admit(instance, amount)
@@ -70,7 +70,7 @@
         )
 
     def errors(self):
-        """Tell how much more each believes than was admitted."""
+        """Compare each instance's sum with the amount really admitted."""
         self.fleet.run(5.0)
         total = sum(amount for _, amount in self.admitted)
         return [
@@ -110,7 +110,7 @@
 
 
 def test_a_cut_loses_and_doubles_nothing() -> None:
-    # Data centres lose each other; afterwards all must know of everything.
+    # After data centres lost each other, every instance must know all sums.
     walk = Walk(1)
     for centre in gateways.CENTRES:
         inside = [
@@ -143,18 +143,21 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_killed_hub_costs_what_was_admitted_in_a_moment(seed) -> None:
-    # Its instances find another hub; neither history nor seconds are lost.
+    # Its followers switch to another hub; neither the earlier sums nor whole
+    # seconds of new amounts may be lost.
     walk = Walk(seed)
     for _ in range(ROUNDS):
         walk.restart(walk.random.choice(sorted(walk.hubs())), 2.0)
         walk.admit_for(2.0)
     errors = walk.errors()
     moment = walk.most_in(UNTOLD_SECONDS)
-    # What a hub hadn't told of its own is lost. What it had told of a moment
-    # is counted twice at worst: it counts for its own data centre at most.
+    # Amounts that a hub admitted itself and hadn't reported are lost. Amounts
+    # that it had just reported are counted twice at worst, but only those of
+    # its own data centre.
     lost = ROUNDS * moment / COUNT
     doubled = ROUNDS * moment / len(gateways.CENTRES)
     assert -lost <= statistics.median(errors) <= doubled
-    # Who stands in for a hub misses a moment of all others, for itself.
+    # The instance that replaces a hub may itself miss the latest amounts of
+    # all others.
     assert min(errors) >= -lost - moment
     assert max(errors) <= doubled + moment
--- a/tests/coordination/fleet/test_readers.py
+++ b/tests/coordination/fleet/test_readers.py
@@ -18,7 +18,7 @@
 
 
 def reading(lost=()):
-    """Let every instance decide, given whom the store doesn't answer."""
+    """List the instances that read, if the store refuses ``lost``."""
     return {
         instance
         for instance in INSTANCES
@@ -53,7 +53,8 @@
 
 
 def test_one_of_a_data_centre_reads_where_others_are_heard() -> None:
-    # Two of each read, though one data centre tells another what it read.
+    # Two instances of each data centre read the store, although data centres
+    # forward what they read to each other.
     near, far = INSTANCES[:5], INSTANCES[5:]
     elsewhere = [each._replace(data_centre="dc-b") for each in far]
     everyone = [*near, *elsewhere]
--- a/tests/coordination/fleet/test_reports.py
+++ b/tests/coordination/fleet/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports of changes between a hub and those who get them."""
+"""Incremental reports between a hub and its receivers."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Hub:
-    """A writer, and a reader for each of its receivers."""
+    """A report writer, and a reader for each of its receivers."""
 
     def __init__(self, numbering=None):
         self.writer = reports.ReportWriter(
@@ -73,7 +73,8 @@
 
 
 def test_of_an_engine_only_what_changed_is_told() -> None:
-    # Told whole, each load of one adapter repeats all that engines hold.
+    # If engines were sent in full, each load of one adapter would repeat all
+    # that the engines hold.
     hub = Hub()
     held = (("base", "a1"), ("base", "a2"))
     hub.tell([member(0, (engine(0.0, held, (7, 8)),))])
@@ -88,7 +89,7 @@
 
 
 def test_engines_are_known_alike_after_many_changes() -> None:
-    # A change names places in the list that its receivers have.
+    # A change refers to positions in the list that its receivers have.
     rng = random.Random(3)
     hub = Hub()
     known = ()
@@ -114,7 +115,7 @@
 
 
 def test_a_lost_report_is_made_good() -> None:
-    # A receiver that missed a change must not believe in it for ever.
+    # A receiver that missed a change must not keep outdated state for ever.
     hub = Hub()
     hub.tell([member(0), member(1)])
     hub.tell([member(0)], lost=[ONE])
@@ -150,7 +151,7 @@
 
 
 def test_whoever_changes_groups_believes_the_newer_report() -> None:
-    # Numbers of two groups that are counted apart would look like old reports.
+    # If the groups were numbered separately, new reports would look outdated.
     numbering = itertools.count()
     hubs, followers = Hub(numbering), Hub(numbering)
     followers.readers = hubs.readers
@@ -175,8 +176,8 @@
 
 
 def test_a_change_is_as_new_as_its_newest_part() -> None:
-    # With the time of its engines, a leaving instance's word looked older than
-    # what another hub had told, and was ignored when that hub was lost.
+    # Dated by its engines alone, the report of a leaving instance looked older
+    # than that of another hub, and was ignored when that hub was lost.
     hub = Hub()
     hub.tell([member(0)])
     leaving = member(0, leaving=True)
