--- a/src/boragefold/coordination/fleet/heartbeats.py
+++ b/src/boragefold/coordination/fleet/heartbeats.py
@@ -20,17 +20,17 @@
 from boragefold.timing import timers as timing
 
 # Each attempt opens a new connection: the old one may be dead without a sign.
-GREET_SECONDS = 1.0
+CONTACT_SECONDS = 1.0
 # Of all mutually reachable instances together. If hundreds each contacted all
 # instances behind a network partition, they would be busy with connections
 # that don't open.
-GREETINGS_PER_SECOND = 6.0
+CONTACTS_PER_SECOND = 6.0
 # An instance with fewer reachable peers than this asks for the full list.
-FEW = 3
+MIN_PEERS = 3
 # Two instances that know different peers converge within some seconds.
 EXCHANGE_SECONDS = 2.0
 # Changes within this time share one message.
-NEWS_SECONDS = 0.05
+BATCH_SECONDS = 0.05
 
 
 class Heartbeats:
@@ -67,21 +67,21 @@
             self_id=link.self_id, members=members, timers=timers
         )
         numbering = itertools.count()
-        self._to_hubs = reports.ReportWriter(
+        self._hub_reports = reports.ReportWriter(
             numbering=numbering, first_hand=True
         )
-        self._to_followers = reports.ReportWriter(
+        self._follower_reports = reports.ReportWriter(
             numbering=numbering, first_hand=False
         )
         self._seeds: set[str] = set()
-        self._news: timing.Subscription | None = None
-        self._told_news: tuple[object, ...] = ()
-        self._passed_version = 0
+        self._pending_send: timing.Subscription | None = None
+        self._sent_state: tuple[object, ...] = ()
+        self._forwarded_version = 0
         self._has_followers = False
         self._is_hub = False
         self.add_seeds(seeds)
-        link.subscribe(messages.Heartbeat, self._take_heartbeat)
-        link.subscribe(messages.Introduction, self._take_introduction)
+        link.subscribe(messages.Heartbeat, self._handle_heartbeat)
+        link.subscribe(messages.Introduction, self._handle_introduction)
 
     @property
     def is_hub(self) -> bool:
@@ -93,12 +93,14 @@
 
     def start(self) -> None:
         """Start discovery and heartbeats."""
-        self._greet()
-        self._timers.every(period_seconds=GREET_SECONDS, callback=self._greet)
+        self._contact_silent()
         self._timers.every(
-            period_seconds=EXCHANGE_SECONDS, callback=self._exchange
+            period_seconds=CONTACT_SECONDS, callback=self._contact_silent
         )
-        self._beat()
+        self._timers.every(
+            period_seconds=EXCHANGE_SECONDS, callback=self._compare_members
+        )
+        self._send_periodically()
 
     def add_seeds(self, seeds: Iterable[str]) -> None:
         """Add addresses where instances may listen.
@@ -111,15 +113,15 @@
 
     def refresh(self) -> None:
         """Send a heartbeat at once if there is a change to send."""
-        if member_module.news_of(self._compose()) != self._told_news:
-            self.beat_now()
+        if member_module.news_of(self._compose()) != self._sent_state:
+            self.send_heartbeat()
         else:
-            self._pass_news_on_soon()
+            self._schedule_changes()
 
-    def beat_now(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat at once."""
         own = self._compose()
-        self._told_news = member_module.news_of(own)
+        self._sent_state = member_module.news_of(own)
         routes = self._routes.choose(own)
         self._is_hub = routes.is_hub
         self._members.awaited.await_from(
@@ -128,21 +130,22 @@
         followers = self._routes.followers(routes.targets)
         self._has_followers = bool(followers)
         # After listing the followers, which may find a newly silent instance.
-        self._passed_version = self._members.news_version
+        self._forwarded_version = self._members.news_version
         lacks = {*self._members.lacks(), *self._rates.lacks()}
         heartbeat = messages.Heartbeat(own, lacks=tuple(sorted(lacks)))
-        self._tell_hubs(heartbeat, routes, followers)
+        self._send_to_hubs(heartbeat, routes, followers)
         if followers:
-            self._tell_followers(heartbeat, followers)
+            self._send_to_followers(heartbeat, followers)
 
-    def _beat(self) -> None:
-        self.beat_now()
+    def _send_periodically(self) -> None:
+        self.send_heartbeat()
         self._members.note_silence()
         self._timers.once(
-            delay_seconds=self._members.beat_seconds(), callback=self._beat
+            delay_seconds=self._members.beat_seconds(),
+            callback=self._send_periodically,
         )
 
-    def _tell_hubs(
+    def _send_to_hubs(
         self,
         heartbeat: messages.Heartbeat,
         routes: routes_module.Chosen,
@@ -157,7 +160,7 @@
             self._send(routes.targets, heartbeat)
             return
         receivers = [self._members.identity(each) for each in routes.targets]
-        for report, chosen in self._to_hubs.write(
+        for report, chosen in self._hub_reports.write(
             followers, receivers, now_seconds=self._timers.now_seconds()
         ):
             self._send(
@@ -165,14 +168,14 @@
                 heartbeat._replace(report=report),
             )
 
-    def _tell_followers(
+    def _send_to_followers(
         self,
         heartbeat: messages.Heartbeat,
         followers: list[member_module.Member],
     ) -> None:
         subjects = self._members.to_vouch_for()
         receivers = [member.instance for member in followers]
-        for report, chosen in self._to_followers.write(
+        for report, chosen in self._follower_reports.write(
             subjects, receivers, now_seconds=self._timers.now_seconds()
         ):
             totals = self._rates.totals(whole=report.since is None)
@@ -180,45 +183,45 @@
             self._send((receiver.address for receiver in chosen), body)
 
     def _send(self, addresses: Iterable[str], body: object) -> None:
-        self._link.send_all(to=map(_anyone, addresses), body=body)
+        self._link.send_all(to=map(_any_incarnation, addresses), body=body)
 
-    def _greet(self) -> None:
+    def _contact_silent(self) -> None:
         self._members.forget_lost()
         self._rates.forget()
         silent = {
             member.instance.address: member
             for member in self._members.unreachable()
         }
-        heard = len(self._members.reachable())
-        for address in sorted(self._to_greet(silent, heard)):
+        reachable_count = len(self._members.reachable())
+        for address in sorted(self._choose_contacts(silent, reachable_count)):
             self._link.reconnect(silent[address].instance)
-            self._introduce(address, known=(), reply=heard)
+            self._send_introduction(address, known=(), reply=reachable_count)
 
-    def _to_greet(
-        self, silent: Mapping[str, member_module.Member], heard: int
+    def _choose_contacts(
+        self, silent: Mapping[str, member_module.Member], reachable_count: int
     ) -> set[str]:
-        share = min(1.0, GREETINGS_PER_SECOND / (heard + 1))
+        share = min(1.0, CONTACTS_PER_SECOND / (reachable_count + 1))
         wanted = {address for address in silent if self._rng.random() < share}
-        if heard < FEW:
+        if reachable_count < MIN_PEERS:
             wanted |= self._seeds & silent.keys()
-        if heard < FEW or self._is_hub:
+        if reachable_count < MIN_PEERS or self._is_hub:
             # The hubs of both sides of a partition rejoin the others.
             best = hubs.hubs(map(member_module.candidate_of, silent.values()))
             every = itertools.chain.from_iterable(best.values())
             wanted.update(candidate.address for candidate in every)
         return wanted
 
-    def _exchange(self) -> None:
+    def _compare_members(self) -> None:
         direct = self._members.direct()
         if direct:
             peer = self._rng.choice(direct)
-            self._introduce(
+            self._send_introduction(
                 peer.instance.address,
                 known=(),
                 digest=self._members.digest(),
             )
 
-    def _introduce(
+    def _send_introduction(
         self,
         address: str,
         *,
@@ -229,9 +232,9 @@
         body = messages.Introduction(
             members=tuple(known), heard=reply, digest=digest
         )
-        self._link.send(to=_anyone(address), body=body)
+        self._link.send(to=_any_incarnation(address), body=body)
 
-    def _take_introduction(
+    def _handle_introduction(
         self, sender: ids.InstanceId, body: messages.Introduction
     ) -> None:
         for instance in body.members:
@@ -239,46 +242,48 @@
         self._members.hear(sender)
         if body.digest and body.digest != self._members.digest():
             heard = self._members.reachable()
-            self._introduce(
+            self._send_introduction(
                 sender.address, known=(member.instance for member in heard)
             )
         if body.heard is None:
             return
         # Only a new instance gets the full list, which would repeat what the
         # others know.
-        if body.heard < FEW:
-            self._introduce(sender.address, known=self._members.instances())
+        if body.heard < MIN_PEERS:
+            self._send_introduction(
+                sender.address, known=self._members.instances()
+            )
         self._send([sender.address], messages.Heartbeat(self._compose()))
 
-    def _take_heartbeat(
+    def _handle_heartbeat(
         self, sender: ids.InstanceId, body: messages.Heartbeat
     ) -> None:
         self._members.hear(sender, body.beat, follows=body.to_hub)
         if body.report is not None:
             self._members.hear_report(sender, body.report)
         if self._link.self_id.address in body.lacks:
-            self._to_hubs.missed(sender)
-            self._to_followers.missed(sender)
+            self._hub_reports.missed(sender)
+            self._follower_reports.missed(sender)
         if self._link.self_id.address in body.beat.unheard:
             # The sender gets nothing from here: the connection may be dead.
             self._link.reconnect(sender)
         self._rates.take(sender, body)
-        self._pass_news_on_soon()
+        self._schedule_changes()
 
-    def _pass_news_on_soon(self) -> None:
-        is_news = self._members.news_version != self._passed_version
-        if is_news and self._has_followers and self._news is None:
-            self._news = self._timers.once(
-                delay_seconds=NEWS_SECONDS, callback=self._pass_news_on
+    def _schedule_changes(self) -> None:
+        has_changes = self._members.news_version != self._forwarded_version
+        if has_changes and self._has_followers and self._pending_send is None:
+            self._pending_send = self._timers.once(
+                delay_seconds=BATCH_SECONDS, callback=self._send_changes
             )
 
-    def _pass_news_on(self) -> None:
-        self._news = None
-        if self._members.news_version != self._passed_version:
-            self.beat_now()
+    def _send_changes(self) -> None:
+        self._pending_send = None
+        if self._members.news_version != self._forwarded_version:
+            self.send_heartbeat()
 
 
-def _anyone(address: str) -> ids.InstanceId:
+def _any_incarnation(address: str) -> ids.InstanceId:
     # Addresses any incarnation: the process may have been restarted.
     return ids.InstanceId("", address, "")
 
--- a/src/boragefold/coordination/fleet/hub_reports.py
+++ b/src/boragefold/coordination/fleet/hub_reports.py
@@ -35,7 +35,7 @@
         :param report: the report
         :param now_seconds: reading of the process clock
         :return: the entries by instance, and whether the set of instances
-            that the hub hears has changed
+            that the hub reports as alive has changed
         """
         reader = self._readers.setdefault(hub, reports.ReportReader())
         before = reader.vouched
--- a/src/boragefold/coordination/fleet/hubs.py
+++ b/src/boragefold/coordination/fleet/hubs.py
@@ -25,7 +25,7 @@
 # Two hubs of a data centre may fail at once.
 HUBS = 3
 # On a narrow link, the messages of a hub would delay responses to callers.
-WIDE_SHARE = 0.5
+MIN_CAPACITY_RATIO = 0.5
 FEWEST_HUBS = 2
 # One hub may fail without a gap in the heartbeats.
 UPLINKS = 2
@@ -79,7 +79,8 @@
     return [
         candidate
         for place, candidate in enumerate(ranked[:HUBS])
-        if place < FEWEST_HUBS or candidate.capacity >= WIDE_SHARE * widest
+        if place < FEWEST_HUBS
+        or candidate.capacity >= MIN_CAPACITY_RATIO * widest
     ]
 
 
@@ -94,7 +95,7 @@
     The order of a data centre's hubs depends on the instance, which spreads
     the instances over the hubs. The next candidate is added while a hub is
     overdue, before that hub is given up: an instance that loses all its hubs
-    at once is heard again before the others consider it silent.
+    at once reaches another before it is considered silent.
 
     :param own_address: the address of the instance
     :param ranked: the other instances of its data centre, best hub first
@@ -107,12 +108,12 @@
     )
     wanted = itertools.chain(first, ranked[len(chosen_hubs) :])
     chosen: list[str] = []
-    sound = 0
+    on_time = 0
     for hub in wanted:
-        if sound == UPLINKS:
+        if on_time == UPLINKS:
             break
         chosen.append(hub.address)
-        sound += hub.address not in late
+        on_time += hub.address not in late
     return chosen
 
 
--- a/src/boragefold/coordination/fleet/lapses.py
+++ b/src/boragefold/coordination/fleet/lapses.py
@@ -15,7 +15,7 @@
 from boragefold.timing import timers as timing
 
 # Live endpoints have renewed their registrations by then.
-RETURN_SECONDS = 2.3
+GRACE_SECONDS = 2.3
 
 
 class Lapses:
@@ -49,7 +49,7 @@
         """
         return max(0.0, self._until_seconds - self._timers.now_seconds())
 
-    def store_returned(self, within_seconds: float = RETURN_SECONDS) -> None:
+    def store_returned(self, within_seconds: float = GRACE_SECONDS) -> None:
         """Record that the store answers again, here or at a peer.
 
         :param within_seconds: time that endpoints may take to register again
@@ -87,5 +87,5 @@
 
 __all__ = [
     "Lapses",
-    "RETURN_SECONDS",
+    "GRACE_SECONDS",
 ]
--- a/src/boragefold/coordination/fleet/members.py
+++ b/src/boragefold/coordination/fleet/members.py
@@ -64,7 +64,7 @@
         self._direct_at_seconds = self._started_at_seconds
         self._reachable: dict[str, member_module.Member] = {}
         # No reachable instance can become silent before this time.
-        self._valid_until_seconds = -math.inf
+        self._reachable_until_seconds = -math.inf
         # Counts the changes that are sent on at once.
         self.news_version = 0
         # Counts the changes to who is reachable, owns an engine or is leaving.
@@ -118,8 +118,8 @@
 
         :return: those with a heartbeat or report within the silence timeout
         """
-        if self._timers.now_seconds() >= self._valid_until_seconds:
-            self._look_who_is_heard()
+        if self._timers.now_seconds() >= self._reachable_until_seconds:
+            self._update_reachable()
         return list(self._reachable.values())
 
     def age_seconds(self, member: member_module.Member) -> float:
@@ -153,7 +153,8 @@
         Two hubs that repeated each other's reports would keep a lost instance
         alive for ever.
 
-        :return: those heard directly, or by a hub that hears them directly
+        :return: those that send messages to this instance, or to a hub that
+            reports them
         """
         self._hub_reports.date(self._members)
         oldest = self._timers.now_seconds() - self.silent_seconds()
@@ -189,7 +190,7 @@
     def direct(self) -> list[member_module.Member]:
         """List the instances that send messages to this one directly.
 
-        :return: those heard within the silence timeout
+        :return: those that did so within the silence timeout
         """
         oldest = self._timers.now_seconds() - self.silent_seconds()
         return [
@@ -246,7 +247,8 @@
     def ages_seconds(self) -> list[float]:
         """Tell how long each peer has been silent.
 
-        :return: seconds for every peer ever heard; 0 for reachable ones
+        :return: seconds for every peer that was ever alive; 0 for reachable
+            ones
         """
         self.reachable()
         now_seconds = self._timers.now_seconds()
@@ -350,7 +352,7 @@
             member, sender, beat, now_seconds=now_seconds
         ):
             return
-        self._renew(member, sender)
+        self._replace_incarnation(member, sender)
         self._direct_at_seconds = now_seconds
         if member.direct_at_seconds < now_seconds - self.silent_seconds():
             self.news_version += 1
@@ -363,16 +365,16 @@
             return
         before = member.beat
         if told_parts.take_beat(member, beat, now_seconds=now_seconds):
-            self._note_change(before, member)
+            self._count_change(before, member)
         if sender.address not in self._reachable:
-            self._valid_until_seconds = -math.inf
+            self._reachable_until_seconds = -math.inf
         for callback in self._on_beat:
             callback(member.instance, beat)
 
     def hear_report(
         self, sender: ids.InstanceId, report: messages.Report
     ) -> None:
-        """Apply a hub's report of the instances that it hears.
+        """Apply a hub's report of the live instances.
 
         :param sender: the hub
         :param report: its report
@@ -382,9 +384,9 @@
             sender, report, now_seconds=now_seconds
         )
         for instance, told in entries:
-            self._hear_of(instance, told, now_seconds)
+            self._apply_entry(instance, told, now_seconds)
         if hears_others:
-            self._valid_until_seconds = -math.inf
+            self._reachable_until_seconds = -math.inf
 
     def know(self, instance: ids.InstanceId) -> member_module.Member | None:
         """Add an address where an instance may listen.
@@ -406,7 +408,7 @@
             self.version += 1
         return member
 
-    def _hear_of(
+    def _apply_entry(
         self,
         instance: ids.InstanceId,
         told: messages.Told,
@@ -417,12 +419,12 @@
             member, instance, told, now_seconds=now_seconds
         ):
             return
-        self._renew(member, instance)
+        self._replace_incarnation(member, instance)
         before = member.beat
         if told_parts.take_told(member, told, now_seconds=now_seconds):
-            self._note_change(before, member)
+            self._count_change(before, member)
 
-    def _note_change(
+    def _count_change(
         self, before: messages.Beat | None, member: member_module.Member
     ) -> None:
         self.news_version += 1
@@ -436,7 +438,7 @@
         ):
             self.version += 1
 
-    def _renew(
+    def _replace_incarnation(
         self, member: member_module.Member, instance: ids.InstanceId
     ) -> None:
         before = member.instance
@@ -444,18 +446,18 @@
             return
         member.renew(instance)
         self.awaited.renewed(instance.address)
-        self._valid_until_seconds = -math.inf
+        self._reachable_until_seconds = -math.inf
         if before.incarnation:
             for callback in self._on_gone:
                 callback(before)
 
-    def _look_who_is_heard(self) -> None:
+    def _update_reachable(self) -> None:
         self._hub_reports.date(self._members)
         now_seconds = self._timers.now_seconds()
         silent_seconds = self.silent_seconds()
         oldest = now_seconds - silent_seconds
         quiet_seconds = now_seconds - self._direct_at_seconds
-        oldest_told = oldest - min(quiet_seconds, ORPHAN_SECONDS)
+        oldest_reported = oldest - min(quiet_seconds, ORPHAN_SECONDS)
         heard = {
             address: member
             for address, member in self._members.items()
@@ -464,7 +466,7 @@
             >= (
                 oldest
                 if member.direct_at_seconds == member.vouched_at_seconds
-                else oldest_told
+                else oldest_reported
             )
         }
         if heard.keys() != self._reachable.keys():
@@ -475,7 +477,7 @@
             (member.vouched_at_seconds for member in heard.values()),
             default=now_seconds,
         )
-        self._valid_until_seconds = first + silent_seconds
+        self._reachable_until_seconds = first + silent_seconds
 
 
 __all__ = [
--- a/src/boragefold/coordination/fleet/rate_messages.py
+++ b/src/boragefold/coordination/fleet/rate_messages.py
@@ -49,15 +49,15 @@
         self._asked_at_seconds = -math.inf
         # The hubs that send totals, by incarnation: the names of their entries
         # and when their totals arrived last and first.
-        self._counters: dict[str, str] = {}
+        self._entry_names: dict[str, str] = {}
         self._counts_at_seconds: dict[str, float] = {}
         self._counts_since_seconds: dict[str, float] = {}
         members.subscribe(
             on_beat=lambda peer, beat: None,
             on_gone=lambda gone: accounts.forget_instance(gone.incarnation),
         )
-        link.subscribe(messages.LedgerAsk, self._take_ledger_ask)
-        link.subscribe(messages.Ledger, self._take_ledger)
+        link.subscribe(messages.LedgerAsk, self._handle_ledger_ask)
+        link.subscribe(messages.Ledger, self._handle_ledger)
 
     def compose(self, routes: routes_module.Chosen) -> messages.Account | None:
         """Count what was admitted here, or report it to the hub that counts.
@@ -78,7 +78,7 @@
         account = self._accounts.state(counter, now_seconds=now_seconds)
         if not account.amounts and not account.former:
             return None
-        return account._replace(amounts=_plain(account.amounts))
+        return account._replace(amounts=_compact(account.amounts))
 
     def entry(self) -> messages.ToldEntry | None:
         """Report to other hubs what is counted here.
@@ -90,7 +90,7 @@
         )
         if told is None or told.entry is None:
             return told
-        entry = told.entry._replace(sums=_plain(told.entry.sums))
+        entry = told.entry._replace(sums=_compact(told.entry.sums))
         return told._replace(entry=entry)
 
     def totals(self, *, whole: bool) -> messages.Totals | None:
@@ -102,7 +102,7 @@
         totals = self._accounts.told_totals(
             whole=whole, now_seconds=self._timers.now_seconds()
         )
-        return totals and totals._replace(amounts=_plain(totals.amounts))
+        return totals and totals._replace(amounts=_compact(totals.amounts))
 
     def lacks(self) -> Iterator[str]:
         """List the hubs that must send their full totals.
@@ -113,7 +113,7 @@
             return
         for member in self._members.direct():
             incarnation = member.instance.incarnation
-            if self._counters.get(incarnation) == self._accounts.counter:
+            if self._entry_names.get(incarnation) == self._accounts.counter:
                 yield member.instance.address
 
     def take(
@@ -130,9 +130,9 @@
                 sender.incarnation, heartbeat.account, now_seconds=now_seconds
             )
         if heartbeat.entry is not None:
-            self._take_entry(sender, heartbeat.entry, now_seconds)
+            self._apply_entry(sender, heartbeat.entry, now_seconds)
         if heartbeat.totals is not None:
-            self._take_totals(
+            self._apply_totals(
                 sender.incarnation, heartbeat.totals, now_seconds
             )
 
@@ -140,13 +140,13 @@
         """Drop the state of hubs that are gone."""
         now_seconds = self._timers.now_seconds()
         self._accounts.forget(now_seconds=now_seconds)
-        for hub in list(self._counters):
-            if not self._counts(hub):
-                del self._counters[hub]
+        for hub in list(self._entry_names):
+            if not self._is_counting(hub):
+                del self._entry_names[hub]
                 del self._counts_at_seconds[hub]
                 del self._counts_since_seconds[hub]
 
-    def _take_entry(
+    def _apply_entry(
         self,
         sender: ids.InstanceId,
         entry: messages.ToldEntry,
@@ -157,10 +157,10 @@
         ):
             self._ask_for_ledger(sender, now_seconds)
 
-    def _take_totals(
+    def _apply_totals(
         self, hub: str, totals: messages.Totals, now_seconds: float
     ) -> None:
-        self._counters[hub] = messages.entry_name(hub, totals.serial)
+        self._entry_names[hub] = messages.entry_name(hub, totals.serial)
         self._counts_at_seconds[hub] = now_seconds
         self._counts_since_seconds.setdefault(hub, now_seconds)
         self._accounts.hear_totals(hub, totals, now_seconds=now_seconds)
@@ -193,14 +193,14 @@
         self._asked_at_seconds = now_seconds
         self._link.send(to=hub, body=messages.LedgerAsk())
 
-    def _take_ledger_ask(
+    def _handle_ledger_ask(
         self, sender: ids.InstanceId, body: messages.LedgerAsk
     ) -> None:
         ledger = self._accounts.ledger(now_seconds=self._timers.now_seconds())
         if ledger is not None:
             self._link.send(to=sender, body=ledger)
 
-    def _take_ledger(
+    def _handle_ledger(
         self, sender: ids.InstanceId, body: messages.Ledger
     ) -> None:
         self._accounts.merge(body, now_seconds=self._timers.now_seconds())
@@ -210,24 +210,24 @@
             self._members.identity(address).incarnation
             for address in routes.targets
         ]
-        counting = list(filter(self._counts, hubs))
-        counters = {self._counters[hub] for hub in counting}
+        counting = list(filter(self._is_counting, hubs))
+        counters = {self._entry_names[hub] for hub in counting}
         if self._accounts.counter in counters:
             return self._accounts.counter
         # A hub that has just started hasn't heard from all instances yet.
         hub = min(counting, key=self._counting_since, default=None)
-        return None if hub is None else self._counters[hub]
+        return None if hub is None else self._entry_names[hub]
 
     def _counting_since(self, incarnation: str) -> float:
         return self._counts_since_seconds[incarnation]
 
-    def _counts(self, incarnation: str) -> bool:
+    def _is_counting(self, incarnation: str) -> bool:
         oldest = self._timers.now_seconds() - self._members.silent_seconds()
         heard_at_seconds = self._counts_at_seconds.get(incarnation)
         return heard_at_seconds is not None and heard_at_seconds >= oldest
 
 
-def _plain(amounts: dict[str, float]) -> dict[str, float]:
+def _compact(amounts: dict[str, float]) -> dict[str, float]:
     # An integer takes a third of the bytes of a float.
     return {
         workspace: int(amount) if float(amount).is_integer() else amount
--- a/src/boragefold/coordination/fleet/readers.py
+++ b/src/boragefold/coordination/fleet/readers.py
@@ -33,7 +33,7 @@
     :param members: the reachable other instances
     :return: whether it ranks among the readers of its data centre
     """
-    able = [
+    eligible = [
         member.instance
         for member in members
         if member.beat is not None
@@ -41,15 +41,15 @@
         and not member.beat.leaving
     ]
     own_rank = _rank(self_id)
-    before = sum(
+    better_ranked = sum(
         instance.data_centre == self_id.data_centre
         and _rank(instance) < own_rank
-        for instance in able
+        for instance in eligible
     )
     hears_others = any(
-        instance.data_centre != self_id.data_centre for instance in able
+        instance.data_centre != self_id.data_centre for instance in eligible
     )
-    return before < (READERS_BESIDE_OTHERS if hears_others else READERS)
+    return better_ranked < (READERS_BESIDE_OTHERS if hears_others else READERS)
 
 
 def _rank(instance: ids.InstanceId) -> int:
--- a/src/boragefold/coordination/fleet/relay.py
+++ b/src/boragefold/coordination/fleet/relay.py
@@ -49,8 +49,8 @@
         self._behind = behind
         self._lapses = lapses
         self._asked_at_seconds = -ASK_PAUSE_SECONDS
-        link.subscribe(messages.Pull, self._answer)
-        link.subscribe(messages.Published, self._take)
+        link.subscribe(messages.Pull, self._handle_pull)
+        link.subscribe(messages.Published, self._handle_published)
 
     def on_beat(self, sender: ids.InstanceId, beat: messages.Beat) -> None:
         """Request the missing changes from a peer that has newer ones.
@@ -67,7 +67,9 @@
         pull = messages.Pull(told=dict(self._items.told))
         self._link.send(to=sender, body=pull)
 
-    def _answer(self, sender: ids.InstanceId, pull: messages.Pull) -> None:
+    def _handle_pull(
+        self, sender: ids.InstanceId, pull: messages.Pull
+    ) -> None:
         items = tuple(
             messages.PublishedItem(*item)
             for item in self._items.after(pull.told)
@@ -81,7 +83,9 @@
             ),
         )
 
-    def _take(self, sender: ids.InstanceId, body: messages.Published) -> None:
+    def _handle_published(
+        self, sender: ids.InstanceId, body: messages.Published
+    ) -> None:
         if body.settling_seconds:
             self._lapses.store_returned(body.settling_seconds)
         items = (published_items.Item(*item) for item in body.items)
--- a/src/boragefold/coordination/fleet/reports.py
+++ b/src/boragefold/coordination/fleet/reports.py
@@ -1,4 +1,4 @@
-"""Incremental reports of a hub about the instances that it hears.
+"""Incremental reports of a hub about the live instances.
 
 Load pattern: hundreds of instances that need to know of each other, of which
 few join, leave or own an engine. If each were sent the full state twice a
@@ -23,7 +23,7 @@
 from boragefold.protocol import peer_messages as messages
 
 
-class Known(NamedTuple):
+class ReportedState(NamedTuple):
     """The last reported state of an instance, and its number in reports."""
 
     number: int
@@ -41,14 +41,14 @@
 
         :param numbering: shared by all reports of this hub, so that a receiver
             that moves between groups can tell which report is newer
-        :param first_hand: whether the reports list only instances that the
-            hub hears directly
+        :param first_hand: whether the reports list only instances that send
+            their heartbeats to this hub
         """
         self._numbering = numbering
         self._first_hand = first_hand
         self._number: int | None = None
         self._numbers = itertools.count()
-        self._known: dict[str, Known] = {}
+        self._reported: dict[str, ReportedState] = {}
         self._receivers: set[ids.InstanceId] = set()
 
     def write(
@@ -60,20 +60,20 @@
     ) -> Iterator[tuple[messages.Report, list[ids.InstanceId]]]:
         """Write the next report.
 
-        :param members: the instances that the hub hears
+        :param members: the instances to report as alive
         :param receivers: the instances that the report is sent to
         :param now_seconds: reading of the process clock
         :return: an incremental report for receivers that have all previous
             ones, and a full one for the others; each with its receivers
         """
-        changes = self._changes(members, now_seconds)
+        changes = self._incremental_report(members, now_seconds)
         former = [one for one in receivers if one in self._receivers]
         new = [one for one in receivers if one not in self._receivers]
         self._receivers = set(receivers)
         if former:
             yield changes, former
         if new:
-            yield self._whole(members, now_seconds), new
+            yield self._full_report(members, now_seconds), new
 
     def missed(self, receiver: ids.InstanceId) -> None:
         """Send a receiver the full state with the next report.
@@ -82,7 +82,7 @@
         """
         self._receivers.discard(receiver)
 
-    def _changes(
+    def _incremental_report(
         self,
         members: Collection[member_module.Member],
         now_seconds: float,
@@ -90,15 +90,15 @@
         present = {member.instance for member in members}
         gone = [
             known
-            for known in self._known.values()
+            for known in self._reported.values()
             if known.instance not in present
         ]
         for known in gone:
-            del self._known[known.instance.address]
+            del self._reported[known.instance.address]
         told = tuple(
             change
             for member in members
-            if (change := self._change(member, now_seconds)) is not None
+            if (change := self._changed_entry(member, now_seconds)) is not None
         )
         since, self._number = self._number, next(self._numbering)
         silent = tuple(known.number for known in gone)
@@ -106,57 +106,60 @@
             self._number, since, self._first_hand, told, silent
         )
 
-    def _change(
+    def _changed_entry(
         self, member: member_module.Member, now_seconds: float
     ) -> messages.Told | None:
         beat = member.beat
         if beat is None:
             return None
-        known = self._known.get(member.instance.address)
+        known = self._reported.get(member.instance.address)
         if known is None:
-            known = Known(
+            known = ReportedState(
                 next(self._numbers),
                 member.instance,
                 _standing_of(beat),
                 beat.engines,
                 member.said_milliseconds,
             )
-            self._known[member.instance.address] = known
-            return _everything(known, member, now_seconds)
+            self._reported[member.instance.address] = known
+            return _full_entry(known, member, now_seconds)
         standing = _standing_of(beat)
-        stands = standing == known.standing
+        unchanged = standing == known.standing
         changes = engine_changes.between(known.engines, beat.engines)
-        if stands and changes == ():
+        if unchanged and changes == ():
             return None
         engines = (
             None
             if changes is None
             else engine_changes.applied(known.engines, changes)
         )
-        now_known = known._replace(
+        reported = known._replace(
             standing=standing,
             # As the receivers have it: the next change refers to positions.
             engines=beat.engines if engines is None else engines,
             said_milliseconds=member.said_milliseconds,
         )
-        self._known[member.instance.address] = now_known
+        self._reported[member.instance.address] = reported
         return messages.Told(
             known.number,
-            now_known.said_milliseconds,
-            standing=None if stands else _aged(now_known, member, now_seconds),
+            reported.said_milliseconds,
+            standing=None
+            if unchanged
+            else _with_uptime(reported, member, now_seconds),
             engines=beat.engines if changes is None else None,
             changes=changes or None,
         )
 
-    def _whole(
+    def _full_report(
         self,
         members: Collection[member_module.Member],
         now_seconds: float,
     ) -> messages.Report:
         told = tuple(
-            _everything(known, member, now_seconds)
+            _full_entry(known, member, now_seconds)
             for member in members
-            if (known := self._known.get(member.instance.address)) is not None
+            if (known := self._reported.get(member.instance.address))
+            is not None
         )
         return messages.Report(
             self._number or 0, None, self._first_hand, told, ()
@@ -167,9 +170,9 @@
     """Assembles the reports of one incarnation of a hub.
 
     ``heard_at_seconds`` is when its last report arrived, ``vouched`` holds the
-    instances that it hears, by address, and ``complete`` tells whether no
-    report was missed. ``first_hand`` tells whether the hub hears all of them
-    directly.
+    instances that it reports as alive, by address, and ``complete`` tells
+    whether no report was missed. ``first_hand`` tells whether all of them send
+    their heartbeats to this hub.
     """
 
     def __init__(self) -> None:
@@ -203,7 +206,7 @@
             self._instances.clear()
         for number in report.silent:
             self._instances.pop(number, None)
-        told = [*self._named(report.told)]
+        told = [*self._resolve_numbers(report.told)]
         named = any(entry.instance is not None for entry in report.told)
         if whole or report.silent or named:
             self.vouched = {
@@ -212,7 +215,7 @@
             }
         return told
 
-    def _named(
+    def _resolve_numbers(
         self, entries: Iterable[messages.Told]
     ) -> Iterator[tuple[ids.InstanceId, messages.Told]]:
         for told in entries:
@@ -237,22 +240,22 @@
     )
 
 
-def _aged(
-    known: Known, member: member_module.Member, now_seconds: float
+def _with_uptime(
+    known: ReportedState, member: member_module.Member, now_seconds: float
 ) -> messages.Standing:
     return known.standing._replace(
         uptime_seconds=round(now_seconds - member.started_at_seconds, 3)
     )
 
 
-def _everything(
-    known: Known, member: member_module.Member, now_seconds: float
+def _full_entry(
+    known: ReportedState, member: member_module.Member, now_seconds: float
 ) -> messages.Told:
     return messages.Told(
         known.number,
         known.said_milliseconds,
         known.instance,
-        _aged(known, member, now_seconds),
+        _with_uptime(known, member, now_seconds),
         known.engines,
     )
 
--- a/src/boragefold/coordination/fleet/routes.py
+++ b/src/boragefold/coordination/fleet/routes.py
@@ -14,7 +14,7 @@
 from boragefold.timing import timers as timing
 
 # The choice is repeated after this time, or when an instance comes or goes.
-LOOK_AGAIN_SECONDS = 1.0
+REFRESH_SECONDS = 1.0
 
 
 class Chosen(NamedTuple):
@@ -50,7 +50,7 @@
         self._members = members
         self._timers = timers
         self._chosen = Chosen((), False, False)
-        self._chosen_for: tuple[object, ...] = ()
+        self._chosen_inputs: tuple[object, ...] = ()
 
     def choose(self, own: messages.Beat) -> Chosen:
         """Choose the targets of the next heartbeat.
@@ -60,16 +60,16 @@
             its data centre
         """
         late = self._members.late()
-        slot = self._timers.now_seconds() // LOOK_AGAIN_SECONDS
-        wanted_for = (
+        slot = self._timers.now_seconds() // REFRESH_SECONDS
+        inputs = (
             self._members.version,
             late,
             slot,
             own.leaving,
             own.link_megabits,
         )
-        if wanted_for != self._chosen_for:
-            self._chosen_for = wanted_for
+        if inputs != self._chosen_inputs:
+            self._chosen_inputs = inputs
             self._chosen = self._choose(own, late)
         return self._chosen
 
@@ -93,40 +93,48 @@
         ]
 
     def _choose(self, own: messages.Beat, late: frozenset[str]) -> Chosen:
-        us = hubs.Candidate(
+        own_candidate = hubs.Candidate(
             self._self_id.address,
             self._self_id.data_centre,
             own.link_megabits,
         )
-        near = hubs.rank(self._members.hub_candidates(us.data_centre))
+        local = hubs.rank(
+            self._members.hub_candidates(own_candidate.data_centre)
+        )
         # The successor of an overdue hub acts as a hub before that one is
         # given up, or the heartbeats of its instances would be lost.
-        beside = [other for other in near if other.address not in late]
-        if own.leaving or us not in hubs.best(hubs.rank([us, *beside])):
-            uplinks = hubs.uplinks(us.address, near, late=late)
+        local_on_time = [other for other in local if other.address not in late]
+        if own.leaving or own_candidate not in hubs.best(
+            hubs.rank([own_candidate, *local_on_time])
+        ):
+            uplinks = hubs.uplinks(own_candidate.address, local, late=late)
             # The last instance of a data centre tells other hubs as it leaves.
-            return Chosen(tuple(uplinks) or self._far_hubs(late), False, False)
+            return Chosen(
+                tuple(uplinks) or self._remote_hubs(late), False, False
+            )
         # Only hubs need to know the hubs of other data centres.
         others = self._members.hub_candidates()
-        sound = [other for other in others if other.address not in late]
-        at_once = hubs.hubs([us, *sound])
-        lasting = hubs.hubs([us, *others])
-        every = (*_every(at_once), *_every(lasting))
-        targets = dict.fromkeys(every)
-        targets.pop(us.address, None)
-        counts = us in lasting.get(us.data_centre, [])
+        on_time = [other for other in others if other.address not in late]
+        acting = hubs.hubs([own_candidate, *on_time])
+        confirmed = hubs.hubs([own_candidate, *others])
+        addresses = (*_addresses(acting), *_addresses(confirmed))
+        targets = dict.fromkeys(addresses)
+        targets.pop(own_candidate.address, None)
+        counts = own_candidate in confirmed.get(own_candidate.data_centre, [])
         return Chosen(tuple(targets), True, counts)
 
-    def _far_hubs(self, late: frozenset[str]) -> tuple[str, ...]:
+    def _remote_hubs(self, late: frozenset[str]) -> tuple[str, ...]:
         others = self._members.hub_candidates()
-        return _every(
+        return _addresses(
             hubs.hubs(other for other in others if other.address not in late)
         )
 
 
-def _every(by_centre: Mapping[str, list[hubs.Candidate]]) -> tuple[str, ...]:
-    every = itertools.chain.from_iterable(by_centre.values())
-    return tuple(hub.address for hub in every)
+def _addresses(
+    by_centre: Mapping[str, list[hubs.Candidate]],
+) -> tuple[str, ...]:
+    all_hubs = itertools.chain.from_iterable(by_centre.values())
+    return tuple(hub.address for hub in all_hubs)
 
 
 __all__ = [
--- a/src/boragefold/coordination/fleet/told_parts.py
+++ b/src/boragefold/coordination/fleet/told_parts.py
@@ -11,7 +11,7 @@
 from boragefold.protocol import ids
 from boragefold.protocol import peer_messages as messages
 
-NOTHING_SAID = messages.Beat(0.0, False, {}, (), ())
+EMPTY_BEAT = messages.Beat(0.0, False, {}, (), ())
 
 
 def is_current(
@@ -84,7 +84,7 @@
     member.standing_said_milliseconds = said_milliseconds
     member.engines_said_milliseconds = said_milliseconds
     _note_start(member, now_seconds - beat.uptime_seconds)
-    return before is None or _differ(before, beat)
+    return before is None or _has_urgent_change(before, beat)
 
 
 def take_told(
@@ -98,7 +98,7 @@
     :return: whether the change must be sent on at once
     """
     before = member.beat
-    beat = NOTHING_SAID if before is None else before
+    beat = EMPTY_BEAT if before is None else before
     said_milliseconds = told.said_milliseconds
     standing = told.standing
     if (
@@ -114,7 +114,9 @@
             member.engines_said_milliseconds = said_milliseconds
             beat = beat._replace(engines=engines)
     member.beat = beat
-    return before is None or (beat is not before and _differ(before, beat))
+    return before is None or (
+        beat is not before and _has_urgent_change(before, beat)
+    )
 
 
 def _engines_of(
@@ -135,7 +137,7 @@
     )
 
 
-def _differ(before: messages.Beat, beat: messages.Beat) -> bool:
+def _has_urgent_change(before: messages.Beat, beat: messages.Beat) -> bool:
     return member_module.news_of(before) != member_module.news_of(beat)
 
 
--- a/tests/coordination/fleet/test_fleet.py
+++ b/tests/coordination/fleet/test_fleet.py
@@ -54,7 +54,7 @@
     assert everyone_knows_everyone(fleet)
 
 
-def test_lost_messages_are_not_taken_for_the_end_of_an_instance() -> None:
+def test_lost_messages_make_no_instance_silent() -> None:
     fleet = settled(loss=0.03)
     flaps = []
     for instance in fleet.instances.values():
@@ -92,7 +92,7 @@
     assert one_owner_each(fleet)
 
 
-def test_an_owner_that_comes_back_takes_nothing_away() -> None:
+def test_a_restarted_owner_doesnt_reclaim_its_engines() -> None:
     # An engine serves nothing for a while whenever its owner changes, so a
     # restart must not cause a second change.
     fleet = settled()
@@ -159,7 +159,7 @@
     assert fleet.claimants()["e0"] == [successor]
 
 
-def test_a_new_owner_tells_whom_it_replaced_and_whom_it_hears() -> None:
+def test_an_ownership_change_lists_former_owner_and_peers() -> None:
     # The log of an ownership change must hold both for the analysis of an
     # incident.
     fleet = settled()
@@ -185,7 +185,7 @@
     "reason",
     [owner_changes.LEAVING, owner_changes.UNREACHABLE],
 )
-def test_an_instance_tells_why_it_gave_an_engine_up(reason) -> None:
+def test_an_ownership_change_has_a_reason(reason) -> None:
     # Without a reason, an instance that can't reach an engine looks like one
     # that is itself partitioned.
     fleet = settled()
@@ -248,30 +248,30 @@
 def test_peers_tell_what_the_store_doesnt() -> None:
     # An instance that the store refuses must still learn of a withdrawn key.
     fleet = settled()
-    shunned, *others = fleet.instances.values()
-    shunned.behind = True
+    refused, *others = fleet.instances.values()
+    refused.behind = True
     for each in others:
         each.items.take(
             [published_items.Item("op/config", 9, b"new")], revision=9
         )
     fleet.run(1.0)
-    assert [item.value for item in shunned.items.below("op/")] == [b"new"]
-    assert shunned.items.revision == 9
+    assert [item.value for item in refused.items.below("op/")] == [b"new"]
+    assert refused.items.revision == 9
 
 
 def test_prefixes_that_are_read_apart_are_told_apart() -> None:
     # A peer that is behind on one prefix must not hide a newer change of
     # another prefix.
     fleet = settled()
-    ignorant, half, other, *_ = fleet.instances.values()
-    ignorant.behind = True
+    outdated, half, other, *_ = fleet.instances.values()
+    outdated.behind = True
     leaving = published_items.Item("servers/e1", 8, b"leaving")
     changed = published_items.Item("op/config", 9, b"new")
     half.items.take([changed], revision=9)
     fleet.run(1.0)
     other.items.take([changed, leaving], revision=9)
     fleet.run(1.0)
-    assert [item.value for item in ignorant.items.below("")] == [
+    assert [item.value for item in outdated.items.below("")] == [
         b"new",
         b"leaving",
     ]
@@ -298,7 +298,7 @@
     assert items.revision == 6
 
 
-def test_what_a_listing_lacks_was_removed() -> None:
+def test_items_missing_from_a_listing_are_removed() -> None:
     items = published_items.PublishedItems()
     items.take(
         [
--- a/tests/coordination/fleet/test_hubs.py
+++ b/tests/coordination/fleet/test_hubs.py
@@ -54,14 +54,14 @@
     assert len(chosen["dc-a"]) == hubs.HUBS
 
 
-def test_narrow_links_serve_where_a_wide_one_is_alone() -> None:
+def test_a_narrow_link_is_used_if_only_one_is_wide() -> None:
     wide = candidate(0, capacity=200.0)
     chosen = hubs.hubs([wide, *map(candidate, range(1, 5))])
     assert chosen["dc-a"][0] == wide
     assert len(chosen["dc-a"]) == hubs.FEWEST_HUBS
 
 
-def test_a_late_hub_is_joined_by_the_next() -> None:
+def test_the_next_hub_is_added_while_one_is_overdue() -> None:
     ranked = hubs.rank([candidate(number) for number in range(9)])
     sound = hubs.uplinks("10.1.0.50:70", ranked)
     late = hubs.uplinks("10.1.0.50:70", ranked, late=sound)
@@ -88,7 +88,7 @@
     assert everyone_hears_everyone(fleet)
 
 
-def test_a_large_fleet_shares_engines_out() -> None:
+def test_each_engine_of_a_large_fleet_has_one_owner() -> None:
     fleet = large()
     assert all(len(owners) == 1 for owners in fleet.claimants().values())
 
@@ -200,7 +200,7 @@
     assert revisions == {9}
 
 
-def test_a_cut_causes_no_storm_of_greetings() -> None:
+def test_a_partition_causes_few_connection_attempts() -> None:
     # Each instance tried to contact up to a dozen behind the partition every
     # second, on connections that don't open.
     fleet = large()
--- a/tests/coordination/fleet/test_hundreds.py
+++ b/tests/coordination/fleet/test_hundreds.py
@@ -9,8 +9,8 @@
 from boragefold.state import published_items
 from tests.fakes import gateways
 
-FEW = 30
-MANY = 195
+SMALL = 30
+LARGE = 195
 SETTLED_SECONDS = 6.0
 # Required limits for what the control plane sends and receives.
 BYTES_PER_SECOND = 6_000
@@ -66,17 +66,17 @@
 def test_an_instance_costs_the_same_in_a_large_fleet() -> None:
     # If each is sent the state of all others twice a second, hundreds of
     # instances spend their time on each other's heartbeats.
-    few, many = Traffic(settled(FEW), 2.0), Traffic(settled(MANY), 2.0)
+    few, many = Traffic(settled(SMALL), 2.0), Traffic(settled(LARGE), 2.0)
     assert many.mean(many.bytes) <= BYTES_PER_SECOND
     assert many.busiest(many.bytes) <= BUSIEST_BYTES_PER_SECOND
     assert many.mean(many.messages) <= MESSAGES_PER_SECOND
     assert many.mean(many.bytes) <= GROWTH * few.mean(few.bytes)
 
 
-def test_only_hubs_pass_on_what_they_hear() -> None:
+def test_only_hubs_forward_heartbeats() -> None:
     # Two instances that had exchanged messages treated each other as followers
     # for good: each sent the other all its state and every change.
-    fleet = settled(MANY)
+    fleet = settled(LARGE)
     hubs = {
         address
         for address, instance in fleet.instances.items()
@@ -96,9 +96,9 @@
     assert all(pair & hubs for pair in told)
 
 
-def test_who_is_no_hub_looks_at_its_own_data_centre_only() -> None:
+def test_only_hubs_rank_other_data_centres() -> None:
     # Each ranked the whole fleet every second, only to find that it is no hub.
-    fleet = settled(MANY)
+    fleet = settled(LARGE)
     looked_at = collections.defaultdict(set)
 
     def watch(address, members):
@@ -115,17 +115,17 @@
         if not instance.heartbeats.is_hub:
             watch(address, instance.members)
     fleet.run(2.0)
-    assert len(looked_at) > MANY / 2
+    assert len(looked_at) > LARGE / 2
     assert all(
         centres == {fleet.instances[address].node.self_id.data_centre}
         for address, centres in looked_at.items()
     )
 
 
-def test_what_is_published_moves_no_engine_and_no_hub() -> None:
+def test_a_publication_changes_no_owner_and_no_hub() -> None:
     # Each publication made every instance recompute all owners ten times a
     # second, for seconds.
-    fleet = settled(FEW)
+    fleet = settled(SMALL)
     for instance in fleet.instances.values():
         instance.behind = True
     instances = fleet.instances.values()
@@ -138,7 +138,7 @@
 
 
 def test_hundreds_notice_losses_and_news_at_once() -> None:
-    fleet = settled(MANY)
+    fleet = settled(LARGE)
     assert one_owner_each(fleet)
 
     # Owners of engines are killed.
@@ -170,7 +170,7 @@
 def test_hundreds_that_were_killed_together_find_each_other() -> None:
     # After a power failure, full lists sent by all to all would fill the
     # links.
-    fleet = settled(MANY)
+    fleet = settled(LARGE)
     for address in list(fleet.instances):
         fleet.kill(address)
     for address in fleet.addresses:
@@ -178,7 +178,7 @@
     traffic = Traffic(fleet, 4.0)
     assert one_owner_each(fleet)
     assert all(
-        len(instance.members.reachable()) == MANY - 1
+        len(instance.members.reachable()) == LARGE - 1
         for instance in fleet.instances.values()
     )
     assert traffic.mean(traffic.bytes) <= 4 * BYTES_PER_SECOND
--- a/tests/coordination/fleet/test_lapses.py
+++ b/tests/coordination/fleet/test_lapses.py
@@ -7,7 +7,7 @@
 from boragefold.timing import timers as timing
 
 
-class Side:
+class Harness:
     def __init__(self):
         self.clock = clocks.VirtualClock()
         self.timers = timing.TimerService(clock=self.clock)
@@ -22,49 +22,53 @@
 
 
 @pytest.fixture
-def side():
-    return Side()
+def harness():
+    return Harness()
 
 
-def test_a_removal_counts_at_once_while_the_store_is_sound(side) -> None:
-    side.lapses.removed("e1")
-    assert side.dropped == ["e1"]
+def test_a_removal_applies_at_once_while_the_store_is_up(harness) -> None:
+    harness.lapses.removed("e1")
+    assert harness.dropped == ["e1"]
 
 
-def test_an_endpoint_that_comes_back_never_went(side) -> None:
+def test_an_endpoint_that_registers_again_isnt_dropped(harness) -> None:
     # A registration that expired in a store outage isn't a removal.
-    side.lapses.store_returned()
-    side.lapses.removed("e1")
-    side.lapses.removed("e2")
-    side.pass_time(1.0)
-    side.lapses.present("e1")
-    side.pass_time(2.0)
-    assert side.dropped == ["e2"]
-
-
-def test_what_is_still_missing_is_taken_as_gone(side) -> None:
-    side.lapses.store_returned()
-    side.pass_time(1.5)
-    side.lapses.removed("e1")
-    assert not side.dropped
-    side.pass_time(1.0)
-    assert side.dropped == ["e1"]
-    side.lapses.removed("e2")
-    assert side.dropped == ["e1", "e2"]
-
-
-def test_a_peers_word_counts_for_the_rest_of_its_time(side) -> None:
-    side.lapses.store_returned(0.5)
-    side.lapses.removed("e1")
-    side.pass_time(0.6)
-    assert side.dropped == ["e1"]
-
-
-def test_a_removal_counts_at_once_where_only_we_lost_the_store(side) -> None:
+    harness.lapses.store_returned()
+    harness.lapses.removed("e1")
+    harness.lapses.removed("e2")
+    harness.pass_time(1.0)
+    harness.lapses.present("e1")
+    harness.pass_time(2.0)
+    assert harness.dropped == ["e2"]
+
+
+def test_an_endpoint_still_missing_later_is_dropped(harness) -> None:
+    harness.lapses.store_returned()
+    harness.pass_time(1.5)
+    harness.lapses.removed("e1")
+    assert not harness.dropped
+    harness.pass_time(1.0)
+    assert harness.dropped == ["e1"]
+    harness.lapses.removed("e2")
+    assert harness.dropped == ["e1", "e2"]
+
+
+def test_a_peers_remaining_grace_period_applies(harness) -> None:
+    harness.lapses.store_returned(0.5)
+    harness.lapses.removed("e1")
+    harness.pass_time(0.6)
+    assert harness.dropped == ["e1"]
+
+
+def test_a_removal_counts_at_once_where_only_we_lost_the_store(
+    harness,
+) -> None:
     # If a peer kept its connection to the store, no registration expired.
     lapses = lapses_module.Lapses(
-        timers=side.timers, drop=side.dropped.append, store_was_up=lambda: True
+        timers=harness.timers,
+        drop=harness.dropped.append,
+        store_was_up=lambda: True,
     )
     lapses.store_returned()
     lapses.removed("e1")
-    assert side.dropped == ["e1"]
+    assert harness.dropped == ["e1"]
--- a/tests/coordination/fleet/test_rate_walk.py
+++ b/tests/coordination/fleet/test_rate_walk.py
@@ -24,7 +24,7 @@
 )
 ROUNDS = 4
 # One heartbeat each of the instance, of its hub and of the other hubs.
-UNTOLD_SECONDS = 1.5
+UNREPORTED_SECONDS = 1.5
 
 
 class Walk:
@@ -42,7 +42,7 @@
                 self._admit(instance, amount)
             self.fleet.run(5.0)
         self.admitted.clear()
-        self.begun = {
+        self.initial_sums = {
             instance: self._sum(instance)
             for instance in self.fleet.instances.values()
         }
@@ -74,9 +74,9 @@
         self.fleet.run(5.0)
         total = sum(amount for _, amount in self.admitted)
         return [
-            self._sum(instance) - self.begun[instance] - total
+            self._sum(instance) - self.initial_sums[instance] - total
             for instance in self.fleet.instances.values()
-            if instance in self.begun
+            if instance in self.initial_sums
         ]
 
     def hubs(self):
@@ -130,7 +130,7 @@
     assert not any(walk.errors())
 
 
-def test_a_killed_instance_loses_what_it_hadnt_told() -> None:
+def test_a_killed_instance_loses_only_unreported_amounts() -> None:
     walk = Walk(2)
     for _ in range(ROUNDS):
         others = set(walk.fleet.instances) - set(walk.hubs())
@@ -138,7 +138,9 @@
         walk.admit_for(1.5)
     errors = walk.errors()
     assert len(set(errors)) == 1
-    assert 0.0 >= errors[0] >= -ROUNDS * walk.most_in(UNTOLD_SECONDS) / COUNT
+    assert (
+        0.0 >= errors[0] >= -ROUNDS * walk.most_in(UNREPORTED_SECONDS) / COUNT
+    )
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -150,7 +152,7 @@
         walk.restart(walk.random.choice(sorted(walk.hubs())), 2.0)
         walk.admit_for(2.0)
     errors = walk.errors()
-    moment = walk.most_in(UNTOLD_SECONDS)
+    moment = walk.most_in(UNREPORTED_SECONDS)
     # Amounts that a hub admitted itself and hadn't reported are lost. Amounts
     # that it had just reported are counted twice at worst, but only those of
     # its own data centre.
--- a/tests/coordination/fleet/test_readers.py
+++ b/tests/coordination/fleet/test_readers.py
@@ -37,7 +37,7 @@
     assert len(reading()) == readers.READERS
 
 
-def test_a_reader_that_the_store_turns_away_is_replaced_by_one() -> None:
+def test_a_reader_refused_by_the_store_is_replaced() -> None:
     before = reading()
     lost = min(before)
     after = reading([lost]) - {lost}
@@ -68,7 +68,7 @@
     assert sorted(each.data_centre for each in readers_of) == ["dc-a", "dc-b"]
 
 
-def test_a_data_centre_that_the_store_answers_nowhere_else_has_two() -> None:
+def test_two_read_if_all_other_data_centres_lost_the_store() -> None:
     elsewhere = [
         member(each._replace(data_centre="dc-b"), lost=True)
         for each in INSTANCES[5:]
--- a/tests/coordination/fleet/test_reports.py
+++ b/tests/coordination/fleet/test_reports.py
@@ -61,7 +61,7 @@
         return told
 
 
-def test_what_didnt_change_isnt_told_again() -> None:
+def test_unchanged_state_isnt_reported_again() -> None:
     hub = Hub()
     members = [member(number) for number in range(200)]
     assert len(hub.tell(members)[ONE]) == 200
@@ -72,7 +72,7 @@
     assert told.standing.leaving and told.engines is None
 
 
-def test_of_an_engine_only_what_changed_is_told() -> None:
+def test_only_the_changes_of_an_engine_are_reported() -> None:
     # If engines were sent in full, each load of one adapter would repeat all
     # that the engines hold.
     hub = Hub()
@@ -88,7 +88,7 @@
     assert (change.dropped_copies, change.new_copies) == ((1,), (9,))
 
 
-def test_engines_are_known_alike_after_many_changes() -> None:
+def test_reader_and_writer_agree_after_many_changes() -> None:
     # A change refers to positions in the list that its receivers have.
     rng = random.Random(3)
     hub = Hub()
@@ -114,7 +114,7 @@
             assert one.backlog_seconds == other.backlog_seconds
 
 
-def test_a_lost_report_is_made_good() -> None:
+def test_a_lost_report_is_followed_by_a_full_one() -> None:
     # A receiver that missed a change must not keep outdated state for ever.
     hub = Hub()
     hub.tell([member(0), member(1)])
@@ -141,7 +141,7 @@
     assert reader.vouched == {} and reader.complete
 
 
-def test_a_new_receiver_is_told_everything() -> None:
+def test_a_new_receiver_gets_a_full_report() -> None:
     hub = Hub()
     hub.tell([member(0), member(1)])
     hub.readers[OTHER] = reports.ReportReader()
@@ -150,7 +150,7 @@
     assert len(told[OTHER]) == 2
 
 
-def test_whoever_changes_groups_believes_the_newer_report() -> None:
+def test_a_receiver_that_changes_groups_keeps_the_newer_report() -> None:
     # If the groups were numbered separately, new reports would look outdated.
     numbering = itertools.count()
     hubs, followers = Hub(numbering), Hub(numbering)
@@ -163,7 +163,7 @@
     assert [*hubs.readers[ONE].vouched] == [member(2).instance.address]
 
 
-def test_an_instance_that_started_again_is_told_as_another() -> None:
+def test_a_restarted_instance_is_reported_as_new() -> None:
     hub = Hub()
     hub.tell([member(0)])
     before = member(0)
@@ -175,7 +175,7 @@
     assert hub.readers[ONE].vouched == {instance.address: instance}
 
 
-def test_a_change_is_as_new_as_its_newest_part() -> None:
+def test_a_change_has_the_time_of_its_newest_part() -> None:
     # Dated by its engines alone, the report of a leaving instance looked older
     # than that of another hub, and was ignored when that hub was lost.
     hub = Hub()
