--- a/src/boragefold/coordination/fleet/rate_messages.py
+++ b/src/boragefold/coordination/fleet/rate_messages.py
@@ -1,4 +1,4 @@
-"""What heartbeats carry of workspaces' rates."""
+"""Exchange of the workspaces' admitted rates through heartbeats."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 from boragefold.protocol import rate_ledger_messages as messages
 from boragefold.timing import timers as timing
 
-# A hub that has just started hears of the others' entries within this.
+# A hub that has just started receives the entries of the others within this.
 ERA_SECONDS = 1.0
-# Hubs that start together begin an era one after the other: the first one's
+# Hubs that start together wait in turn to begin an epoch, so that all join the
+# first one's.
 # serves all.
 ERA_STEP_SECONDS = 0.25
 LEDGER_ASK_SECONDS = 1.0
 
 
 class RateMessages:
-    """Brings the accounts of rates into heartbeats and out of them."""
+    """Adds the accounts of admitted rates to heartbeats and reads them."""
 
     def __init__(
         self,
@@ -33,11 +34,11 @@
         accounts: rate_accounts.RateAccounts,
         timers: timing.TimerService,
     ) -> None:
-        """Begin as an instance that nobody gives accounts.
+        """Start as an instance that counts no rates for others.
 
         :param link: to the peers
         :param members: the other instances
-        :param accounts: what was admitted, here and elsewhere
+        :param accounts: the amounts admitted, here and elsewhere
         :param timers: the process clock
         """
         self._link = link
@@ -46,24 +47,24 @@
         self._timers = timers
         self._counting_since_seconds = math.inf
         self._asked_at_seconds = -math.inf
-        # The hubs that tell totals, by incarnation: their entries, and when
-        # they told them first and last.
-        self._counters: dict[str, str] = {}
+        # The hubs that send totals, by incarnation: the names of their entries
+        # and when their totals arrived last and first.
+        self._entry_names: dict[str, str] = {}
         self._counts_at_seconds: dict[str, float] = {}
         self._counts_since_seconds: dict[str, float] = {}
         members.subscribe(
             on_beat=lambda peer, beat: None,
             on_gone=lambda gone: accounts.forget_instance(gone.incarnation),
         )
-        link.subscribe(messages.LedgerAsk, self._take_ledger_ask)
-        link.subscribe(messages.Ledger, self._take_ledger)
+        link.subscribe(messages.LedgerAsk, self._handle_ledger_ask)
+        link.subscribe(messages.Ledger, self._handle_ledger)
 
     def compose(self, routes: routes_module.Chosen) -> messages.Account | None:
-        """Count what we admitted, or state it for the hub that does.
+        """Count what was admitted here, or report it to the hub that counts.
 
-        :param routes: whom we speak to
-        :return: the account; None where we count ourselves, no hub counts, or
-            the one that does has all
+        :param routes: the targets of the heartbeat
+        :return: the account for that hub; None if this instance counts itself,
+            no hub counts, or the hub that does has everything
         """
         now_seconds = self._timers.now_seconds()
         if routes.counts:
@@ -77,34 +78,34 @@
         account = self._accounts.state(counter, now_seconds=now_seconds)
         if not account.amounts and not account.former:
             return None
-        return account._replace(amounts=_plain(account.amounts))
+        return account._replace(amounts=_compact(account.amounts))
 
     def entry(self) -> messages.ToldEntry | None:
-        """State what we count, for other hubs.
+        """Report to other hubs what is counted here.
 
-        :return: None from whoever counts nothing
+        :return: None if this instance counts nothing
         """
         told = self._accounts.told_entry(
             now_seconds=self._timers.now_seconds()
         )
         if told is None or told.entry is None:
             return told
-        entry = told.entry._replace(sums=_plain(told.entry.sums))
+        entry = told.entry._replace(sums=_compact(told.entry.sums))
         return told._replace(entry=entry)
 
     def totals(self, *, whole: bool) -> messages.Totals | None:
-        """State what all hubs count, for the instances that speak to us.
+        """Report what all hubs count, for the followers of this instance.
 
-        :param whole: whether the receivers know nothing yet
-        :return: None from whoever doesn't know it
+        :param whole: whether the receivers need the full totals
+        :return: None if this instance doesn't know the totals
         """
         totals = self._accounts.told_totals(
             whole=whole, now_seconds=self._timers.now_seconds()
         )
-        return totals and totals._replace(amounts=_plain(totals.amounts))
+        return totals and totals._replace(amounts=_compact(totals.amounts))
 
     def lacks(self) -> Iterator[str]:
-        """List the hubs that have to tell us their totals whole.
+        """List the hubs that must send their full totals.
 
         :return: their addresses
         """
@@ -112,15 +113,15 @@
             return
         for member in self._members.direct():
             incarnation = member.instance.incarnation
-            if self._counters.get(incarnation) == self._accounts.counter:
+            if self._entry_names.get(incarnation) == self._accounts.counter:
                 yield member.instance.address
 
     def take(
         self, sender: ids.InstanceId, heartbeat: peer_messages.Heartbeat
     ) -> None:
-        """Take over what a heartbeat says of rates.
+        """Apply the rates in a heartbeat.
 
-        :param sender: whose it is
+        :param sender: its sender
         :param heartbeat: the heartbeat
         """
         now_seconds = self._timers.now_seconds()
@@ -129,23 +130,23 @@
                 sender.incarnation, heartbeat.account, now_seconds=now_seconds
             )
         if heartbeat.entry is not None:
-            self._take_entry(sender, heartbeat.entry, now_seconds)
+            self._apply_entry(sender, heartbeat.entry, now_seconds)
         if heartbeat.totals is not None:
-            self._take_totals(
+            self._apply_totals(
                 sender.incarnation, heartbeat.totals, now_seconds
             )
 
     def forget(self) -> None:
-        """Drop what was heard of hubs that are gone."""
+        """Drop the state of hubs that are gone."""
         now_seconds = self._timers.now_seconds()
         self._accounts.forget(now_seconds=now_seconds)
-        for hub in list(self._counters):
-            if not self._counts(hub):
-                del self._counters[hub]
+        for hub in list(self._entry_names):
+            if not self._is_counting(hub):
+                del self._entry_names[hub]
                 del self._counts_at_seconds[hub]
                 del self._counts_since_seconds[hub]
 
-    def _take_entry(
+    def _apply_entry(
         self,
         sender: ids.InstanceId,
         entry: messages.ToldEntry,
@@ -156,10 +157,10 @@
         ):
             self._ask_for_ledger(sender, now_seconds)
 
-    def _take_totals(
+    def _apply_totals(
         self, hub: str, totals: messages.Totals, now_seconds: float
     ) -> None:
-        self._counters[hub] = messages.entry_name(hub, totals.serial)
+        self._entry_names[hub] = messages.entry_name(hub, totals.serial)
         self._counts_at_seconds[hub] = now_seconds
         self._counts_since_seconds.setdefault(hub, now_seconds)
         self._accounts.hear_totals(hub, totals, now_seconds=now_seconds)
@@ -192,14 +193,14 @@
         self._asked_at_seconds = now_seconds
         self._link.send(to=hub, body=messages.LedgerAsk())
 
-    def _take_ledger_ask(
+    def _handle_ledger_ask(
         self, sender: ids.InstanceId, body: messages.LedgerAsk
     ) -> None:
         ledger = self._accounts.ledger(now_seconds=self._timers.now_seconds())
         if ledger is not None:
             self._link.send(to=sender, body=ledger)
 
-    def _take_ledger(
+    def _handle_ledger(
         self, sender: ids.InstanceId, body: messages.Ledger
     ) -> None:
         self._accounts.merge(body, now_seconds=self._timers.now_seconds())
@@ -209,25 +210,25 @@
             self._members.identity(address).incarnation
             for address in routes.targets
         ]
-        counting = list(filter(self._counts, hubs))
-        counters = {self._counters[hub] for hub in counting}
+        counting = list(filter(self._is_counting, hubs))
+        counters = {self._entry_names[hub] for hub in counting}
         if self._accounts.counter in counters:
             return self._accounts.counter
-        # One that has just started has not heard of all instances yet.
+        # A hub that has just started hasn't heard from all instances yet.
         hub = min(counting, key=self._counting_since, default=None)
-        return None if hub is None else self._counters[hub]
+        return None if hub is None else self._entry_names[hub]
 
     def _counting_since(self, incarnation: str) -> float:
         return self._counts_since_seconds[incarnation]
 
-    def _counts(self, incarnation: str) -> bool:
+    def _is_counting(self, incarnation: str) -> bool:
         oldest = self._timers.now_seconds() - self._members.silent_seconds()
         heard_at_seconds = self._counts_at_seconds.get(incarnation)
         return heard_at_seconds is not None and heard_at_seconds >= oldest
 
 
-def _plain(amounts: dict[str, float]) -> dict[str, float]:
-    # A whole number takes a third of the bytes of a float.
+def _compact(amounts: dict[str, float]) -> dict[str, float]:
+    # An integer takes a third of the bytes of a float.
     return {
         workspace: int(amount) if float(amount).is_integer() else amount
         for workspace, amount in amounts.items()
--- a/src/boragefold/coordination/fleet/routes.py
+++ b/src/boragefold/coordination/fleet/routes.py
@@ -1,4 +1,4 @@
-"""To which instances the heartbeats of an instance go."""
+"""The choice of the instances that heartbeats are sent to."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from boragefold.protocol import peer_messages as messages
 from boragefold.timing import timers as timing
 
-# Who is a hub is looked at anew after this, or when somebody comes or goes.
-LOOK_AGAIN_SECONDS = 1.0
+# The choice is repeated after this time, or when an instance comes or goes.
+REFRESH_SECONDS = 1.0
 
 
 class Chosen(NamedTuple):
-    """Whom an instance speaks to, best first, and whether it is a hub.
+    """The targets of heartbeats, and whether this instance is a hub.
 
-    Whoever stands in for a hub that is late passes heartbeats on, and
-    ``counts`` rates only when that hub is given up: a count that moves with
-    each late heartbeat loses what was under way.
+    An instance that replaces an overdue hub forwards heartbeats at once, but
+    ``counts`` admitted rates only when that hub is given up: if the count
+    moved with each late heartbeat, amounts in flight would be lost.
     """
 
     targets: tuple[str, ...]
@@ -31,7 +31,7 @@
 
 
 class Routes:
-    """Chooses the hubs that an instance speaks to."""
+    """Chooses the hubs that an instance sends its heartbeats to."""
 
     def __init__(
         self,
@@ -40,9 +40,9 @@
         members: members_module.Members,
         timers: timing.TimerService,
     ) -> None:
-        """Begin without a choice.
+        """Start without a choice.
 
-        :param self_id: who we are
+        :param self_id: the identity of this instance
         :param members: the other instances
         :param timers: the process clock
         """
@@ -50,36 +50,37 @@
         self._members = members
         self._timers = timers
         self._chosen = Chosen((), False, False)
-        self._chosen_for: tuple[object, ...] = ()
+        self._chosen_inputs: tuple[object, ...] = ()
 
     def choose(self, own: messages.Beat) -> Chosen:
-        """Choose whom to speak to now.
+        """Choose the targets of the next heartbeat.
 
-        :param own: our own heartbeat
-        :return: the other hubs for a hub, else some hubs of our data centre
+        :param own: this instance's own heartbeat
+        :return: the other hubs if this instance is a hub, else some hubs of
+            its data centre
         """
         late = self._members.late()
-        slot = self._timers.now_seconds() // LOOK_AGAIN_SECONDS
-        wanted_for = (
+        slot = self._timers.now_seconds() // REFRESH_SECONDS
+        inputs = (
             self._members.version,
             late,
             slot,
             own.leaving,
             own.link_megabits,
         )
-        if wanted_for != self._chosen_for:
-            self._chosen_for = wanted_for
+        if inputs != self._chosen_inputs:
+            self._chosen_inputs = inputs
             self._chosen = self._choose(own, late)
         return self._chosen
 
     def followers(
         self, targets: tuple[str, ...]
     ) -> list[member_module.Member]:
-        """List the instances that take us for a hub, whether we do or not.
+        """List the instances that use this one as a hub, even if it is none.
 
-        :param targets: whom we speak to ourselves
-        :return: those of our data centre that speak to us as to their hub, and
-            those that leave theirs as the last
+        :param targets: the addresses that this instance sends heartbeats to
+        :return: those of the same data centre, and of others the instances
+            that are leaving as the last of their data centre
         """
         return [
             member
@@ -92,40 +93,48 @@
         ]
 
     def _choose(self, own: messages.Beat, late: frozenset[str]) -> Chosen:
-        us = hubs.Candidate(
+        own_candidate = hubs.Candidate(
             self._self_id.address,
             self._self_id.data_centre,
             own.link_megabits,
         )
-        near = hubs.rank(self._members.hub_candidates(us.data_centre))
-        # A late hub's successor acts before that hub is given up, or nobody
-        # would hear of its instances.
-        beside = [other for other in near if other.address not in late]
-        if own.leaving or us not in hubs.best(hubs.rank([us, *beside])):
-            uplinks = hubs.uplinks(us.address, near, late=late)
-            # Whoever leaves as the last of its data centre tells the others.
-            return Chosen(tuple(uplinks) or self._far_hubs(late), False, False)
-        # Only a hub has to know the hubs of other data centres.
+        local = hubs.rank(
+            self._members.hub_candidates(own_candidate.data_centre)
+        )
+        # The successor of an overdue hub acts as a hub before that one is
+        # given up, or the heartbeats of its instances would be lost.
+        local_on_time = [other for other in local if other.address not in late]
+        if own.leaving or own_candidate not in hubs.best(
+            hubs.rank([own_candidate, *local_on_time])
+        ):
+            uplinks = hubs.uplinks(own_candidate.address, local, late=late)
+            # The last instance of a data centre tells other hubs as it leaves.
+            return Chosen(
+                tuple(uplinks) or self._remote_hubs(late), False, False
+            )
+        # Only hubs need to know the hubs of other data centres.
         others = self._members.hub_candidates()
-        sound = [other for other in others if other.address not in late]
-        at_once = hubs.hubs([us, *sound])
-        lasting = hubs.hubs([us, *others])
-        every = (*_every(at_once), *_every(lasting))
-        targets = dict.fromkeys(every)
-        targets.pop(us.address, None)
-        counts = us in lasting.get(us.data_centre, [])
+        on_time = [other for other in others if other.address not in late]
+        acting = hubs.hubs([own_candidate, *on_time])
+        confirmed = hubs.hubs([own_candidate, *others])
+        addresses = (*_addresses(acting), *_addresses(confirmed))
+        targets = dict.fromkeys(addresses)
+        targets.pop(own_candidate.address, None)
+        counts = own_candidate in confirmed.get(own_candidate.data_centre, [])
         return Chosen(tuple(targets), True, counts)
 
-    def _far_hubs(self, late: frozenset[str]) -> tuple[str, ...]:
+    def _remote_hubs(self, late: frozenset[str]) -> tuple[str, ...]:
         others = self._members.hub_candidates()
-        return _every(
+        return _addresses(
             hubs.hubs(other for other in others if other.address not in late)
         )
 
 
-def _every(by_centre: Mapping[str, list[hubs.Candidate]]) -> tuple[str, ...]:
-    every = itertools.chain.from_iterable(by_centre.values())
-    return tuple(hub.address for hub in every)
+def _addresses(
+    by_centre: Mapping[str, list[hubs.Candidate]],
+) -> tuple[str, ...]:
+    all_hubs = itertools.chain.from_iterable(by_centre.values())
+    return tuple(hub.address for hub in all_hubs)
 
 
 __all__ = [
--- a/tests/coordination/fleet/test_fleet.py
+++ b/tests/coordination/fleet/test_fleet.py
@@ -1,4 +1,4 @@
-"""Finding each other, owning engines, and passing on what was published."""
+"""Discovery, engine ownership, and the forwarding of published changes."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def test_a_restarted_instance_is_found_though_its_seeds_are_down() -> None:
-    # The seeds of a restarted instance are down, yet the others must find it.
+    # The other instances must remember the address of a killed instance.
     fleet = settled()
     lost = fleet.addresses[6]
     fleet.kill(lost)
@@ -54,7 +54,7 @@
     assert everyone_knows_everyone(fleet)
 
 
-def test_lost_messages_are_not_taken_for_the_end_of_an_instance() -> None:
+def test_lost_messages_make_no_instance_silent() -> None:
     fleet = settled(loss=0.03)
     flaps = []
     for instance in fleet.instances.values():
@@ -76,7 +76,7 @@
 
 
 def test_engines_have_owners_soon_after_all_were_killed() -> None:
-    # After a restart of all, no instance may claim every engine at once.
+    # No instance may claim every engine while it is still discovering others.
     fleet = gateways.Gateways()
     fleet.run(1.0)
     assert not any(fleet.claimants().values())
@@ -92,8 +92,9 @@
     assert one_owner_each(fleet)
 
 
-def test_an_owner_that_comes_back_takes_nothing_away() -> None:
-    # Engines that change owners with every restart stand still each time.
+def test_a_restarted_owner_doesnt_reclaim_its_engines() -> None:
+    # An engine serves nothing for a while whenever its owner changes, so a
+    # restart must not cause a second change.
     fleet = settled()
     (owner,) = fleet.claimants()["e0"]
     fleet.kill(owner)
@@ -114,7 +115,8 @@
 
 
 def test_the_last_of_a_data_centre_tells_the_others_that_it_leaves() -> None:
-    # It has no hub near and told nobody, so it was taken for silent.
+    # Without a hub in its data centre, the instance sent its heartbeats to
+    # nobody, and the others saw it become silent instead of leaving.
     fleet = settled(count=3)
     leaver = fleet.instances["10.1.0.1:70"]
     leaver.leaving = True
@@ -131,7 +133,8 @@
 def test_the_last_of_a_data_centre_hears_the_others_while_it_leaves(
     seed,
 ) -> None:
-    # Its hubs elsewhere told it nothing, and it took all others for gone.
+    # The hubs of other data centres sent it no reports, so it considered all
+    # other instances lost.
     fleet = gateways.Gateways(3, seed=seed)
     fleet.run(8.0)
     leaver = fleet.instances["10.1.0.1:70"]
@@ -143,7 +146,8 @@
 
 
 def test_an_engine_that_its_owner_cant_reach_goes_to_another() -> None:
-    # An engine partitioned from its owner alone must get another, for good.
+    # An engine partitioned from its owner alone must get another owner, which
+    # keeps the engine after the partition heals.
     fleet = settled()
     (owner,) = fleet.claimants()["e0"]
     fleet.instances[owner].avoided.add("e0")
@@ -155,8 +159,9 @@
     assert fleet.claimants()["e0"] == [successor]
 
 
-def test_a_new_owner_tells_whom_it_replaced_and_whom_it_hears() -> None:
-    # The log of an incident told neither.
+def test_an_ownership_change_lists_former_owner_and_peers() -> None:
+    # The log of an ownership change must hold both for the analysis of an
+    # incident.
     fleet = settled()
     engine = gateways.ENGINES[0]
     (lost,) = fleet.claimants()[engine.name]
@@ -180,8 +185,9 @@
     "reason",
     [owner_changes.LEAVING, owner_changes.UNREACHABLE],
 )
-def test_an_instance_tells_why_it_gave_an_engine_up(reason) -> None:
-    # Whoever can't reach an engine looked like one that was cut off.
+def test_an_ownership_change_has_a_reason(reason) -> None:
+    # Without a reason, an instance that can't reach an engine looks like one
+    # that is itself partitioned.
     fleet = settled()
     engine = gateways.ENGINES[0]
     (former,) = fleet.claimants()[engine.name]
@@ -240,38 +246,40 @@
 
 
 def test_peers_tell_what_the_store_doesnt() -> None:
-    # An instance that the store turns away must learn of a withdrawn key.
+    # An instance that the store refuses must still learn of a withdrawn key.
     fleet = settled()
-    shunned, *others = fleet.instances.values()
-    shunned.behind = True
+    refused, *others = fleet.instances.values()
+    refused.behind = True
     for each in others:
         each.items.take(
             [published_items.Item("op/config", 9, b"new")], revision=9
         )
     fleet.run(1.0)
-    assert [item.value for item in shunned.items.below("op/")] == [b"new"]
-    assert shunned.items.revision == 9
+    assert [item.value for item in refused.items.below("op/")] == [b"new"]
+    assert refused.items.revision == 9
 
 
 def test_prefixes_that_are_read_apart_are_told_apart() -> None:
-    # Being behind on one prefix must not hide a newer change of another.
+    # A peer that is behind on one prefix must not hide a newer change of
+    # another prefix.
     fleet = settled()
-    ignorant, half, other, *_ = fleet.instances.values()
-    ignorant.behind = True
+    outdated, half, other, *_ = fleet.instances.values()
+    outdated.behind = True
     leaving = published_items.Item("servers/e1", 8, b"leaving")
     changed = published_items.Item("op/config", 9, b"new")
     half.items.take([changed], revision=9)
     fleet.run(1.0)
     other.items.take([changed, leaving], revision=9)
     fleet.run(1.0)
-    assert [item.value for item in ignorant.items.below("")] == [
+    assert [item.value for item in outdated.items.below("")] == [
         b"new",
         b"leaving",
     ]
 
 
 def test_a_change_that_is_known_already_isnt_asked_for_again() -> None:
-    # News that is known already must not be asked for with every heartbeat.
+    # Changes that are already known must not be requested with every
+    # heartbeat.
     items = published_items.PublishedItems(prefixes=["op/"])
     items.take([published_items.Item("op/x", 5, b"x")], revision=5)
     items.take([], revision=7, told={"op/": 7})
@@ -290,7 +298,7 @@
     assert items.revision == 6
 
 
-def test_what_a_listing_lacks_was_removed() -> None:
+def test_items_missing_from_a_listing_are_removed() -> None:
     items = published_items.PublishedItems()
     items.take(
         [
