--- a/src/boragefold/coordination/fleet/doubted_orders.py
+++ b/src/boragefold/coordination/fleet/doubted_orders.py
@@ -1,24 +1,25 @@
-"""Orders that had no answer, and may have been accepted."""
+"""Orders that the engine did not answer, and may have accepted."""
 
 from __future__ import annotations
 
 import math
 from typing import NamedTuple
 
-# An order without an answer may still arrive for so long, and counts as ours
-# in reports. Later a rise of the count is another giver's.
+# An unanswered order can still arrive within this time. A rise of the engine's
+# order count in reports is attributed to it; a later rise is attributed to
+# another instance.
 DOUBT_SECONDS = 1.0
 
 
 class Doubt(NamedTuple):
-    """An order that had no answer, and when it was sent."""
+    """An order without an answer, and when it was sent."""
 
     order: str
     sent_at_seconds: float
 
 
 class DoubtedOrders:
-    """What one giver's orders in doubt explain, and may still do."""
+    """The unanswered orders of one instance to one engine."""
 
     def __init__(self) -> None:
         self._doubts: tuple[Doubt, ...] = ()
@@ -28,20 +29,21 @@
         return len(self._doubts)
 
     def begin_turn(self) -> None:
-        """Explain no rise of the count by an order of a former turn.
+        """Drop the unanswered orders of earlier turns.
 
-        Another may have owned the engine since. Whoever put its order down to
-        one of ours that was lost would give the next one between its.
+        Another instance may have owned the engine since. If its order were
+        taken for a lost one of this instance, the next order of this instance
+        would come between the other's orders.
         """
         self._doubts = ()
 
     def add(
         self, doubt: Doubt, *, of_this_turn: bool, now_seconds: float
     ) -> None:
-        """Note that an order had no answer.
+        """Record that an order had no answer.
 
         :param doubt: the order
-        :param of_this_turn: whether its turn hasn't ended since
+        :param of_this_turn: whether it was sent in the current turn
         :param now_seconds: reading of a clock that counts suspension
         """
         self._began_at_seconds = now_seconds
@@ -49,19 +51,19 @@
             self._doubts = (*self._doubts, doubt)
 
     def may_arrive(self, *, now_seconds: float) -> bool:
-        """Tell whether an order may still arrive.
+        """Return whether an unanswered order may still arrive.
 
-        Given once more and counted, an order whose first copy comes late would
-        be answered without a look at the count: with the fencing number of
-        then, below those used since.
+        If the same order were sent again and counted, the engine would answer
+        a late first copy without checking the count. That answer bears the
+        fencing token of the first copy, below those used since.
 
         :param now_seconds: reading of a clock that counts suspension
-        :return: whether no other may be given
+        :return: whether no other order may be sent
         """
         return now_seconds - self._began_at_seconds < DOUBT_SECONDS
 
     def forget_late(self, *, now_seconds: float) -> None:
-        """Forget what would have arrived by now.
+        """Drop unanswered orders that are too old to arrive.
 
         :param now_seconds: reading of a clock that counts suspension
         """
@@ -69,19 +71,19 @@
             self._doubts = ()
 
     def forget(self) -> None:
-        """Forget all: the engine started again, and counts anew."""
+        """Drop all orders after a restart of the engine reset its count."""
         self._doubts = ()
         self._began_at_seconds = -math.inf
 
     def settle(self, rise: int) -> tuple[Doubt, ...]:
-        """Put a rise of the count down to the oldest orders.
+        """Attribute a rise of the order count to the oldest orders.
 
-        :param rise: how many orders the engine has accepted
-        :return: the orders
+        :param rise: how many more orders the engine has accepted
+        :return: the orders that count as accepted
         """
         settled, self._doubts = self._doubts[:rise], self._doubts[rise:]
         if settled and not self._doubts:
-            # All have arrived.
+            # All unanswered orders have arrived.
             self._began_at_seconds = -math.inf
         return settled
 
--- a/src/boragefold/coordination/fleet/electorate.py
+++ b/src/boragefold/coordination/fleet/electorate.py
@@ -1,11 +1,13 @@
-"""Whose votes decide which instance gives an engine its orders.
+"""Which instances vote on who may send orders to an engine.
 
-The instances of the engine's data centre vote, and one fewer of others. All of
-the data centre are a majority, so it goes on by itself when it is cut off. One
-that lost most of its instances goes on with votes from elsewhere.
+The voters are instances of the engine's data centre, and one fewer from other
+data centres. The local voters alone are a majority, so a data centre keeps
+working during a network partition. A data centre that lost most of its
+instances keeps working with votes from elsewhere.
 
-Instances that fell silent still count for long: whoever hears nobody can't
-know whether the others have ended or it was cut off from them.
+Unreachable instances stay voters for a long time: an instance that can reach
+no other one can't tell whether the others have ended or a partition separates
+it from them.
 """
 
 from __future__ import annotations
@@ -23,18 +25,19 @@
 from boragefold.coordination.fleet import members as members_module
 from boragefold.protocol import ids
 
-# Of a large data centre so many vote: two may be lost at once.
+# At most this many instances of a data centre vote; two may be lost at once.
 MAX_VOTERS = 5
-# Longer than most cuts last.
+# Longer than most network partitions last.
 SILENT_VOTES_SECONDS = 60.0
 LOOK_AGAIN_SECONDS = 0.25
 REMEMBERED_HASHES = 4_096
 
 
 class Electorate(NamedTuple):
-    """The voters for one engine, ``near`` those of its data centre.
+    """The voters for one engine.
 
-    ``near_heard`` tells whether these are all heard.
+    ``near`` are those of the engine's data centre, ``far`` the others.
+    ``near_heard`` tells whether all near ones are reachable.
     """
 
     near: tuple[ids.InstanceId, ...]
@@ -50,18 +53,18 @@
         return (*self.near, *self.far)
 
     def decides(self, voted: Collection[ids.InstanceId]) -> bool:
-        """Tell whether votes are enough.
+        """Return whether votes are a majority.
 
-        :param voted: those who promised the engine
-        :return: whether nobody else can have enough at the same time, as far
-            as all know the same voters
+        :param voted: the voters that promised the engine
+        :return: whether no other instance can have a majority at the same
+            time, if all instances know the same voters
         """
         voters = self.voters
         return 2 * sum(voter in voted for voter in voters) > len(voters)
 
 
 class Voters:
-    """The voters for each engine, as this instance knows them."""
+    """The voters for each engine, according to this instance's membership."""
 
     def __init__(
         self,
@@ -69,9 +72,9 @@
         self_id: ids.InstanceId,
         members: members_module.Members,
     ) -> None:
-        """Begin with the members known so far.
+        """Create it without cached voters.
 
-        :param self_id: who we are
+        :param self_id: this instance
         :param members: the other instances
         """
         self._self_id = self_id
@@ -82,10 +85,10 @@
     def of(self, data_centre: str) -> Electorate:
         """List the voters for the engines of a data centre.
 
-        :param data_centre: the engines'
-        :return: the voters, the same at all instances that know the same
+        :param data_centre: the data centre of the engines
+        :return: the voters, equal on all instances with the same membership
         """
-        # Asked for at each decision of an owner whose voters are silent.
+        # Cached, as an owner without a majority asks at each decision.
         slot = self._members.uptime_seconds // LOOK_AGAIN_SECONDS
         known_for = (self._members.version, slot)
         if known_for != self._known_for:
@@ -96,18 +99,18 @@
         return self._known[data_centre]
 
     def is_heard(self, voter: ids.InstanceId) -> bool:
-        """Tell whether a voter is heard.
+        """Return whether a voter is reachable.
 
-        :param voter: which
-        :return: whether it is, or is ourselves
+        :param voter: the voter
+        :return: whether it is reachable or is this instance
         """
         return voter in self._heard()
 
     def majority_unheard_seconds(self, electorate: Electorate) -> float:
-        """Tell how long ago enough voters to decide were heard.
+        """Return how long ago a majority of the voters was reachable.
 
         :param electorate: the voters
-        :return: seconds; 0 while they are
+        :return: seconds; 0 while a majority is reachable
         """
         unheard_seconds = {
             member.instance: self._members.unheard_seconds(member)
@@ -121,11 +124,11 @@
 
     def _choose(self, data_centre: str) -> Electorate:
         if self._members.uptime_seconds < lease_voter.PROMISE_SECONDS:
-            # Too few are known yet.
+            # Too few members are known shortly after the start.
             return Electorate(near=(), far=(), near_heard=False)
         by_centre: dict[str, list[ids.InstanceId]] = {}
         for instance in self._counted():
-            # One that was never heard may be of our own data centre.
+            # A seed that never answered may be of this data centre.
             centre = instance.data_centre or self._self_id.data_centre
             by_centre.setdefault(centre, []).append(instance)
         near = _ranked(by_centre.pop(data_centre, ()))[:MAX_VOTERS]
@@ -153,8 +156,8 @@
                 yield member.instance
 
     def _has_voted_before(self, member: member_module.Member) -> bool:
-        # Many that join together would outvote the others, and promise nothing
-        # until they have been there for a while.
+        # If many instances that join at the same time were voters, they would
+        # outnumber the others, and new instances promise nothing at first.
         age_seconds = self._members.age_seconds(member)
         is_new = age_seconds < lease_voter.PROMISE_SECONDS
         return bool(member.former) or not is_new
@@ -176,7 +179,7 @@
 def _spread(
     by_centre: Iterable[list[ids.InstanceId]],
 ) -> list[ids.InstanceId]:
-    # The first of each data centre before the second of any.
+    # The first voter of each data centre comes before the second of any.
     tiers = itertools.zip_longest(*by_centre)
     return [
         instance for tier in tiers for instance in _ranked(filter(None, tier))
--- a/src/boragefold/coordination/fleet/engine_changes.py
+++ b/src/boragefold/coordination/fleet/engine_changes.py
@@ -1,8 +1,9 @@
-"""What is told of engines, as changes of what was told before.
+"""Differences between successive reports on an owner's engines.
 
 Load pattern: dozens of engines that each exchange an adapter every other
-second. Told whole, each change repeats all that an engine holds and keeps
-copies of to every instance; here it names what went and what came.
+second. Full reports would repeat all adapters in memory and all copies of an
+engine to every instance at each change; a difference lists only what was
+added and removed.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 def between(
     before: Engines, after: Engines
 ) -> tuple[messages.EngineChange, ...] | None:
-    """Tell what changed of an owner's engines.
+    """Compute the difference between two reports on an owner's engines.
 
-    :param before: what was told
-    :param after: what is to be known
-    :return: a change for each engine that differs; None where they have to be
-        told whole, as they are others or hold other models
+    :param before: the last report
+    :param after: the new report
+    :return: a change for each engine that differs; None if a full report is
+        needed because the engines or their models differ
     """
     if [*map(_lasting, before)] != [*map(_lasting, after)]:
         return None
@@ -41,11 +42,11 @@
 def applied(
     engines: Engines, changes: Sequence[messages.EngineChange]
 ) -> Engines | None:
-    """Bring what is known of an owner's engines up to date.
+    """Apply a difference to a report on an owner's engines.
 
-    :param engines: what was told before
-    :param changes: what changed since
-    :return: what is known now; None if something told before was missed
+    :param engines: the last report
+    :param changes: the difference to the new report
+    :return: the new report; None if an earlier report was missed
     """
     known = list(engines)
     for change in changes:
@@ -67,7 +68,7 @@
         _dropped(old.copies, new.copies),
         _added(old.copies, new.copies),
     )
-    # In another order the same is held.
+    # Engines that differ only in the order of their adapters are equal.
     return None if change == _nothing(place, old) else change
 
 
--- a/src/boragefold/coordination/fleet/fencing_numbers.py
+++ b/src/boragefold/coordination/fleet/fencing_numbers.py
@@ -1,7 +1,7 @@
-"""The fencing numbers of orders.
+"""The fencing tokens of orders.
 
-The number of an order rises with the engine's count of orders and holds the
-giver's own number in its low digits, so that two givers never share one.
+The token of an order rises with the engine's order count. Its low bits are the
+number of the instance that sends the order, so no two instances share a token.
 """
 
 from __future__ import annotations
@@ -10,17 +10,18 @@
 import ipaddress
 from typing import NamedTuple
 
-# Lives of an engine that starts again under its name are told apart by the
-# millisecond of their start, counted from here: the start of 2024, UTC.
+# Tokens hold the millisecond at which the engine started, so that they differ
+# after a restart under the same name. Counted from the start of 2024, UTC.
 EPOCH_MILLISECONDS = 1_704_067_200_000
-# One part in so many for each giver, see giver_number.
+# Low bits of a token that hold the sending instance's number.
 GIVER_BITS = 15
-# The giver's number: which data centre, and the low bits of its address there.
+# Low bits of that number that come from the instance's address; the others are
+# the position of its data centre.
 ADDRESS_BITS = 10
 
 
 class Counted(NamedTuple):
-    """An engine's count of orders, in one life of the engine."""
+    """An engine's order count, and the start of the engine that it is of."""
 
     born_milliseconds: int
     orders: int
@@ -29,12 +30,12 @@
 def giver_number(
     *, data_centres: Iterable[str], data_centre: str, address: str
 ) -> int:
-    """Make an instance's own part of fencing numbers.
+    """Compute the number of an instance for its fencing tokens.
 
-    :param data_centres: all there are, the same at every instance
-    :param data_centre: the instance's own
-    :param address: its IPv4 number, perhaps with a port
-    :return: below two to GIVER_BITS; another for each of the first 1,024
+    :param data_centres: all data centres, the same on every instance
+    :param data_centre: the instance's data centre
+    :param address: its IPv4 address, optionally with a port
+    :return: below two to the power of GIVER_BITS; unique for the first 1,024
         addresses in each of 32 data centres
     """
     place = sorted(data_centres).index(data_centre)
@@ -44,19 +45,20 @@
 
 
 def fence(counted: Counted | None, *, giver: int) -> int:
-    """Make the fencing number of an order.
+    """Compute the fencing token of an order.
 
-    :param counted: the count that the order relies on; None before the first
-        report
-    :param giver: its giver's own number, below two to GIVER_BITS
-    :return: a number that rises with the engine's count, and from one life of
-        the engine to the next
+    :param counted: the order count that the order expects; None before the
+        first report
+    :param giver: number of the instance that sends the order, below two to
+        the power of GIVER_BITS
+    :return: a token that rises with the engine's order count and with each
+        restart of the engine
     """
     if counted is None:
         return giver
     born_milliseconds = counted.born_milliseconds - EPOCH_MILLISECONDS
-    # An engine takes fewer orders than one a millisecond, so no number of this
-    # life reaches those of the next.
+    # An engine accepts fewer than one order per millisecond, so the tokens
+    # stay below those after the engine's next restart.
     place = max(0, born_milliseconds) + counted.orders
     return (place << GIVER_BITS) | giver
 
--- a/src/boragefold/coordination/fleet/lease_voter.py
+++ b/src/boragefold/coordination/fleet/lease_voter.py
@@ -1,4 +1,4 @@
-"""The promises by which an instance votes for those who give orders."""
+"""The votes of an instance on which instance may send orders to an engine."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from boragefold.protocol import ids
 
-# Longer than a lease by the time in which an order arrives or is dropped.
+# Longer than a lease by the time in which an order arrives or is abandoned.
 PROMISE_SECONDS = 1.2
-# By so much earlier the holder has given its last order, unless that was held
-# up on its way.
+# The holder's last order has arrived at least this long before the promise
+# ends, unless the order was delayed on its way.
 ORDERS_END_BEFORE_SECONDS = 0.5
-# Whoever gave orders before is remembered for longer than reports lag.
+# Ended promises are kept for longer than the lag of engine reports.
 REMEMBERED_SECONDS = 4.0
-# Promises that ended long ago are dropped when there are more.
+# Above this number, promises that ended longer ago are dropped.
 KEPT_PROMISES = 256
 
 
 class Promise(NamedTuple):
-    """A vote that binds its voter.
+    """A vote that binds its voter until it ends.
 
-    ``orders_until_seconds`` is when its holder's last order can have come, and
-    ``others_until_seconds`` the same of the holder before.
+    ``orders_until_seconds`` is the latest arrival of the holder's orders,
+    ``others_until_seconds`` the latest arrival of the previous holder's.
     """
 
     holder: ids.InstanceId
@@ -33,9 +33,9 @@
 
 
 class Vote(NamedTuple):
-    """What a voter answers.
+    """A voter's answer.
 
-    ``refused_seconds`` is for how long it can't promise the engine; 0 is a
+    ``refused_seconds`` is how long the voter can't promise the engine; 0 is a
     promise. ``others_seconds`` is how long ago its promise to another instance
     ended: negative while that lasts, infinite if it remembers none.
     """
@@ -45,17 +45,17 @@
 
 
 class LeaseVoter:
-    """Promises each engine to one instance at a time.
+    """Promises each engine to at most one instance at a time.
 
-    Nothing outlives the process: one that has just started may follow one
-    that promised something, and promises nothing until that has ended.
+    Promises are not stored. A process that has just started may replace one
+    that made promises, so it refuses until those have ended.
     """
 
     def __init__(self, *, started_at_seconds: float) -> None:
-        """Begin without promises.
+        """Create it without promises.
 
         :param started_at_seconds: when this process started, on the clock
-            that all methods are given readings of
+            whose readings all methods are passed
         """
         self._bound_until_seconds = started_at_seconds + PROMISE_SECONDS
         self._promises: dict[str, Promise] = {}
@@ -70,9 +70,9 @@
     ) -> Vote:
         """Promise an engine, unless it is promised to another instance.
 
-        :param asker: who asks
+        :param asker: the instance that asks for the promise
         :param engine: the engine's name
-        :param number: of the asker's round
+        :param number: the asker's number of the voting round
         :param now_seconds: reading of a clock that counts suspension
         :return: the vote
         """
@@ -107,12 +107,12 @@
         *,
         now_seconds: float,
     ) -> None:
-        """End a promise that its holder needs no more.
+        """End a promise that its holder has released.
 
-        :param holder: who says so
+        :param holder: the instance that releases it
         :param engine: the engine's name
-        :param number: of the holder's last round then; a promise of a later
-            one stands
+        :param number: the holder's latest round at the time; a promise from a
+            later round remains
         :param now_seconds: reading of a clock that counts suspension
         """
         promise = self._promises.get(engine)
--- a/src/boragefold/coordination/fleet/order_lease.py
+++ b/src/boragefold/coordination/fleet/order_lease.py
@@ -1,4 +1,4 @@
-"""What an owner of an engine asks of the lease under which it orders."""
+"""Interface of the lease that allows an owner to send an engine orders."""
 
 from __future__ import annotations
 
@@ -6,41 +6,42 @@
 
 
 class OrderLease(abc.ABC):
-    """The lease of one engine."""
+    """The right of one instance to send orders to one engine."""
 
     @abc.abstractmethod
     def want(self) -> None:
-        """Ask for the lease, or for its renewal, because orders are due."""
+        """Request the lease, or its renewal, because orders are due."""
 
     @abc.abstractmethod
     def held(self, *, now_seconds: float) -> bool:
-        """Tell whether orders may be given.
+        """Return whether this instance holds the lease.
 
         :param now_seconds: reading of a clock that counts suspension
-        :return: whether the lease is ours
+        :return: whether orders may be sent
         """
 
     @abc.abstractmethod
     def alone(self) -> bool:
-        """Tell whether those who could give the lease are gone, as it seems.
+        """Return whether a majority of the voters seems to be gone.
 
-        Orders may be given without it then, with care: they may be cut off
-        from us, and another instance may hold it.
+        Orders may be sent without the lease then, after a delay: the voters
+        may be on the other side of a network partition, where another
+        instance may hold the lease.
 
-        :return: whether too few of them were heard for long
+        :return: whether no majority has been reachable for a long time
         """
 
     @abc.abstractmethod
     def wait_seconds(self, *, now_seconds: float) -> float:
-        """Tell how long the lease can't be had, as far as that is known.
+        """Return for how long the lease is known to be unavailable.
 
         :param now_seconds: reading of a clock that counts suspension
-        :return: seconds; 0 when it is held or nothing is known against it
+        :return: seconds; 0 when it is held or may be available
         """
 
     @abc.abstractmethod
     def order_delay_seconds(self, *, now_seconds: float) -> float:
-        """Tell how long an order must have been wanted before it is given.
+        """Return how long an order must have been due before it is sent.
 
         :param now_seconds: reading of a clock that counts suspension
         :return: seconds; 0 while the lease is held
@@ -48,15 +49,15 @@
 
     @abc.abstractmethod
     def others_until_seconds(self) -> float:
-        """Tell when another instance's lease ended last.
+        """Return when the last lease of another instance ended.
 
-        :return: reading of the process clock; what the engine said before
-            then is no ground for an order
+        :return: reading of the process clock; no order may be based on an
+            earlier report of the engine
         """
 
     @abc.abstractmethod
     def end(self) -> None:
-        """Give the lease up: no order of ours is on its way any more."""
+        """Release the lease after the last order has been answered."""
 
 
 __all__ = [
--- a/src/boragefold/coordination/fleet/order_leases.py
+++ b/src/boragefold/coordination/fleet/order_leases.py
@@ -1,9 +1,10 @@
-"""The leases under which an instance gives engines orders.
+"""The leases that allow an instance to send orders to engines.
 
-Engines refuse an order that another instance's order came before, unless it
-asks for what holds already: two that both believe they own an engine can't be
-told apart by it. So an instance gives orders only while more than half of the
-engine's voters have promised the engine to it, or seem to be gone for long.
+An engine refuses an order that expects an outdated order count, unless the
+order asks for the current state. So the engine can't tell apart two instances
+that both believe they own it. An instance therefore sends orders only while a
+majority of the engine's voters have promised it the engine, or after no
+majority has been reachable for a long time.
 """
 
 from __future__ import annotations
@@ -24,18 +25,19 @@
 from boragefold.telemetry import decision_log
 from boragefold.timing import timers as timing
 
-# Spread, as those that ask together would ask together again.
+# Random, so that instances whose requests collided don't collide again.
 RETRY_SECONDS = (0.05, 0.3)
-# Longer than most restarts and cuts: a rival that is cut off from us can't be
-# told from one that has ended, and not all of its orders show in time.
+# Longer than most restarts and network partitions: an instance on the other
+# side of a partition can't be told from one that has ended, and not all of its
+# orders show in reports in time.
 ALONE_SECONDS = 15.0
-# Of several that are cut off from each other, the later ones see the orders of
-# the first and stay away.
+# Staggers instances that are cut off from each other: the later ones see the
+# orders of the first and send none.
 ALONE_STEP_SECONDS = 4.0
 
 
 class OrderLeases(voted_lease.Ballot):
-    """The leases of one instance, and its votes for those of others."""
+    """The leases of one instance, and its votes for other instances."""
 
     def __init__(
         self,
@@ -49,17 +51,17 @@
         started_at_seconds: float,
         is_heard: Callable[[ids.InstanceId], bool] = lambda voter: True,
     ) -> None:
-        """Begin without leases and promises.
+        """Create it without leases and promises.
 
-        :param link: to the peers
+        :param link: sends messages to the other instances
         :param timers: the process clock
         :param voters: lists the voters for the engines of a data centre
-        :param majority_unheard_seconds: tells how long ago enough voters to
-            decide were heard
-        :param rng: spreads repeated attempts
-        :param log: of this process
+        :param majority_unheard_seconds: returns how long ago a majority of
+            the voters was reachable
+        :param rng: randomizes the delay of retries
+        :param log: decision log of this process
         :param started_at_seconds: when this process started
-        :param is_heard: tells whether an instance is heard
+        :param is_heard: returns whether an instance is reachable
         """
         self._link = link
         self._timers = timers
@@ -80,17 +82,17 @@
     def lease(
         self, engine: str, data_centre: str, *, changed: Callable[[], None]
     ) -> order_lease.OrderLease:
-        """Find the lease of an engine, or make it.
+        """Return the lease of an engine, creating it if there is none.
 
         :param engine: the engine's name
-        :param data_centre: where the engine is
-        :param changed: called when votes made the lease ours
+        :param data_centre: the engine's data centre
+        :param changed: called when votes gave this instance the lease
         :return: the lease
         """
         lease = self._leases.get(engine)
         if lease is None:
-            # Kept where the engine has another owner: a vote for a round of
-            # the time before must not count for a later one.
+            # Kept while another instance owns the engine, so that round
+            # numbers keep rising: an old vote must not count for a new round.
             lease = voted_lease.VotedLease(
                 engine=engine,
                 data_centre=data_centre,
@@ -114,11 +116,11 @@
         """Ask the voters for an engine.
 
         :param engine: the engine's name
-        :param data_centre: where the engine is
-        :param number: of the round, rising for each engine
-        :param everybody: whether the voters elsewhere are asked, too, though
-            all near ones are heard
-        :return: the round, perhaps decided by our own vote
+        :param data_centre: the engine's data centre
+        :param number: number of the round, rising for each engine
+        :param everybody: whether to ask voters of other data centres also
+            when all local ones are reachable
+        :return: the round, possibly decided by this instance's own vote
         """
         now_seconds = self._timers.now_seconds()
         electorate = self._voters(data_centre)
@@ -129,7 +131,7 @@
             electorate=electorate,
             asked=tuple(self._others(electorate, everybody=everybody)),
         )
-        # Our own promise binds us, too, whether it counts or not.
+        # This instance's own promise binds it even if it is not a voter.
         self_id = self._link.self_id
         vote = self._voter.vote(
             self_id, engine, number, now_seconds=now_seconds
@@ -141,17 +143,17 @@
         return round_
 
     def missed(self, round_: voted_lease.Round) -> None:
-        """Note that a round got too few votes in time.
+        """Reconnect to the voters that did not answer a failed round.
 
         :param round_: the round
         """
-        # A connection that was cut looks open for long after the cut.
+        # Connections can look open long after a network partition broke them.
         for voter in filter(self._is_heard, round_.unanswered()):
             self._unanswered.add(voter.address)
             self._link.reconnect(voter)
 
     def free(self, engine: str, round_: voted_lease.Round) -> None:
-        """Free the voters of what they promised us.
+        """Release the promises that voters made to this instance.
 
         :param engine: the engine's name
         :param round_: the last round
@@ -161,27 +163,27 @@
         self._link.send_all(to=round_.asked, body=body)
 
     def majority_unheard_seconds(self, data_centre: str) -> float:
-        """Tell how long ago enough voters to decide were heard.
+        """Return how long ago a majority of the voters was reachable.
 
-        :param data_centre: where the engine is
-        :return: seconds; 0 while they are
+        :param data_centre: the engine's data centre
+        :return: seconds; 0 while a majority is reachable
         """
         return self._majority_unheard_seconds(self._voters(data_centre))
 
     def place(self, data_centre: str) -> int:
-        """Tell our place among the voters for an engine.
+        """Return this instance's position among the voters for an engine.
 
-        :param data_centre: where the engine is
-        :return: another number for each of them; for all others the next
+        :param data_centre: the engine's data centre
+        :return: unique for each voter; the number of voters for all others
         """
         voters = self._voters(data_centre).voters
         self_id = self._link.self_id
         return voters.index(self_id) if self_id in voters else len(voters)
 
     def alone_after_seconds(self, data_centre: str) -> float:
-        """Tell after how long without a majority we go on without the lease.
+        """Return how long without a majority orders require the lease.
 
-        :param data_centre: where the engine is
+        :param data_centre: the engine's data centre
         :return: seconds, different for each voter; infinite for all others
         """
         if self._link.self_id not in self._voters(data_centre).voters:
@@ -189,7 +191,7 @@
         return ALONE_SECONDS + ALONE_STEP_SECONDS * self.place(data_centre)
 
     def retry_seconds(self) -> float:
-        """Draw when the next attempt may be made.
+        """Draw the delay before the next attempt.
 
         :return: seconds from now
         """
@@ -198,7 +200,7 @@
     def _others(
         self, electorate: electorates.Electorate, *, everybody: bool
     ) -> Iterator[ids.InstanceId]:
-        # A data centre whose instances are all there decides by itself.
+        # All voters of the engine's data centre together are a majority.
         voters = electorate.voters if everybody else electorate.near
         return (voter for voter in voters if voter != self._link.self_id)
 
--- a/src/boragefold/coordination/fleet/order_turns.py
+++ b/src/boragefold/coordination/fleet/order_turns.py
@@ -1,19 +1,20 @@
-"""When an instance may give an engine orders.
-
-Orders of two instances must not alternate within the lease of a giver of
-orders, and no instance can write down who gives them. The engine itself
-decides instead: it counts the orders that it accepted, and refuses one that
-expects another count. Whoever learns that the count has moved without it
-stays away until it has stood still for a whole lease. Where two instances both
-give orders, the first one's makes the other's fail, and the loser stays away.
-
-That holds only for orders that the engine counts. What is done or under way
-already it answers without a look at the count, and doesn't count it: nobody
-can see who gave that order. So an order must be one that changes something, as
-far as its giver can know: none is given while the engine carries one out, on
-an old belief, or while a lost one may still arrive. Two that order at the same
-time may still give the same order; which of them may order at all is therefore
-put to the vote, see :mod:`boragefold.coordination.fleet.order_leases`.
+"""When an instance may send orders to an engine.
+
+Orders of two instances must not alternate within the lease time, and instances
+have no shared storage that records which of them sends orders. Therefore the
+engine counts the orders that it accepted, and refuses an order that expects
+another count. An instance that finds that the count rose by an order of
+another one sends no order until the count has been constant for a whole lease.
+If two instances send orders, the first order makes the other fail, and the
+instance that failed waits.
+
+That holds only for orders that the engine counts. It answers an order whose
+effect is already reached or under way without checking or counting it, so
+nobody can see who sent it. An order must therefore change something, as far as
+the sender can know: none is sent while the engine executes one, on the ground
+of an old report, or while a lost one may still arrive. Two instances may still
+send the same order at the same time; therefore they also vote on which of them
+may send orders, see :mod:`boragefold.coordination.fleet.order_leases`.
 """
 
 from __future__ import annotations
@@ -23,33 +24,33 @@
 from boragefold.coordination.fleet import doubted_orders
 from boragefold.coordination.fleet import fencing_numbers
 
-# A turn begins only after the count has stood still for so long: in this time
-# claims reach every instance that hears the others, and reports show what
-# another giver did.
+# A turn begins after the count has been constant for this time. By then claims
+# have reached all reachable instances, and reports show the orders of another
+# instance.
 QUIET_SECONDS = 0.5
-# Several that saw the same order wait for the same lease; in slots by their
-# numbers they don't begin together. A slot is longer than a report's lag.
+# Instances that saw the same order wait for the same lease. Staggered by their
+# numbers they don't begin together; a step is longer than a report's lag.
 SLOT_SECONDS = 0.4
 SLOTS = 3
-# A process that has just started doesn't know whether its predecessor gave
-# orders a moment ago; it waits for so much more than a lease.
+# A process that has just started doesn't know whether its predecessor sent
+# orders a moment ago. It waits for a lease and this margin.
 START_SLACK_SECONDS = 0.2
-# What the count was is known for so long. With the time to send an order and
-# the reports' lag, an order relies on nothing older than the quiet time.
+# Maximum age of the count that an order relies on. Together with the time to
+# send an order and the lag of reports it is at most the quiet time.
 CONFIRMED_SECONDS = 0.25
-# An order is written within so long of its decision, or not at all.
+# An order that isn't written within this time of its decision is dropped.
 ORDER_FRESH_SECONDS = 0.1
-# Owners look ten times a second: whoever looked this long ago was paused, and
-# another instance may have begun a turn.
+# Owners check ten times a second. After a longer gap the process was paused,
+# and another instance may have begun a turn.
 PAUSED_SECONDS = 1.0
-# What a report says may be this old already when it is asked for.
+# Maximum age of a report's content when the report is requested.
 REPORT_AGE_SECONDS = 0.4
-# It is this old as a rule.
+# Usual age of a report's content.
 REPORT_LAG_SECONDS = 0.15
 
 
 class OrderTurns:
-    """One instance's turns at one engine."""
+    """The periods in which one instance may send orders to one engine."""
 
     def __init__(
         self,
@@ -58,12 +59,13 @@
         giver: int,
         started_at_seconds: float = -math.inf,
     ) -> None:
-        """Begin with nothing known of the engine's count.
+        """Create it with an unknown order count.
 
-        :param lease_seconds: how long the orders of two givers must be apart
-        :param giver: this instance's own number, below two to GIVER_BITS
+        :param lease_seconds: minimum time between orders of two instances
+        :param giver: this instance's number, below two to the power of
+            GIVER_BITS
         :param started_at_seconds: when this process started, on the clock
-            that all methods are given readings of
+            whose readings all methods are passed
         """
         self._wait_seconds = lease_seconds + SLOT_SECONDS * (giver % SLOTS)
         self._earliest_seconds = (
@@ -86,7 +88,7 @@
         self._looked_at_seconds = math.inf
 
     def begin(self) -> None:
-        """Begin a turn: look first whether somebody else gives orders."""
+        """Begin a turn by checking whether another instance sends orders."""
         self._begun = False
         self._certain = False
         self._quiet_since_seconds = None
@@ -94,9 +96,9 @@
         self._pending_of_former_turn = self._pending
 
     def listen_since(self, at_seconds: float) -> None:
-        """Begin anew, unless the engine was listened to since then.
+        """Begin a new turn if the count has been observed since before a time.
 
-        :param at_seconds: when another instance could give orders last
+        :param at_seconds: when another instance could last send orders
         """
         listening = self._quiet_since_seconds
         if listening is not None and listening < at_seconds:
@@ -104,57 +106,58 @@
 
     @property
     def begun(self) -> bool:
-        """Tell whether the engine was quiet for long enough to begin.
+        """Return whether the count has been constant for long enough.
 
-        :return: whether orders may be given, as far as that goes
+        :return: whether the turn has begun; other conditions may still forbid
+            an order
         """
         return self._begun
 
     @property
     def expected(self) -> int:
-        """Tell which count the next order expects.
+        """Return the order count that the next order expects.
 
-        :return: the count, as far as it is known
+        :return: the last known count; 0 before the first report
         """
         return 0 if self._counted is None else self._counted.orders
 
     @property
     def busy(self) -> bool:
-        """Tell whether the engine carries an order out.
+        """Return whether the engine is executing an order.
 
-        :return: whether it takes no other until then
+        :return: whether it accepts no other order until that is done
         """
         return self._busy
 
     @property
     def certain(self) -> bool:
-        """Tell whether the engine's count is known.
+        """Return whether the engine's order count is known.
 
-        :return: whether it was reported and nothing is in doubt since
+        :return: whether it was reported after any refused or unanswered order
         """
         return self._certain
 
     @property
     def in_doubt_count(self) -> int:
-        """Count the orders of this turn that may have been accepted.
+        """Count the unanswered orders of this turn.
 
-        :return: how many orders
+        :return: how many orders may have been accepted
         """
         return len(self._doubted)
 
     @property
     def explained(self) -> tuple[doubted_orders.Doubt, ...]:
-        """List what the last report's rise of the count was put down to.
+        """List the unanswered orders that the last report showed as accepted.
 
-        :return: orders that were in doubt
+        :return: the orders to which the rise of the count was attributed
         """
         return self._explained
 
     def waits(self, *, now_seconds: float) -> bool:
-        """Tell whether another giver's lease has to pass first.
+        """Return whether another instance's lease has to expire first.
 
         :param now_seconds: reading of a clock that counts suspension
-        :return: whether it does
+        :return: whether it has to
         """
         moved_at_seconds = self._moved_at_seconds
         return (
@@ -163,10 +166,10 @@
         )
 
     def orders_in_seconds(self, *, now_seconds: float) -> float:
-        """Tell how long no order can be given, as far as that is known.
+        """Return for how long it is known that no order can be sent.
 
         :param now_seconds: reading of a clock that counts suspension
-        :return: seconds, 0 when orders may be given or soon will be
+        :return: seconds; 0 when orders may be sent now or soon
         """
         free_at_seconds = self._earliest_seconds
         if self._moved_at_seconds is not None:
@@ -176,11 +179,11 @@
         return max(0.0, free_at_seconds - now_seconds)
 
     def may_order(self, *, now_seconds: float) -> bool:
-        """Tell whether an order may be given now.
+        """Return whether an order may be sent now.
 
         :param now_seconds: reading of a clock that counts suspension
-        :return: whether the count is known, the engine carries no order out
-            and nobody else gives orders
+        :return: whether the count is known, the engine is executing no order
+            and no other instance sends orders
         """
         if now_seconds - self._looked_at_seconds > PAUSED_SECONDS:
             self.begin()
@@ -196,10 +199,11 @@
         )
 
     def confirmed(self, *, now_seconds: float) -> bool:
-        """Tell whether the engine's count was seen or made just now.
+        """Return whether the engine's order count was confirmed recently.
 
         :param now_seconds: reading of a clock that counts suspension
-        :return: whether an order may rely on it; else a report is needed
+        :return: whether an order may rely on it; otherwise a new report is
+            needed
         """
         return (
             self.count_age_seconds(now_seconds=now_seconds)
@@ -207,22 +211,23 @@
         )
 
     def count_age_seconds(self, *, now_seconds: float) -> float:
-        """Tell how long ago the engine's count was seen or made.
+        """Return how long ago the engine's order count was confirmed.
 
         :param now_seconds: reading of a clock that counts suspension
-        :return: seconds; infinite before the first report
+        :return: seconds since a report or an accepted order; infinite before
+            the first
         """
         return now_seconds - self._confirmed_at_seconds
 
     def fence(self) -> int:
-        """Make the fencing number of the next order.
+        """Compute the fencing token of the next order.
 
-        :return: a number that rises with the engine's count
+        :return: a token that rises with the engine's order count
         """
         return fencing_numbers.fence(self._counted, giver=self._giver)
 
     def sending(self) -> None:
-        """Note that an order is on its way; there is one at a time."""
+        """Record that an order is being sent; there is one at a time."""
         self._pending = True
         self._pending_of_former_turn = False
 
@@ -233,10 +238,10 @@
         age_seconds: float = 0.0,
         now_seconds: float,
     ) -> None:
-        """Note that the engine accepted the order.
+        """Record that the engine accepted the order.
 
-        :param busy: whether the engine takes no other until it is done
-        :param age_seconds: how long ago the order was decided
+        :param busy: whether the engine accepts no other order until it is done
+        :param age_seconds: how long ago the order was decided on
         :param now_seconds: reading of a clock that counts suspension
         """
         self._pending = False
@@ -255,9 +260,9 @@
         age_seconds: float = 0.0,
         now_seconds: float,
     ) -> None:
-        """Note that the order had no answer: the count must be read anew.
+        """Record that the order had no answer, so that a new report is needed.
 
-        :param order: what it was, for the log
+        :param order: description of the order, for the log
         :param age_seconds: how long ago it was sent
         :param now_seconds: reading of a clock that counts suspension
         """
@@ -270,15 +275,16 @@
         )
 
     def unsent(self) -> None:
-        """Note that the order didn't go out."""
+        """Record that the order was not sent."""
         self._pending = False
         self._certain = False
 
     def refused(self, *, now_seconds: float) -> None:
-        """Note that the engine refused: its count isn't what we expected.
+        """Record that the engine refused the order for its expected count.
 
-        Another giver's order may have come before ours. Only a report that
-        must know of it tells the count again, or that there was none.
+        An order of another instance may have come first. The count is known
+        again, or that there was none, once a report is recent enough to
+        include that order.
 
         :param now_seconds: reading of a clock that counts suspension
         """
@@ -294,25 +300,25 @@
         age_seconds: float = 0.0,
         now_seconds: float,
     ) -> bool:
-        """Take over the count that the engine reports.
+        """Take over the order count that the engine reports.
 
-        :param counted: what it reports, perhaps a moment old
-        :param busy: whether it says that it carries an order out
-        :param age_seconds: how long ago the report was asked for; it tells
-            nothing of what came after that
+        :param counted: the reported count, possibly slightly outdated
+        :param busy: whether the engine reports that it is executing an order
+        :param age_seconds: how long ago the report was requested; later orders
+            need not be included
         :param now_seconds: reading of a clock that counts suspension
-        :return: whether somebody else was found to give orders
+        :return: whether the report shows orders of another instance
         """
         self._explained = ()
         if self._pending:
-            # The order on its way decides what the count is next.
+            # The answer to the order in flight will tell the count.
             return False
         before = self._counted
         asked_at_seconds = now_seconds - age_seconds
         self._certain = (
             asked_at_seconds - self._refused_at_seconds >= REPORT_AGE_SECONDS
         )
-        # The report may be older than our last order.
+        # The report may be older than this instance's last order.
         knows_last = (
             asked_at_seconds - self._accepted_at_seconds >= REPORT_AGE_SECONDS
         )
@@ -341,7 +347,7 @@
         return foreign
 
     def _is_behind(self, counted: fencing_numbers.Counted) -> bool:
-        # It is older than our last order, or the engine has started again.
+        # The report predates the last order, or the engine has restarted.
         return counted.orders < self.expected
 
     def _confirm(self, at_seconds: float) -> None:
--- a/src/boragefold/coordination/fleet/owner_changes.py
+++ b/src/boragefold/coordination/fleet/owner_changes.py
@@ -1,4 +1,4 @@
-"""Why an engine has another owner than before, as this instance sees it."""
+"""Why the owner of an engine changed, according to this instance."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from boragefold.coordination.fleet import members as members_module
 from boragefold.protocol import ids
 
-# Why an engine isn't ours any more.
+# Reasons why this instance doesn't own an engine any more.
 LEAVING = "leaving"
 UNREACHABLE = "unreachable"
 OTHER_OWNER = "other_owner"
@@ -17,13 +17,14 @@
 
 
 class OwnerChange(NamedTuple):
-    """What an instance believed when an engine's owner changed.
-
-    ``owner`` and ``former_owner`` are addresses, None where none is known;
-    ``former_heard_seconds`` is how long ago the former owner was heard, None
-    where it never was or is ourselves. ``instances_heard`` of the
-    ``instances_known`` of the engine's data centre are heard, ourselves among
-    them. ``reason`` tells why it isn't ours, empty where it is.
+    """The state of this instance's membership when an engine's owner changed.
+
+    ``owner`` and ``former_owner`` are addresses, None if unknown.
+    ``former_heard_seconds`` is how long ago the former owner was last heard,
+    None if it never was or is this instance. Of the ``instances_known`` of the
+    engine's data centre, ``instances_heard`` are reachable; both include this
+    instance. ``reason`` is why this instance doesn't own the engine, empty if
+    it does.
     """
 
     owner: str | None
@@ -35,7 +36,7 @@
 
 
 class OwnerChanges:
-    """Remembers each engine's former owner."""
+    """Records each engine's previous owner."""
 
     def __init__(
         self,
@@ -43,9 +44,9 @@
         self_id: ids.InstanceId,
         members: members_module.Members,
     ) -> None:
-        """Begin without owners.
+        """Create it without owners.
 
-        :param self_id: who we are
+        :param self_id: this instance
         :param members: the other instances
         """
         self._self_id = self_id
@@ -54,9 +55,9 @@
         self._former: dict[str, ids.InstanceId] = {}
 
     def note(self, owners: Mapping[str, ids.InstanceId]) -> None:
-        """Compare the owners with those of before.
+        """Update the owners, and record those that were replaced.
 
-        :param owners: the owners that there are now, by engine
+        :param owners: the current owners by engine
         """
         replaced = {
             engine: owner
@@ -67,9 +68,9 @@
         self._owners = owners
 
     def forget(self, engines: Mapping[str, str]) -> None:
-        """Forget the former owners of engines that are gone.
+        """Drop the former owners of engines that no longer exist.
 
-        :param engines: those that exist, with their data centres
+        :param engines: the data centre of each existing engine
         """
         self._former = {
             engine: owner
@@ -78,12 +79,12 @@
         }
 
     def of(self, engine: str, data_centre: str, *, reason: str) -> OwnerChange:
-        """Tell what is believed of an engine's owners.
+        """Describe the last change of an engine's owner.
 
-        :param engine: its name
-        :param data_centre: its data centre
-        :param reason: why it isn't ours
-        :return: what led to its owner
+        :param engine: the engine's name
+        :param data_centre: the engine's data centre
+        :param reason: why this instance doesn't own it, empty if it does
+        :return: the owners and the membership behind the change
         """
         owner = self._owners.get(engine)
         former = self._former.get(engine)
--- a/src/boragefold/coordination/fleet/ownership.py
+++ b/src/boragefold/coordination/fleet/ownership.py
@@ -1,13 +1,13 @@
 """Which instance schedules which engine.
 
-An engine has one owner, the instance that decides on its adapters and on
-which requests it runs next. Owners tell of themselves in their heartbeats; an
-engine that nobody claims goes to the instance that hashing names, preferably
-one of the engine's own data centre, so that a cut between data centres
-separates no engine from its owner.
-
-Two instances that can't hear each other may both believe they own an engine.
-That is harmless for requests; which of them may give orders is voted on, see
+An engine has one owner: the instance that decides which adapters it loads and
+which requests it runs next. Owners announce their engines in heartbeats. An
+engine without an owner is assigned by rendezvous hashing, preferably to an
+instance of the engine's own data centre, so that a network partition between
+data centres separates no engine from its owner.
+
+Two instances that can't reach each other may both believe they own an engine.
+That is harmless for requests; which of them may send orders is voted on, see
 :mod:`boragefold.coordination.fleet.order_leases`.
 """
 
@@ -29,25 +29,26 @@
 from boragefold.protocol import ids
 from boragefold.state import deployment
 
-# A process that has just started has heard nobody and would claim everything.
-# Others are found within two greetings. Orders come later, see order_turns;
-# until then it schedules what the engines hold, and learns what is asked for.
+# A process that has just started knows no members and would claim all engines.
+# Members are found within two greetings. An instance sends orders only later,
+# see order_turns; until then it schedules requests on the adapters that the
+# engines have loaded, and learns which adapters are requested.
 SETTLE_SECONDS = 1.2
-# An instance that was found a moment ago may be this much older than told.
+# A recently found instance may have run this much longer than is known here.
 SETTLE_SLACK_SECONDS = 1.0
-# All instances of a data centre, for all its engines.
+# Enough for all instances and engines of a data centre.
 REMEMBERED_HASHES = 16_384
 
 
 class Candidate(NamedTuple):
-    """An instance that may own engines, and those that it can't reach."""
+    """An instance that may own engines, and the engines it can't reach."""
 
     instance: ids.InstanceId
     avoids: frozenset[str]
 
 
 class Ownership:
-    """The owners, as this instance sees them."""
+    """The owners of engines according to this instance's membership."""
 
     def __init__(
         self,
@@ -57,13 +58,13 @@
         leaving: Callable[[], bool],
         avoids: Callable[[str], bool] = lambda engine: False,
     ) -> None:
-        """Begin without owners.
+        """Create it without owners.
 
-        :param self_id: who we are
+        :param self_id: this instance
         :param members: the other instances
-        :param leaving: whether this instance is about to stop
-        :param avoids: tells the engines that this instance can't reach, so
-            that another may try
+        :param leaving: returns whether this instance is about to stop
+        :param avoids: returns whether this instance can't reach an engine, so
+            that another instance should own it
         """
         self._self_id = self_id
         self._members = members
@@ -87,20 +88,20 @@
         return frozenset(self._claimed)
 
     def owner(self, engine: str) -> ids.InstanceId | None:
-        """Tell who owns an engine.
+        """Return the owner of an engine.
 
-        :param engine: its name
-        :return: the instance, perhaps this one; None while nobody does
+        :param engine: the engine's name
+        :return: the owner, possibly this instance; None if there is none
         """
         return self._owners.get(engine)
 
     def change(
         self, record: deployment.EndpointRecord
     ) -> owner_changes.OwnerChange:
-        """Tell why an engine is ours, or isn't any more.
+        """Describe the last change of an engine's owner.
 
         :param record: the engine
-        :return: what led to its owner
+        :return: the owners and the membership behind the change
         """
         return self._changes.of(
             record.name,
@@ -120,19 +121,19 @@
         return owner_changes.OTHER_OWNER
 
     def refresh(self, engines: Iterable[deployment.EndpointRecord]) -> None:
-        """Look at all claims anew, if something about them has changed.
+        """Update the owners if the membership or the engines have changed.
 
-        :param engines: those that exist
+        :param engines: the existing engines
         """
         places = {engine.name: engine.data_centre for engine in engines}
         avoided = frozenset(filter(self._avoids, places))
-        # The members' version is current only once they were looked at.
+        # Members.version is updated by reachable().
         self._members.reachable()
         looked_at = (self._members.version, places, avoided, self._leaving())
         uptime_seconds = self._members.uptime_seconds
         if looked_at != self._looked_at:
             self._looked_at = looked_at
-            # Whoever joined just now may own an engine when it has settled.
+            # An instance that has just joined may own engines after a delay.
             self._look_until_seconds = (
                 uptime_seconds + SETTLE_SECONDS + SETTLE_SLACK_SECONDS
             )
@@ -202,9 +203,9 @@
         data_centre: str,
         settled: Mapping[str, list[Candidate]],
     ) -> list[ids.InstanceId]:
-        # Others are looked at only where nobody of its own data centre could
-        # own it: with all of them for all engines, a fleet whose instances
-        # were killed together is busy with this alone.
+        # Instances of other data centres are considered only if no local one
+        # can own the engine. Ranking all instances for all engines would
+        # overload a fleet whose instances were killed together.
         near = _able(engine, settled.get(data_centre, []))
         if near:
             return near
--- a/src/boragefold/coordination/fleet/voted_lease.py
+++ b/src/boragefold/coordination/fleet/voted_lease.py
@@ -1,8 +1,8 @@
-"""The lease of one engine, which rests on the promises of voters.
+"""The lease of one engine, granted by a majority of voters.
 
-It is asked for when there is something to order, and lasts a little less than
-the promises, counted from when they were asked for: after a pause or a cut it
-has ended before anybody else can have one.
+It is requested when an order is due. It is a little shorter than the voters'
+promises and counted from the time of the request, so that after a pause or a
+network partition it has expired before another instance can obtain one.
 """
 
 from __future__ import annotations
@@ -18,28 +18,29 @@
 from boragefold.protocol import ids
 from boragefold.protocol import order_lease_messages as messages
 
-# Promises last longer by the time in which an order arrives or is given up.
+# Shorter than promises by the time in which an order arrives or is abandoned.
 LEASE_SECONDS = 0.6
 RENEW_SECONDS = 0.3
-# Whoever has no majority by then frees its voters, and tries again later:
-# two that ask at the same time would keep half of the voters each.
+# Without a majority by then, the round fails and its voters are released: two
+# instances that ask at the same time would each keep half of the voters.
 ANSWER_SECONDS = 0.25
-# Without the lease, an order waits until those show in reports that others
-# gave for the same requests: its holder, or one that is alone as well.
+# Without the lease, an order is delayed until reports would show an order that
+# the lease holder or another instance without a lease sent for the same
+# requests.
 RIVAL_SECONDS = 1.5
 RIVAL_STEP_SECONDS = 0.75
-# Whoever asked for nothing for so long goes by who is heard now.
+# After this time without a round, only the current reachability counts.
 STALE_SECONDS = 2.0
-# So long after a lease an order of it may still be on its way.
+# An order may still be on its way for this long after its lease expired.
 ORDER_SECONDS = 0.6
 
 
 @dataclasses.dataclass(kw_only=True)
 class Round:
-    """One time that voters were asked, and what they have answered.
+    """One request for votes, and the answers so far.
 
-    ``others_until_seconds`` is when a lease of another instance ended last, as
-    far as those who voted for us know.
+    ``others_until_seconds`` is when the last lease of another instance ended,
+    as far as those who voted for this instance know.
     """
 
     number: int
@@ -61,10 +62,10 @@
     ) -> bool:
         """Count a vote.
 
-        :param voter: whose
-        :param vote: the vote
+        :param voter: the voter
+        :param vote: its vote
         :param now_seconds: reading of the process clock
-        :return: whether it made the lease ours
+        :return: whether there is a majority now
         """
         if vote.refused_seconds > 0:
             self.refused.add(voter)
@@ -80,23 +81,23 @@
         return self.over
 
     def unanswered(self) -> set[ids.InstanceId]:
-        """List who gave no vote.
+        """List the voters that have not answered.
 
         :return: those that were asked and neither promised nor refused
         """
         return {*self.asked} - self.voted - self.refused
 
     def is_lost(self) -> bool:
-        """Tell whether too many refused.
+        """Return whether a majority has become impossible.
 
-        :return: whether those who haven't answered can't make a majority
+        :return: whether those who haven't refused are no majority
         """
         voters = {*self.electorate.voters}
         return not self.electorate.decides(voters - self.refused)
 
 
 class Ballot(abc.ABC):
-    """Reaches the voters for the leases of one instance."""
+    """Exchanges messages with the voters on behalf of one instance."""
 
     @abc.abstractmethod
     def ask(
@@ -110,23 +111,23 @@
         """Ask the voters for an engine.
 
         :param engine: the engine's name
-        :param data_centre: where the engine is
-        :param number: of the round, rising for each engine
-        :param everybody: whether the voters elsewhere are asked, too, though
-            all near ones are heard
-        :return: the round, perhaps decided by our own vote
+        :param data_centre: the engine's data centre
+        :param number: number of the round, rising for each engine
+        :param everybody: whether to ask voters of other data centres also
+            when all local ones are reachable
+        :return: the round, possibly decided by this instance's own vote
         """
 
     @abc.abstractmethod
     def missed(self, round_: Round) -> None:
-        """Note that a round got too few votes in time.
+        """Handle a round that had no majority in time.
 
         :param round_: the round
         """
 
     @abc.abstractmethod
     def free(self, engine: str, round_: Round) -> None:
-        """Free the voters of what they promised us.
+        """Release the promises that voters made to this instance.
 
         :param engine: the engine's name
         :param round_: the last round
@@ -134,38 +135,38 @@
 
     @abc.abstractmethod
     def majority_unheard_seconds(self, data_centre: str) -> float:
-        """Tell how long ago enough voters to decide were heard.
+        """Return how long ago a majority of the voters was reachable.
 
-        :param data_centre: where the engine is
-        :return: seconds; 0 while they are
+        :param data_centre: the engine's data centre
+        :return: seconds; 0 while a majority is reachable
         """
 
     @abc.abstractmethod
     def place(self, data_centre: str) -> int:
-        """Tell our place among the voters for an engine.
+        """Return this instance's position among the voters for an engine.
 
-        :param data_centre: where the engine is
-        :return: another number for each of them; for all others the next
+        :param data_centre: the engine's data centre
+        :return: unique for each voter; the number of voters for all others
         """
 
     @abc.abstractmethod
     def alone_after_seconds(self, data_centre: str) -> float:
-        """Tell after how long without a majority we go on without the lease.
+        """Return how long without a majority orders require the lease.
 
-        :param data_centre: where the engine is
+        :param data_centre: the engine's data centre
         :return: seconds, different for each voter; infinite for all others
         """
 
     @abc.abstractmethod
     def retry_seconds(self) -> float:
-        """Draw when the next attempt may be made.
+        """Draw the delay before the next attempt.
 
         :return: seconds from now
         """
 
 
 class VotedLease(order_lease.OrderLease):
-    """The lease of one engine, for the instance that owns it."""
+    """The lease of one engine for the instance that owns the engine."""
 
     def __init__(
         self,
@@ -176,14 +177,14 @@
         now_seconds: Callable[[], float],
         note: Callable[[Round, str, float], None],
     ) -> None:
-        """Begin without the lease.
+        """Create it without the lease.
 
         :param engine: the engine's name
-        :param data_centre: where the engine is
-        :param ballot: reaches the voters
+        :param data_centre: the engine's data centre
+        :param ballot: exchanges messages with the voters
         :param now_seconds: reads a clock that counts suspension
-        :param note: told when the lease was had, or couldn't be, after the
-            opposite, and how long ago enough voters were heard
+        :param note: logs each switch between obtained and failed rounds, with
+            how long ago a majority of the voters was reachable
         """
         self.changed: Callable[[], None] = lambda: None
         self._engine = engine
@@ -203,7 +204,7 @@
         self._refused_until_seconds = -math.inf
 
     def want(self) -> None:
-        """Ask for the lease, or for its renewal, because orders are due."""
+        """Request the lease, or its renewal, because orders are due."""
         now_seconds = self._now_seconds()
         if self._until_seconds - now_seconds > RENEW_SECONDS:
             return
@@ -216,18 +217,18 @@
             self._ask()
 
     def held(self, *, now_seconds: float) -> bool:
-        """Tell whether orders may be given.
+        """Return whether this instance holds the lease.
 
         :param now_seconds: reading of a clock that counts suspension
-        :return: whether the lease is ours
+        :return: whether orders may be sent
         """
         return now_seconds < self._until_seconds
 
     def wait_seconds(self, *, now_seconds: float) -> float:
-        """Tell how long the lease can't be had, as far as that is known.
+        """Return for how long the lease is known to be unavailable.
 
         :param now_seconds: reading of a clock that counts suspension
-        :return: seconds; 0 when it is held or nothing is known against it
+        :return: seconds; 0 when it is held or may be available
         """
         if self.held(now_seconds=now_seconds) or self.alone():
             return 0.0
@@ -235,18 +236,18 @@
             return 0.0
         unheard_seconds = self._unheard_seconds()
         if unheard_seconds > 0:
-            # As long again as it has lasted is as good a guess as any.
+            # Estimates that the outage lasts as long again as it has so far.
             left_seconds = self._alone_after_seconds() - unheard_seconds
             return max(0.0, min(unheard_seconds, left_seconds))
         return max(0.0, self._refused_until_seconds - now_seconds)
 
     def alone(self) -> bool:
-        """Tell whether those who could give the lease are gone, as it seems.
+        """Return whether a majority of the voters seems to be gone.
 
-        :return: whether too few of them were heard for long
+        :return: whether no majority has been reachable for a long time
         """
-        # Voters that are back promise nothing at first. Until they do, or
-        # tell of another holder, all goes on as if they weren't.
+        # Voters that are reachable again may refuse at first. Until they
+        # promise or report another holder, they are treated as gone.
         age_seconds = self._now_seconds() - self._asked_at_seconds
         self._alone = (self._alone and age_seconds <= STALE_SECONDS) or (
             self._last_round_failed
@@ -255,7 +256,7 @@
         return self._alone
 
     def order_delay_seconds(self, *, now_seconds: float) -> float:
-        """Tell how long an order must have been wanted before it is given.
+        """Return how long an order must have been due before it is sent.
 
         :param now_seconds: reading of a clock that counts suspension
         :return: seconds; 0 while the lease is held
@@ -266,14 +267,14 @@
         return RIVAL_SECONDS + RIVAL_STEP_SECONDS * place
 
     def others_until_seconds(self) -> float:
-        """Tell when another instance's lease ended last.
+        """Return when the last lease of another instance ended.
 
         :return: reading of the process clock
         """
         return self._others_until_seconds
 
     def end(self) -> None:
-        """Give the lease up: no order of ours is on its way any more."""
+        """Release the lease after the last order has been answered."""
         self._until_seconds = -math.inf
         self._alone = False
         if self._round is not None:
@@ -283,10 +284,10 @@
     def take_vote(
         self, voter: ids.InstanceId, answer: messages.LeaseVote
     ) -> None:
-        """Count a vote for the round that is under way.
+        """Count a vote for the current round.
 
-        :param voter: whose
-        :param answer: the vote
+        :param voter: the voter
+        :param answer: its vote
         """
         round_ = self._round
         if round_ is None or round_.over or answer.number != round_.number:
@@ -347,7 +348,7 @@
     def _note_outcome(
         self, round_: Round, outcome: str, unheard_seconds: float
     ) -> None:
-        # An instance that is cut off tries for as long as it wants orders.
+        # Logged once, as an instance without a majority retries all the time.
         if outcome != self._outcome:
             self._note(round_, outcome, unheard_seconds)
         self._outcome = outcome
