--- a/tests/coordination/fleet/test_electorate.py
+++ b/tests/coordination/fleet/test_electorate.py
@@ -1,4 +1,4 @@
-"""Who votes for the owners of engines, as a fleet in virtual time knows it."""
+"""Tests the voters for engines' leases, with a fleet in virtual time."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def test_a_data_centre_that_is_cut_off_decides_alone() -> None:
-    # Its engines got no orders while it was cut off.
+    # Otherwise its engines get no orders during a network partition.
     fleet = settled()
     near = of_centre(fleet, "dc-a")
     others = [each for each in fleet.addresses if each not in near]
@@ -59,7 +59,7 @@
 
 
 def test_an_instance_that_is_cut_off_decides_nothing() -> None:
-    # It took the others for gone, and their engines for its own.
+    # Otherwise it takes the others for gone and claims their engines.
     for count in (6, 7, 9, 12):
         fleet = settled(count)
         lone, *others = fleet.addresses
@@ -70,7 +70,7 @@
 
 
 def test_the_last_of_a_data_centre_decides_with_votes_from_elsewhere() -> None:
-    # With most of a data centre killed its engines got no orders.
+    # Otherwise engines get no orders when most of a data centre was killed.
     fleet = settled()
     last, *killed = of_centre(fleet, "dc-a")
     for address in killed:
@@ -80,7 +80,8 @@
 
 
 def test_it_is_known_how_long_no_majority_is_heard() -> None:
-    # An owner whose voters were back went on as if they weren't.
+    # Otherwise an owner still sends orders without the lease after its voters
+    # are reachable again.
     fleet = settled(3)
     last, *cut_off = fleet.addresses
     voters = voters_of(fleet, last)
@@ -95,7 +96,8 @@
 
 
 def test_silent_voters_count_no_longer_after_a_while() -> None:
-    # Engines whose voters were lost for good were ordered with care for ever.
+    # Otherwise an owner whose voters are lost for good never gets a lease, and
+    # delays its orders for ever.
     fleet = settled(3)
     last, *killed = fleet.addresses
     for address in killed:
@@ -107,7 +109,7 @@
 
 
 def test_many_that_join_dont_outvote_those_that_were_there() -> None:
-    # Nobody could give orders until they had been there for a while.
+    # Otherwise nobody has a majority until the new instances may vote.
     fleet = settled(6)
     near = of_centre(fleet, "dc-a")
     for number in range(30):
@@ -119,7 +121,8 @@
 
 
 def test_a_newcomer_that_hears_nobody_decides_nothing() -> None:
-    # It was started behind a cut, and took itself for the only instance.
+    # An instance that starts behind a network partition must not take itself
+    # for the only one.
     fleet = settled(3)
     fleet.addresses.append("10.2.0.1:70")
     fleet.cut(fleet.addresses[:3])
@@ -129,7 +132,8 @@
 
 
 def test_a_seed_that_was_never_heard_blocks_no_other_data_centre() -> None:
-    # One that has no instances had a voter that nobody knows, and no other.
+    # A seed that never answered must not be the only voter for a data centre
+    # without instances.
     seeds = ["10.1.0.0:70", "10.1.0.1:70", "10.8.0.1:70"]
     fleet = gateways.Gateways(6, seeds=seeds)
     fleet.run(SETTLED_SECONDS)
--- a/tests/coordination/fleet/test_order_leases.py
+++ b/tests/coordination/fleet/test_order_leases.py
@@ -1,4 +1,4 @@
-"""Leases of engines' orders, over a network in virtual time."""
+"""Tests leases of engines over a simulated network in virtual time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Owner:
-    """An instance that wants to give the engine orders while it is told to."""
+    """An instance that requests the lease while ``wants`` is set."""
 
     def __init__(self, group, number):
         self.group = group
@@ -53,7 +53,7 @@
 
 
 class Group:
-    """The instances of a data centre, each a voter."""
+    """The instances of a data centre, all of them voters."""
 
     def __init__(self, seed, instances=3):
         self.network = networks.Network(seed=seed, loss=0.05, doubling=0.05)
@@ -97,7 +97,8 @@
 
 
 def test_all_that_want_orders_never_hold_a_lease_together() -> None:
-    # Cuts, pauses and restarts let two believe that they are the owner.
+    # Partitions, pauses and restarts make two instances believe that they own
+    # the engine.
     for seed in range(20):
         group = Group(seed, instances=random.Random(seed).randint(2, 5))
         rng = random.Random(seed)
@@ -126,7 +127,7 @@
 
 
 def test_the_larger_side_of_a_cut_goes_on(group) -> None:
-    # An owner that is cut off stops before another one begins.
+    # An owner that is cut off loses the lease before another one gets it.
     former, other, _ = group.owners
     former.wants = True
     group.network.run_for(1.0)
@@ -140,7 +141,8 @@
 
 
 def test_a_lease_that_was_given_up_is_had_at_once(group) -> None:
-    # Each handover cost the rest of a lease without orders.
+    # Otherwise the engine gets no orders for the rest of the lease at each
+    # handover.
     former, other, _ = group.owners
     group.network.loss = 0.0
     former.wants = True
@@ -154,7 +156,8 @@
 
 
 def test_an_end_that_comes_late_frees_no_later_promise() -> None:
-    # An instance that gave an engine up and took it up again lost its lease.
+    # Otherwise an instance that released an engine and took it over again
+    # loses its lease to the delayed message.
     voter = lease_voter.LeaseVoter(started_at_seconds=0.0)
     network = networks.Network(seed=1)
     one = network.start("dc-a", "10.0.0.1:70").self_id
@@ -168,7 +171,8 @@
 
 
 def test_a_voter_tells_of_the_one_before() -> None:
-    # A new holder relied on a report from before the last orders of another.
+    # Otherwise a new holder relies on a report that predates the last orders
+    # of the previous one.
     voter = lease_voter.LeaseVoter(started_at_seconds=0.0)
     network = networks.Network(seed=1)
     one = network.start("dc-a", "10.0.0.1:70").self_id
@@ -183,7 +187,8 @@
 
 
 def test_a_lost_holder_costs_no_quiet_time_beyond_its_promise() -> None:
-    # Its successor listened in vain until the promise had ended, and anew.
+    # Otherwise the next holder observes the count until the promise has ended,
+    # and then has to observe it for another quiet time.
     voter = lease_voter.LeaseVoter(started_at_seconds=0.0)
     network = networks.Network(seed=1)
     one = network.start("dc-a", "10.0.0.1:70").self_id
@@ -196,7 +201,7 @@
 
 
 def test_a_process_that_has_started_promises_nothing_yet() -> None:
-    # Its predecessor's promise was forgotten with it.
+    # It doesn't know the promises of its predecessor.
     voter = lease_voter.LeaseVoter(started_at_seconds=10.0)
     asker = networks.Network(seed=1).start("dc-a", "10.0.0.1:70").self_id
     assert not promises(voter, asker, 1, now_seconds=10.5)
@@ -205,7 +210,7 @@
 
 
 def test_a_promise_outlasts_the_lease_by_an_orders_way() -> None:
-    # An order that is written at the end of a lease arrives in its time.
+    # An order that is sent at the end of a lease must arrive in this time.
     margin_seconds = lease_voter.PROMISE_SECONDS - voted_lease.LEASE_SECONDS
     assert margin_seconds >= 0.6
 
@@ -213,7 +218,8 @@
 def test_a_voter_that_doesnt_answer_is_tried_on_a_new_connection(
     group,
 ) -> None:
-    # After a cut the connections of both sides looked open, and no vote came.
+    # After a network partition the connections still look open on both sides,
+    # and no vote arrives.
     owner, *voters = group.owners
     reconnected = {}
     for each in group.owners:
@@ -234,7 +240,8 @@
 def test_a_failed_renewal_frees_no_voter_while_an_order_is_on_its_way(
     group,
 ) -> None:
-    # Another one began while the last order of the lease could still arrive.
+    # Otherwise another instance sends orders while the last order of the lease
+    # may still arrive.
     owner, *voters = group.owners
     group.network.loss = group.network.doubling = 0.0
     freed = []
@@ -252,7 +259,8 @@
 
 
 def test_an_engine_that_moved_is_voted_for_where_it_is_now(group) -> None:
-    # The voters of its former data centre and those of its new one both chose.
+    # Otherwise voters of the former and of the new data centre can each give
+    # an instance the lease.
     owner = group.owners[0]
     asked = []
     voters = owner.leases._voters
@@ -264,7 +272,8 @@
 
 
 def test_who_is_alone_is_so_no_longer_when_voters_are_heard(group) -> None:
-    # Long after the cut the first demand was met without asking for votes.
+    # Otherwise the first order long after a partition is sent without asking
+    # for votes.
     owner = group.owners[0]
     unheard_seconds = [100.0]
     owner.leases._majority_unheard_seconds = lambda among: unheard_seconds[0]
@@ -279,7 +288,8 @@
 
 
 def test_those_without_a_majority_go_on_one_after_the_other(group) -> None:
-    # All that were cut off from each other began to order at once.
+    # Otherwise instances that are cut off from each other all begin to send
+    # orders at the same time.
     waits_seconds = {
         owner.leases.alone_after_seconds("dc-a") for owner in group.owners
     }
@@ -287,7 +297,7 @@
 
 
 def test_votes_of_a_round_that_was_given_up_dont_count(group) -> None:
-    # A late vote made a lease of a promise that had been freed.
+    # Otherwise a late vote grants a lease on a promise that was released.
     owner, voter, _ = group.owners
     group.cut_off(0)
     owner.wants = True
--- a/tests/coordination/fleet/test_order_turns.py
+++ b/tests/coordination/fleet/test_order_turns.py
@@ -11,7 +11,7 @@
 
 
 class Engine:
-    """Counts orders as an engine does, and refuses a wrong count."""
+    """Counts orders like an engine and refuses those with a wrong count."""
 
     def __init__(self):
         self.born = 1_790_000_000_000
@@ -61,7 +61,7 @@
 
 
 def alternations(accepted):
-    """Find a giver that comes back within the lease of another's order."""
+    """Find orders that enclose another instance's order within a lease."""
     return [
         (first, second, third)
         for first, second, third in zip(
@@ -88,9 +88,8 @@
 
 
 def test_a_fresh_process_gives_no_order_for_a_lease(engine) -> None:
-    # All instances were killed together and came back. None can know whether
-    # its predecessor gave an order a moment ago, nor can its own count tell:
-    # what it looks at stands still because everyone is down.
+    # After a restart of all instances none knows whether its predecessor just
+    # sent an order. A constant count proves nothing, as nobody was running.
     turns = order_turns.OrderTurns(
         lease_seconds=LEASE_SECONDS, giver=1, started_at_seconds=10.0
     )
@@ -108,8 +107,8 @@
 
 
 def test_two_that_believe_they_own_an_engine_never_alternate(engine) -> None:
-    # Two instances can't hear each other and both order at one engine, as
-    # often as they can. Only one may get orders through within a lease.
+    # Two instances that can't reach each other send as many orders to an
+    # engine as they can. Only one may succeed within a lease.
     one, two = Giver(engine, 1), Giver(engine, 2)
     now = 0.0
     while now < 20.0:
@@ -138,9 +137,9 @@
 
 
 def test_a_paused_owner_listens_again_before_its_next_order(engine) -> None:
-    # An owner is paused for two seconds and wakes. Another has taken the
-    # engine over meanwhile and may have begun its turn; the first doesn't know
-    # it yet. An order right after waking would be between that one's orders.
+    # Another instance may have taken the engine over and begun its turn during
+    # a pause of two seconds. An order right after the pause would come between
+    # the orders of that instance.
     giver = Giver(engine, 1)
     giver.run(0.0, 2.0)
     assert engine.accepted
@@ -155,11 +154,11 @@
 
 
 def test_an_idle_owner_looks_again_before_its_next_order(engine) -> None:
-    # An owner has begun its turn, and nothing had to be ordered since. The
-    # former one wakes and orders before it hears that it was replaced. The
-    # engine answers what holds already without looking at the count: the
-    # first order of the new owner, with an old count, would be carried out
-    # with a fencing number below one used before.
+    # The new owner has begun its turn and sent no order yet. The former owner
+    # resumes after a pause and sends one before it learns of the new owner.
+    # The engine answers an order for its current state without checking the
+    # count, so a first order of the new owner with an old count would be
+    # executed with a fencing token below one used before.
     giver = Giver(engine, 1)
     for step in range(10):
         giver.look(step / 10)
@@ -175,7 +174,8 @@
 
 
 def test_a_report_that_was_read_late_confirms_nothing(engine) -> None:
-    # A process that paused reads a report from before another's orders.
+    # After a pause the process reads a report that predates another
+    # instance's orders.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     seen = engine.counted()
@@ -186,7 +186,7 @@
 
 
 def test_an_answer_that_was_read_late_confirms_nothing(engine) -> None:
-    # A process that paused reads the answer to an order given before.
+    # After a pause the process reads the answer to an order sent before it.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     giver.turns.sending()
@@ -196,8 +196,8 @@
 
 
 def test_a_report_of_fewer_orders_confirms_nothing(engine) -> None:
-    # The engine had started again, and its report passed for an older one
-    # that confirms the former life's count.
+    # The engine has restarted. Its report must not be taken for an older one
+    # that confirms the count from before the restart.
     giver = Giver(engine, number=1)
     giver.run(0.0, 1.0)
     assert giver.try_order(1.05)
@@ -209,7 +209,8 @@
 
 
 def test_an_order_relies_on_nothing_older_than_the_quiet_time() -> None:
-    # Another's order that is younger than that couldn't be seen.
+    # An order of another instance that is younger than the quiet time need not
+    # show in reports yet.
     oldest_seconds = (
         order_turns.CONFIRMED_SECONDS
         + order_turns.ORDER_FRESH_SECONDS
@@ -219,7 +220,7 @@
 
 
 def test_reports_that_were_read_late_prove_no_quiet_time(engine) -> None:
-    # Two reports asked for at once, read before and after a pause.
+    # Both reports were requested at the same time; one was read after a pause.
     giver = Giver(engine, 1)
     seen = engine.counted()
     giver.turns.reported(seen, now_seconds=0.0)
@@ -228,8 +229,8 @@
 
 
 def test_a_former_owner_waits_a_lease_after_its_successor(engine) -> None:
-    # An owner freezes, another takes over and orders; the first wakes and is
-    # the owner again by hashing. Its next order must be a lease away.
+    # An owner is paused, another takes over and sends orders, then hashing
+    # selects the first one again. It must not send orders for a lease.
     one, two = Giver(engine, 1), Giver(engine, 2)
     one.run(0.0, 1.0)
     two.run(2.0, 3.0)
@@ -245,8 +246,9 @@
 
 
 def test_two_that_wait_for_one_lease_dont_begin_together(engine) -> None:
-    # A third gives an order that both see. When its lease has passed both
-    # would load the same adapter at once, and the engine takes both orders.
+    # Both see the order of a third instance. If both began when its lease has
+    # passed, they would load the same adapter, and the engine accepts both
+    # orders.
     first_seconds = []
     for number in (1, 2, 3):
         giver = Giver(engine, number)
@@ -266,8 +268,8 @@
 
 
 def test_an_order_in_doubt_is_not_taken_for_another_givers(engine) -> None:
-    # The answer to an order is lost. The count has moved by it; the giver
-    # must not stay away from its own engine for that.
+    # The answer to an order is lost. The sender must attribute the rise of the
+    # count to that order instead of waiting for another instance's lease.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     giver.turns.sending()
@@ -279,7 +281,7 @@
 
 
 def test_an_order_in_doubt_isnt_settled_by_an_older_report(engine) -> None:
-    # The same order would go out again, and the engine wouldn't count it.
+    # Otherwise the same order is sent again, and the engine doesn't count it.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     old = engine.counted()
@@ -293,8 +295,9 @@
 
 
 def test_a_report_that_shows_an_order_in_doubt_settles_it(engine) -> None:
-    # Asked for before the doubt, it was passed over; seen later, the order
-    # was taken for another giver's, and a lease was waited for.
+    # The report was requested before the order timed out. If it were ignored,
+    # a later report would attribute the order to another instance, and the
+    # sender would wait for a lease.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     giver.turns.sending()
@@ -308,8 +311,8 @@
 
 
 def test_no_order_is_given_while_a_lost_one_may_still_arrive(engine) -> None:
-    # An unload has no answer, is given again and counted, and its first copy
-    # comes late: answered with "done", it bears a number that is too low.
+    # An unload without an answer is sent again and counted. If its first copy
+    # arrives later, the engine answers "done" with an outdated fencing token.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     giver.turns.sending()
@@ -324,9 +327,9 @@
 def test_another_givers_order_isnt_taken_for_one_lost_long_ago(
     engine,
 ) -> None:
-    # Two orders were lost in a cut and never arrived. After it another owner
-    # gives two. Taken for the lost ones, they would go unnoticed, and the next
-    # order would be between that owner's.
+    # Two orders were lost in a network partition and never arrived. Afterwards
+    # another owner sends two. If those were taken for the lost ones, the next
+    # order would come between that owner's orders.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     for at in (1.0, 1.1):
@@ -341,8 +344,8 @@
 
 
 def test_an_order_lost_before_a_handover_hides_no_other_givers(engine) -> None:
-    # It never arrived, and the owner in between gave one. That one passed for
-    # it, and the next order came between that owner's.
+    # The order never arrived, and the owner in between sent one. If that were
+    # taken for the lost one, the next order would come between that owner's.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     giver.turns.sending()
@@ -359,7 +362,7 @@
 def test_an_order_that_is_lost_after_a_handover_hides_no_other_givers(
     engine,
 ) -> None:
-    # Its time ran out when its sender owned the engine again.
+    # The order times out after its sender has become the owner again.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     giver.turns.sending()
@@ -371,7 +374,8 @@
 
 
 def test_an_order_lost_before_a_handover_may_still_arrive(engine) -> None:
-    # The new turn began at once, and gave the same order beside its copy.
+    # Otherwise the new turn begins at once and sends the same order while the
+    # first copy may still arrive.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     giver.turns.sending()
@@ -388,8 +392,9 @@
 def test_a_refusal_isnt_forgotten_for_a_report_from_before_it(
     engine, lag_seconds
 ) -> None:
-    # Another's order was counted, and ours refused for it. A report that still
-    # told the count of before passed for news, and an order relied on it.
+    # The engine refused an order because it had counted another instance's. A
+    # report with the count from before must not make the next order rely on
+    # it.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     before = engine.counted()
@@ -403,7 +408,8 @@
 
 
 def test_a_refusal_for_another_reason_costs_no_lease(engine) -> None:
-    # An engine refuses a load beside too many others in the same words.
+    # An engine with too many loads in progress refuses another load with the
+    # same response as a wrong count.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     giver.turns.sending()
@@ -417,7 +423,8 @@
 def test_a_refusal_for_a_count_taken_for_higher_costs_no_lease(
     engine,
 ) -> None:
-    # Our last order was answered and not counted; nobody else gave one.
+    # The engine answered the last order without counting it, so the expected
+    # count is too high although no other instance sent an order.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     giver.turns.sending()
@@ -430,8 +437,8 @@
 def test_a_report_while_an_order_is_on_its_way_changes_nothing(
     engine,
 ) -> None:
-    # A report arrives between an order and its answer. Orders must go on
-    # after the answer; they once stopped for good.
+    # A report that arrives between an order and its answer must not stop later
+    # orders for good.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     giver.turns.sending()
@@ -442,8 +449,8 @@
 
 
 def test_a_count_that_was_taken_for_higher_is_put_right(engine) -> None:
-    # The engine answers an order that changed nothing with "done" and doesn't
-    # count it. Every further order would be refused for its count.
+    # The engine answers an order that changes nothing with "done" and doesn't
+    # count it. Otherwise it refuses all later orders for their count.
     giver = Giver(engine, 1)
     giver.run(0.0, 1.0)
     giver.turns.sending()
@@ -483,8 +490,9 @@
 
 
 def test_a_life_of_a_moment_later_has_higher_numbers() -> None:
-    # An unload for the former life may reach the next one, uncounted: where
-    # both began in one second, the numbers of the next one were below it.
+    # An unload for an engine may reach its successor after a restart, where it
+    # isn't counted. With start times in whole seconds, the successor's fencing
+    # tokens could be below the order's.
     born = 1_790_000_000_000
     orders_in_100_milliseconds = 20
     last = fencing_numbers.Counted(born, orders_in_100_milliseconds)
