--- a/src/boragefold/coordination/fleet/doubted_orders.py
+++ b/src/boragefold/coordination/fleet/doubted_orders.py
@@ -8,7 +8,7 @@
 # An unanswered order can still arrive within this time. A rise of the engine's
 # order count in reports is attributed to it; a later rise is attributed to
 # another instance.
-DOUBT_SECONDS = 1.0
+LATE_ARRIVAL_SECONDS = 1.0
 
 
 class Doubt(NamedTuple):
@@ -22,11 +22,11 @@
     """The unanswered orders of one instance to one engine."""
 
     def __init__(self) -> None:
-        self._doubts: tuple[Doubt, ...] = ()
-        self._began_at_seconds = -math.inf
+        self._orders: tuple[Doubt, ...] = ()
+        self._last_added_at_seconds = -math.inf
 
     def __len__(self) -> int:
-        return len(self._doubts)
+        return len(self._orders)
 
     def begin_turn(self) -> None:
         """Drop the unanswered orders of earlier turns.
@@ -35,7 +35,7 @@
         taken for a lost one of this instance, the next order of this instance
         would come between the other's orders.
         """
-        self._doubts = ()
+        self._orders = ()
 
     def add(
         self, doubt: Doubt, *, of_this_turn: bool, now_seconds: float
@@ -46,9 +46,9 @@
         :param of_this_turn: whether it was sent in the current turn
         :param now_seconds: reading of a clock that counts suspension
         """
-        self._began_at_seconds = now_seconds
+        self._last_added_at_seconds = now_seconds
         if of_this_turn:
-            self._doubts = (*self._doubts, doubt)
+            self._orders = (*self._orders, doubt)
 
     def may_arrive(self, *, now_seconds: float) -> bool:
         """Return whether an unanswered order may still arrive.
@@ -60,20 +60,20 @@
         :param now_seconds: reading of a clock that counts suspension
         :return: whether no other order may be sent
         """
-        return now_seconds - self._began_at_seconds < DOUBT_SECONDS
+        return now_seconds - self._last_added_at_seconds < LATE_ARRIVAL_SECONDS
 
     def forget_late(self, *, now_seconds: float) -> None:
         """Drop unanswered orders that are too old to arrive.
 
         :param now_seconds: reading of a clock that counts suspension
         """
-        if now_seconds - self._began_at_seconds > DOUBT_SECONDS:
-            self._doubts = ()
+        if now_seconds - self._last_added_at_seconds > LATE_ARRIVAL_SECONDS:
+            self._orders = ()
 
     def forget(self) -> None:
         """Drop all orders after a restart of the engine reset its count."""
-        self._doubts = ()
-        self._began_at_seconds = -math.inf
+        self._orders = ()
+        self._last_added_at_seconds = -math.inf
 
     def settle(self, rise: int) -> tuple[Doubt, ...]:
         """Attribute a rise of the order count to the oldest orders.
@@ -81,15 +81,15 @@
         :param rise: how many more orders the engine has accepted
         :return: the orders that count as accepted
         """
-        settled, self._doubts = self._doubts[:rise], self._doubts[rise:]
-        if settled and not self._doubts:
+        settled, self._orders = self._orders[:rise], self._orders[rise:]
+        if settled and not self._orders:
             # All unanswered orders have arrived.
-            self._began_at_seconds = -math.inf
+            self._last_added_at_seconds = -math.inf
         return settled
 
 
 __all__ = [
-    "DOUBT_SECONDS",
     "Doubt",
     "DoubtedOrders",
+    "LATE_ARRIVAL_SECONDS",
 ]
--- a/src/boragefold/coordination/fleet/electorate.py
+++ b/src/boragefold/coordination/fleet/electorate.py
@@ -29,8 +29,8 @@
 MAX_VOTERS = 5
 # Longer than most network partitions last.
 SILENT_VOTES_SECONDS = 60.0
-LOOK_AGAIN_SECONDS = 0.25
-REMEMBERED_HASHES = 4_096
+CACHE_SECONDS = 0.25
+HASH_CACHE_SIZE = 4_096
 
 
 class Electorate(NamedTuple):
@@ -79,8 +79,8 @@
         """
         self._self_id = self_id
         self._members = members
-        self._known: dict[str, Electorate] = {}
-        self._known_for: tuple[object, ...] = ()
+        self._cached: dict[str, Electorate] = {}
+        self._cache_key: tuple[object, ...] = ()
 
     def of(self, data_centre: str) -> Electorate:
         """List the voters for the engines of a data centre.
@@ -89,14 +89,14 @@
         :return: the voters, equal on all instances with the same membership
         """
         # Cached, as an owner without a majority asks at each decision.
-        slot = self._members.uptime_seconds // LOOK_AGAIN_SECONDS
-        known_for = (self._members.version, slot)
-        if known_for != self._known_for:
-            self._known_for = known_for
-            self._known = {}
-        if data_centre not in self._known:
-            self._known[data_centre] = self._choose(data_centre)
-        return self._known[data_centre]
+        period = self._members.uptime_seconds // CACHE_SECONDS
+        cache_key = (self._members.version, period)
+        if cache_key != self._cache_key:
+            self._cache_key = cache_key
+            self._cached = {}
+        if data_centre not in self._cached:
+            self._cached[data_centre] = self._choose(data_centre)
+        return self._cached[data_centre]
 
     def is_heard(self, voter: ids.InstanceId) -> bool:
         """Return whether a voter is reachable.
@@ -127,12 +127,12 @@
             # Too few members are known shortly after the start.
             return Electorate(near=(), far=(), near_heard=False)
         by_centre: dict[str, list[ids.InstanceId]] = {}
-        for instance in self._counted():
+        for instance in self._eligible():
             # A seed that never answered may be of this data centre.
             centre = instance.data_centre or self._self_id.data_centre
             by_centre.setdefault(centre, []).append(instance)
         near = _ranked(by_centre.pop(data_centre, ()))[:MAX_VOTERS]
-        far = _spread(map(_ranked, by_centre.values()))
+        far = _interleave(map(_ranked, by_centre.values()))
         wanted = len(near) - 1 if near else MAX_VOTERS
         return Electorate(
             near=tuple(near),
@@ -144,10 +144,10 @@
         heard = {member.instance for member in self._members.reachable()}
         return heard | {self._self_id}
 
-    def _counted(self) -> Iterable[ids.InstanceId]:
+    def _eligible(self) -> Iterable[ids.InstanceId]:
         yield self._self_id
         for member in self._members.reachable():
-            if self._has_voted_before(member):
+            if self._may_vote(member):
                 yield member.instance
         for member in self._members.unreachable():
             has_left = member.beat is not None and member.beat.leaving
@@ -155,7 +155,7 @@
             if not has_left and silent_seconds < SILENT_VOTES_SECONDS:
                 yield member.instance
 
-    def _has_voted_before(self, member: member_module.Member) -> bool:
+    def _may_vote(self, member: member_module.Member) -> bool:
         # If many instances that join at the same time were voters, they would
         # outnumber the others, and new instances promise nothing at first.
         age_seconds = self._members.age_seconds(member)
@@ -171,12 +171,12 @@
     return _hash(instance.address), instance.address
 
 
-@functools.lru_cache(maxsize=REMEMBERED_HASHES)
+@functools.lru_cache(maxsize=HASH_CACHE_SIZE)
 def _hash(address: str) -> int:
     return xxhash.xxh3_64_intdigest(address.encode())
 
 
-def _spread(
+def _interleave(
     by_centre: Iterable[list[ids.InstanceId]],
 ) -> list[ids.InstanceId]:
     # The first voter of each data centre comes before the second of any.
--- a/src/boragefold/coordination/fleet/engine_changes.py
+++ b/src/boragefold/coordination/fleet/engine_changes.py
@@ -17,7 +17,7 @@
 MILLISECONDS = 1_000
 
 Engines = tuple[messages.EngineStatus, ...]
-One = TypeVar("One", bound=Hashable)
+Item = TypeVar("Item", bound=Hashable)
 
 
 def between(
@@ -30,12 +30,12 @@
     :return: a change for each engine that differs; None if a full report is
         needed because the engines or their models differ
     """
-    if [*map(_lasting, before)] != [*map(_lasting, after)]:
+    if [*map(_identity, before)] != [*map(_identity, after)]:
         return None
     return tuple(
         change
-        for place, (old, new) in enumerate(zip(before, after, strict=True))
-        if old != new and (change := _change(place, old, new)) is not None
+        for index, (old, new) in enumerate(zip(before, after, strict=True))
+        if old != new and (change := _change(index, old, new)) is not None
     )
 
 
@@ -57,10 +57,10 @@
 
 
 def _change(
-    place: int, old: messages.EngineStatus, new: messages.EngineStatus
+    index: int, old: messages.EngineStatus, new: messages.EngineStatus
 ) -> messages.EngineChange | None:
     change = messages.EngineChange(
-        place,
+        index,
         _load_of(new),
         new.answers,
         _dropped(old.adapters, new.adapters),
@@ -69,13 +69,13 @@
         _added(old.copies, new.copies),
     )
     # Engines that differ only in the order of their adapters are equal.
-    return None if change == _nothing(place, old) else change
+    return None if change == _empty_change(index, old) else change
 
 
-def _nothing(
-    place: int, engine: messages.EngineStatus
+def _empty_change(
+    index: int, engine: messages.EngineStatus
 ) -> messages.EngineChange:
-    return messages.EngineChange(place, _load_of(engine), engine.answers)
+    return messages.EngineChange(index, _load_of(engine), engine.answers)
 
 
 def _apply(
@@ -99,7 +99,7 @@
     )
 
 
-def _lasting(
+def _identity(
     engine: messages.EngineStatus,
 ) -> tuple[str, tuple[str, ...]]:
     return engine.name, engine.models
@@ -114,21 +114,23 @@
     )
 
 
-def _dropped(old: Sequence[One], new: Sequence[One]) -> tuple[int, ...]:
+def _dropped(old: Sequence[Item], new: Sequence[Item]) -> tuple[int, ...]:
     remaining = set(new)
     return tuple(
-        place for place, one in enumerate(old) if one not in remaining
+        index for index, item in enumerate(old) if item not in remaining
     )
 
 
-def _added(old: Sequence[One], new: Sequence[One]) -> tuple[One, ...]:
+def _added(old: Sequence[Item], new: Sequence[Item]) -> tuple[Item, ...]:
     known = set(old)
-    return tuple(one for one in dict.fromkeys(new) if one not in known)
+    return tuple(item for item in dict.fromkeys(new) if item not in known)
 
 
-def _kept(before: Sequence[One], dropped: tuple[int, ...]) -> tuple[One, ...]:
+def _kept(
+    before: Sequence[Item], dropped: tuple[int, ...]
+) -> tuple[Item, ...]:
     return tuple(
-        one for place, one in enumerate(before) if place not in dropped
+        item for index, item in enumerate(before) if index not in dropped
     )
 
 
--- a/src/boragefold/coordination/fleet/fencing_numbers.py
+++ b/src/boragefold/coordination/fleet/fencing_numbers.py
@@ -38,10 +38,10 @@
     :return: below two to the power of GIVER_BITS; unique for the first 1,024
         addresses in each of 32 data centres
     """
-    place = sorted(data_centres).index(data_centre)
+    position = sorted(data_centres).index(data_centre)
     number = int(ipaddress.IPv4Address(address.partition(":")[0]))
-    low = number % (1 << ADDRESS_BITS)
-    return ((place << ADDRESS_BITS) | low) % (1 << GIVER_BITS)
+    low_bits = number % (1 << ADDRESS_BITS)
+    return ((position << ADDRESS_BITS) | low_bits) % (1 << GIVER_BITS)
 
 
 def fence(counted: Counted | None, *, giver: int) -> int:
@@ -59,8 +59,8 @@
     born_milliseconds = counted.born_milliseconds - EPOCH_MILLISECONDS
     # An engine accepts fewer than one order per millisecond, so the tokens
     # stay below those after the engine's next restart.
-    place = max(0, born_milliseconds) + counted.orders
-    return (place << GIVER_BITS) | giver
+    position = max(0, born_milliseconds) + counted.orders
+    return (position << GIVER_BITS) | giver
 
 
 __all__ = [
--- a/src/boragefold/coordination/fleet/lease_voter.py
+++ b/src/boragefold/coordination/fleet/lease_voter.py
@@ -11,11 +11,11 @@
 PROMISE_SECONDS = 1.2
 # The holder's last order has arrived at least this long before the promise
 # ends, unless the order was delayed on its way.
-ORDERS_END_BEFORE_SECONDS = 0.5
+ORDERS_END_MARGIN_SECONDS = 0.5
 # Ended promises are kept for longer than the lag of engine reports.
-REMEMBERED_SECONDS = 4.0
-# Above this number, promises that ended longer ago are dropped.
-KEPT_PROMISES = 256
+RETENTION_SECONDS = 4.0
+# Promises that ended longer ago are dropped from this number on.
+CLEANUP_THRESHOLD = 256
 
 
 class Promise(NamedTuple):
@@ -57,7 +57,7 @@
         :param started_at_seconds: when this process started, on the clock
             whose readings all methods are passed
         """
-        self._bound_until_seconds = started_at_seconds + PROMISE_SECONDS
+        self._refuses_until_seconds = started_at_seconds + PROMISE_SECONDS
         self._promises: dict[str, Promise] = {}
 
     def vote(
@@ -76,25 +76,25 @@
         :param now_seconds: reading of a clock that counts suspension
         :return: the vote
         """
-        if now_seconds < self._bound_until_seconds:
-            return Vote(self._bound_until_seconds - now_seconds)
-        before = self._promises.get(engine)
+        if now_seconds < self._refuses_until_seconds:
+            return Vote(self._refuses_until_seconds - now_seconds)
+        former = self._promises.get(engine)
         others_until_seconds = -math.inf
-        if before is not None and before.holder == asker:
-            number = max(number, before.number)
-            others_until_seconds = before.others_until_seconds
-        elif before is not None:
-            if before.until_seconds > now_seconds:
-                bound_seconds = before.until_seconds - now_seconds
-                return Vote(bound_seconds, -bound_seconds)
-            others_until_seconds = before.orders_until_seconds
+        if former is not None and former.holder == asker:
+            number = max(number, former.number)
+            others_until_seconds = former.others_until_seconds
+        elif former is not None:
+            if former.until_seconds > now_seconds:
+                remaining_seconds = former.until_seconds - now_seconds
+                return Vote(remaining_seconds, -remaining_seconds)
+            others_until_seconds = former.orders_until_seconds
         self._forget_ended(now_seconds)
         until_seconds = now_seconds + PROMISE_SECONDS
         self._promises[engine] = Promise(
             holder=asker,
             number=number,
             until_seconds=until_seconds,
-            orders_until_seconds=until_seconds - ORDERS_END_BEFORE_SECONDS,
+            orders_until_seconds=until_seconds - ORDERS_END_MARGIN_SECONDS,
             others_until_seconds=others_until_seconds,
         )
         return Vote(0.0, now_seconds - others_until_seconds)
@@ -127,9 +127,9 @@
             )
 
     def _forget_ended(self, now_seconds: float) -> None:
-        if len(self._promises) < KEPT_PROMISES:
+        if len(self._promises) < CLEANUP_THRESHOLD:
             return
-        oldest_seconds = now_seconds - REMEMBERED_SECONDS
+        oldest_seconds = now_seconds - RETENTION_SECONDS
         self._promises = {
             engine: promise
             for engine, promise in self._promises.items()
--- a/src/boragefold/coordination/fleet/order_leases.py
+++ b/src/boragefold/coordination/fleet/order_leases.py
@@ -30,10 +30,10 @@
 # Longer than most restarts and network partitions: an instance on the other
 # side of a partition can't be told from one that has ended, and not all of its
 # orders show in reports in time.
-ALONE_SECONDS = 15.0
+NO_MAJORITY_SECONDS = 15.0
 # Staggers instances that are cut off from each other: the later ones see the
 # orders of the first and send none.
-ALONE_STEP_SECONDS = 4.0
+NO_MAJORITY_STEP_SECONDS = 4.0
 
 
 class OrderLeases(voted_lease.Ballot):
@@ -70,14 +70,14 @@
         self._rng = rng
         self._log = log
         self._is_heard = is_heard
-        self._unanswered: set[str] = set()
+        self._unresponsive: set[str] = set()
         self._voter = lease_voter.LeaseVoter(
             started_at_seconds=started_at_seconds
         )
         self._leases: dict[str, voted_lease.VotedLease] = {}
-        link.subscribe(messages.LeaseAsk, self._take_ask)
-        link.subscribe(messages.LeaseVote, self._take_vote)
-        link.subscribe(messages.LeaseEnd, self._take_end)
+        link.subscribe(messages.LeaseAsk, self._handle_ask)
+        link.subscribe(messages.LeaseVote, self._handle_vote)
+        link.subscribe(messages.LeaseEnd, self._handle_end)
 
     def lease(
         self, engine: str, data_centre: str, *, changed: Callable[[], None]
@@ -98,7 +98,7 @@
                 data_centre=data_centre,
                 ballot=self,
                 now_seconds=self._timers.now_seconds,
-                note=functools.partial(self._note, engine),
+                note=functools.partial(self._log_round, engine),
             )
             self._leases[engine] = lease
         lease.data_centre = data_centre
@@ -129,7 +129,7 @@
             number=number,
             sent_at_seconds=now_seconds,
             electorate=electorate,
-            asked=tuple(self._others(electorate, everybody=everybody)),
+            asked=tuple(self._other_voters(electorate, everybody=everybody)),
         )
         # This instance's own promise binds it even if it is not a voter.
         self_id = self._link.self_id
@@ -137,7 +137,7 @@
             self_id, engine, number, now_seconds=now_seconds
         )
         if not round_.count(self_id, vote, now_seconds=now_seconds):
-            unanswered = tuple(sorted(self._unanswered))
+            unanswered = tuple(sorted(self._unresponsive))
             body = messages.LeaseAsk(number, engine, unanswered)
             self._link.send_all(to=round_.asked, body=body)
         return round_
@@ -149,7 +149,7 @@
         """
         # Connections can look open long after a network partition broke them.
         for voter in filter(self._is_heard, round_.unanswered()):
-            self._unanswered.add(voter.address)
+            self._unresponsive.add(voter.address)
             self._link.reconnect(voter)
 
     def free(self, engine: str, round_: voted_lease.Round) -> None:
@@ -159,7 +159,7 @@
         :param round_: the last round
         """
         body = messages.LeaseEnd(round_.number, engine)
-        self._take_end(self._link.self_id, body)
+        self._handle_end(self._link.self_id, body)
         self._link.send_all(to=round_.asked, body=body)
 
     def majority_unheard_seconds(self, data_centre: str) -> float:
@@ -188,7 +188,9 @@
         """
         if self._link.self_id not in self._voters(data_centre).voters:
             return math.inf
-        return ALONE_SECONDS + ALONE_STEP_SECONDS * self.place(data_centre)
+        return NO_MAJORITY_SECONDS + NO_MAJORITY_STEP_SECONDS * self.place(
+            data_centre
+        )
 
     def retry_seconds(self) -> float:
         """Draw the delay before the next attempt.
@@ -197,14 +199,14 @@
         """
         return self._rng.uniform(*RETRY_SECONDS)
 
-    def _others(
+    def _other_voters(
         self, electorate: electorates.Electorate, *, everybody: bool
     ) -> Iterator[ids.InstanceId]:
         # All voters of the engine's data centre together are a majority.
         voters = electorate.voters if everybody else electorate.near
         return (voter for voter in voters if voter != self._link.self_id)
 
-    def _take_ask(
+    def _handle_ask(
         self, sender: ids.InstanceId, body: messages.LeaseAsk
     ) -> None:
         if self._link.self_id.address in body.unanswered:
@@ -218,15 +220,15 @@
         answer = messages.LeaseVote(body.number, body.engine, *vote)
         self._link.send(to=sender, body=answer)
 
-    def _take_vote(
+    def _handle_vote(
         self, sender: ids.InstanceId, body: messages.LeaseVote
     ) -> None:
-        self._unanswered.discard(sender.address)
+        self._unresponsive.discard(sender.address)
         lease = self._leases.get(body.engine)
         if lease is not None:
             lease.take_vote(sender, body)
 
-    def _take_end(
+    def _handle_end(
         self, sender: ids.InstanceId, body: messages.LeaseEnd
     ) -> None:
         self._voter.end(
@@ -236,7 +238,7 @@
             now_seconds=self._timers.now_seconds(),
         )
 
-    def _note(
+    def _log_round(
         self,
         engine: str,
         round_: voted_lease.Round,
--- a/src/boragefold/coordination/fleet/order_turns.py
+++ b/src/boragefold/coordination/fleet/order_turns.py
@@ -30,11 +30,11 @@
 QUIET_SECONDS = 0.5
 # Instances that saw the same order wait for the same lease. Staggered by their
 # numbers they don't begin together; a step is longer than a report's lag.
-SLOT_SECONDS = 0.4
-SLOTS = 3
+STAGGER_SECONDS = 0.4
+STAGGER_STEPS = 3
 # A process that has just started doesn't know whether its predecessor sent
 # orders a moment ago. It waits for a lease and this margin.
-START_SLACK_SECONDS = 0.2
+START_MARGIN_SECONDS = 0.2
 # Maximum age of the count that an order relies on. Together with the time to
 # send an order and the lag of reports it is at most the quiet time.
 CONFIRMED_SECONDS = 0.25
@@ -42,7 +42,7 @@
 ORDER_FRESH_SECONDS = 0.1
 # Owners check ten times a second. After a longer gap the process was paused,
 # and another instance may have begun a turn.
-PAUSED_SECONDS = 1.0
+PAUSE_GAP_SECONDS = 1.0
 # Maximum age of a report's content when the report is requested.
 REPORT_AGE_SECONDS = 0.4
 # Usual age of a report's content.
@@ -67,41 +67,46 @@
         :param started_at_seconds: when this process started, on the clock
             whose readings all methods are passed
         """
-        self._wait_seconds = lease_seconds + SLOT_SECONDS * (giver % SLOTS)
-        self._earliest_seconds = (
-            started_at_seconds + lease_seconds + START_SLACK_SECONDS
+        self._wait_seconds = lease_seconds + STAGGER_SECONDS * (
+            giver % STAGGER_STEPS
+        )
+        self._first_order_at_seconds = (
+            started_at_seconds + lease_seconds + START_MARGIN_SECONDS
         )
         self._giver = giver
         self._counted: fencing_numbers.Counted | None = None
         self._certain = False
-        self._doubted = doubted_orders.DoubtedOrders()
+        self._unanswered = doubted_orders.DoubtedOrders()
         self._explained: tuple[doubted_orders.Doubt, ...] = ()
         self._refused_at_seconds = -math.inf
-        self._pending = False
-        self._pending_of_former_turn = False
+        self._in_flight = False
+        self._in_flight_from_earlier_turn = False
         self._busy = False
-        self._moved_at_seconds: float | None = None
+        self._foreign_order_at_seconds: float | None = None
         self._accepted_at_seconds = -math.inf
-        self._quiet_since_seconds: float | None = None
+        self._constant_since_seconds: float | None = None
         self._begun = False
         self._confirmed_at_seconds = -math.inf
-        self._looked_at_seconds = math.inf
+        self._checked_at_seconds = math.inf
 
     def begin(self) -> None:
         """Begin a turn by checking whether another instance sends orders."""
         self._begun = False
         self._certain = False
-        self._quiet_since_seconds = None
-        self._doubted.begin_turn()
-        self._pending_of_former_turn = self._pending
+        self._constant_since_seconds = None
+        self._unanswered.begin_turn()
+        self._in_flight_from_earlier_turn = self._in_flight
 
     def listen_since(self, at_seconds: float) -> None:
         """Begin a new turn if the count has been observed since before a time.
 
         :param at_seconds: when another instance could last send orders
         """
-        listening = self._quiet_since_seconds
-        if listening is not None and listening < at_seconds:
+        constant_since_seconds = self._constant_since_seconds
+        if (
+            constant_since_seconds is not None
+            and constant_since_seconds < at_seconds
+        ):
             self.begin()
 
     @property
@@ -143,7 +148,7 @@
 
         :return: how many orders may have been accepted
         """
-        return len(self._doubted)
+        return len(self._unanswered)
 
     @property
     def explained(self) -> tuple[doubted_orders.Doubt, ...]:
@@ -159,10 +164,10 @@
         :param now_seconds: reading of a clock that counts suspension
         :return: whether it has to
         """
-        moved_at_seconds = self._moved_at_seconds
+        foreign_order_at_seconds = self._foreign_order_at_seconds
         return (
-            moved_at_seconds is not None
-            and now_seconds - moved_at_seconds < self._wait_seconds
+            foreign_order_at_seconds is not None
+            and now_seconds - foreign_order_at_seconds < self._wait_seconds
         )
 
     def orders_in_seconds(self, *, now_seconds: float) -> float:
@@ -171,12 +176,13 @@
         :param now_seconds: reading of a clock that counts suspension
         :return: seconds; 0 when orders may be sent now or soon
         """
-        free_at_seconds = self._earliest_seconds
-        if self._moved_at_seconds is not None:
-            free_at_seconds = max(
-                free_at_seconds, self._moved_at_seconds + self._wait_seconds
+        allowed_at_seconds = self._first_order_at_seconds
+        if self._foreign_order_at_seconds is not None:
+            allowed_at_seconds = max(
+                allowed_at_seconds,
+                self._foreign_order_at_seconds + self._wait_seconds,
             )
-        return max(0.0, free_at_seconds - now_seconds)
+        return max(0.0, allowed_at_seconds - now_seconds)
 
     def may_order(self, *, now_seconds: float) -> bool:
         """Return whether an order may be sent now.
@@ -185,14 +191,14 @@
         :return: whether the count is known, the engine is executing no order
             and no other instance sends orders
         """
-        if now_seconds - self._looked_at_seconds > PAUSED_SECONDS:
+        if now_seconds - self._checked_at_seconds > PAUSE_GAP_SECONDS:
             self.begin()
-        self._looked_at_seconds = now_seconds
+        self._checked_at_seconds = now_seconds
         free = self._begun and self._certain
         occupied = (
-            self._pending
+            self._in_flight
             or self._busy
-            or self._doubted.may_arrive(now_seconds=now_seconds)
+            or self._unanswered.may_arrive(now_seconds=now_seconds)
         )
         return (
             free and not occupied and not self.waits(now_seconds=now_seconds)
@@ -228,8 +234,8 @@
 
     def sending(self) -> None:
         """Record that an order is being sent; there is one at a time."""
-        self._pending = True
-        self._pending_of_former_turn = False
+        self._in_flight = True
+        self._in_flight_from_earlier_turn = False
 
     def accepted(
         self,
@@ -244,7 +250,7 @@
         :param age_seconds: how long ago the order was decided on
         :param now_seconds: reading of a clock that counts suspension
         """
-        self._pending = False
+        self._in_flight = False
         self._busy = busy
         self._accepted_at_seconds = now_seconds
         self._confirm(now_seconds - age_seconds)
@@ -266,17 +272,17 @@
         :param age_seconds: how long ago it was sent
         :param now_seconds: reading of a clock that counts suspension
         """
-        self._pending = False
+        self._in_flight = False
         self._certain = False
-        self._doubted.add(
+        self._unanswered.add(
             doubted_orders.Doubt(order, now_seconds - age_seconds),
-            of_this_turn=not self._pending_of_former_turn,
+            of_this_turn=not self._in_flight_from_earlier_turn,
             now_seconds=now_seconds,
         )
 
     def unsent(self) -> None:
         """Record that the order was not sent."""
-        self._pending = False
+        self._in_flight = False
         self._certain = False
 
     def refused(self, *, now_seconds: float) -> None:
@@ -288,7 +294,7 @@
 
         :param now_seconds: reading of a clock that counts suspension
         """
-        self._pending = False
+        self._in_flight = False
         self._certain = False
         self._refused_at_seconds = now_seconds
 
@@ -310,7 +316,7 @@
         :return: whether the report shows orders of another instance
         """
         self._explained = ()
-        if self._pending:
+        if self._in_flight:
             # The answer to the order in flight will tell the count.
             return False
         before = self._counted
@@ -319,29 +325,29 @@
             asked_at_seconds - self._refused_at_seconds >= REPORT_AGE_SECONDS
         )
         # The report may be older than this instance's last order.
-        knows_last = (
+        includes_last_order = (
             asked_at_seconds - self._accepted_at_seconds >= REPORT_AGE_SECONDS
         )
-        if knows_last or not self._is_behind(counted):
+        if includes_last_order or not self._is_behind(counted):
             self._confirm(asked_at_seconds)
-        self._busy = busy or (self._busy and not knows_last)
-        self._listen(before, counted, asked_at_seconds, now_seconds)
+        self._busy = busy or (self._busy and not includes_last_order)
+        self._observe_count(before, counted, asked_at_seconds, now_seconds)
         if (
             before is None
             or before.born_milliseconds != counted.born_milliseconds
         ):
             self._counted = counted
-            self._doubted.forget()
+            self._unanswered.forget()
             return False
-        self._doubted.forget_late(now_seconds=now_seconds)
-        ahead = counted.orders - before.orders
-        if ahead <= 0 and not knows_last:
+        self._unanswered.forget_late(now_seconds=now_seconds)
+        rise = counted.orders - before.orders
+        if rise <= 0 and not includes_last_order:
             return False
         self._counted = counted
-        foreign = ahead > len(self._doubted)
-        settled = self._doubted.settle(max(0, ahead))
+        foreign = rise > len(self._unanswered)
+        settled = self._unanswered.settle(max(0, rise))
         if foreign:
-            self._moved_at_seconds = now_seconds
+            self._foreign_order_at_seconds = now_seconds
         else:
             self._explained = settled
         return foreign
@@ -355,7 +361,7 @@
             self._confirmed_at_seconds, at_seconds
         )
 
-    def _listen(
+    def _observe_count(
         self,
         before: fencing_numbers.Counted | None,
         counted: fencing_numbers.Counted,
@@ -364,12 +370,12 @@
     ) -> None:
         if self._begun:
             return
-        if self._quiet_since_seconds is None or before != counted:
-            self._quiet_since_seconds = now_seconds
-        quiet_seconds = asked_at_seconds - self._quiet_since_seconds
+        if self._constant_since_seconds is None or before != counted:
+            self._constant_since_seconds = now_seconds
+        quiet_seconds = asked_at_seconds - self._constant_since_seconds
         self._begun = (
             quiet_seconds >= QUIET_SECONDS
-            and now_seconds >= self._earliest_seconds
+            and now_seconds >= self._first_order_at_seconds
         )
 
 
--- a/src/boragefold/coordination/fleet/ownership.py
+++ b/src/boragefold/coordination/fleet/ownership.py
@@ -35,9 +35,9 @@
 # engines have loaded, and learns which adapters are requested.
 SETTLE_SECONDS = 1.2
 # A recently found instance may have run this much longer than is known here.
-SETTLE_SLACK_SECONDS = 1.0
+SETTLE_MARGIN_SECONDS = 1.0
 # Enough for all instances and engines of a data centre.
-REMEMBERED_HASHES = 16_384
+HASH_CACHE_SIZE = 16_384
 
 
 class Candidate(NamedTuple):
@@ -72,12 +72,12 @@
         self._avoids = avoids
         self._claimed: set[str] = set()
         self._owners: dict[str, ids.InstanceId] = {}
-        self._places: Mapping[str, str] = {}
+        self._data_centres: Mapping[str, str] = {}
         self._changes = owner_changes.OwnerChanges(
             self_id=self_id, members=members
         )
-        self._looked_at: tuple[object, ...] = ()
-        self._look_until_seconds = -math.inf
+        self._inputs: tuple[object, ...] = ()
+        self._recompute_until_seconds = -math.inf
 
     @property
     def claimed(self) -> frozenset[str]:
@@ -114,7 +114,7 @@
             return ""
         if self._leaving():
             return owner_changes.LEAVING
-        if engine not in self._places:
+        if engine not in self._data_centres:
             return owner_changes.ENGINE_GONE
         if self._avoids(engine):
             return owner_changes.UNREACHABLE
@@ -125,28 +125,33 @@
 
         :param engines: the existing engines
         """
-        places = {engine.name: engine.data_centre for engine in engines}
-        avoided = frozenset(filter(self._avoids, places))
+        data_centres = {engine.name: engine.data_centre for engine in engines}
+        unreachable = frozenset(filter(self._avoids, data_centres))
         # Members.version is updated by reachable().
         self._members.reachable()
-        looked_at = (self._members.version, places, avoided, self._leaving())
+        inputs = (
+            self._members.version,
+            data_centres,
+            unreachable,
+            self._leaving(),
+        )
         uptime_seconds = self._members.uptime_seconds
-        if looked_at != self._looked_at:
-            self._looked_at = looked_at
+        if inputs != self._inputs:
+            self._inputs = inputs
             # An instance that has just joined may own engines after a delay.
-            self._look_until_seconds = (
-                uptime_seconds + SETTLE_SECONDS + SETTLE_SLACK_SECONDS
+            self._recompute_until_seconds = (
+                uptime_seconds + SETTLE_SECONDS + SETTLE_MARGIN_SECONDS
             )
-        if uptime_seconds <= self._look_until_seconds:
-            self._look(places, avoided)
+        if uptime_seconds <= self._recompute_until_seconds:
+            self._recompute(data_centres, unreachable)
 
-    def _look(
-        self, places: Mapping[str, str], avoided: frozenset[str]
+    def _recompute(
+        self, data_centres: Mapping[str, str], unreachable: frozenset[str]
     ) -> None:
-        self._places = places
-        claims = self._claims(avoided)
-        unclaimed = places.keys() - claims.keys()
-        settled = self._settled(avoided) if unclaimed else {}
+        self._data_centres = data_centres
+        claims = self._claims(unreachable)
+        unclaimed = data_centres.keys() - claims.keys()
+        settled = self._settled(unreachable) if unclaimed else {}
         owners = {
             engine: self._owner_of(
                 engine,
@@ -154,13 +159,13 @@
                 claims.get(engine)
                 or self._eligible(engine, data_centre, settled),
             )
-            for engine, data_centre in places.items()
+            for engine, data_centre in data_centres.items()
         }
         self._owners = {
             name: owner for name, owner in owners.items() if owner is not None
         }
         self._changes.note(self._owners)
-        self._changes.forget(places)
+        self._changes.forget(data_centres)
         self._claimed = {
             name
             for name, owner in self._owners.items()
@@ -168,12 +173,12 @@
         }
 
     def _claims(
-        self, avoided: frozenset[str]
+        self, unreachable: frozenset[str]
     ) -> dict[str, list[ids.InstanceId]]:
         claims: dict[str, list[ids.InstanceId]] = {}
         if not self._leaving():
             claims = {
-                name: [self._self_id] for name in self._claimed - avoided
+                name: [self._self_id] for name in self._claimed - unreachable
             }
         for member in self._members.reachable():
             if member.beat is None or member.beat.leaving:
@@ -182,7 +187,9 @@
                 claims.setdefault(engine.name, []).append(member.instance)
         return claims
 
-    def _settled(self, avoided: frozenset[str]) -> dict[str, list[Candidate]]:
+    def _settled(
+        self, unreachable: frozenset[str]
+    ) -> dict[str, list[Candidate]]:
         settled: dict[str, list[Candidate]] = collections.defaultdict(list)
         for member in self._members.reachable():
             beat = member.beat
@@ -193,8 +200,8 @@
                 settled[member.instance.data_centre].append(candidate)
         is_settled = self._members.uptime_seconds >= SETTLE_SECONDS
         if is_settled and not self._leaving():
-            us = Candidate(self._self_id, avoided)
-            settled[self._self_id.data_centre].append(us)
+            own_candidate = Candidate(self._self_id, unreachable)
+            settled[self._self_id.data_centre].append(own_candidate)
         return settled
 
     def _eligible(
@@ -206,10 +213,12 @@
         # Instances of other data centres are considered only if no local one
         # can own the engine. Ranking all instances for all engines would
         # overload a fleet whose instances were killed together.
-        near = _able(engine, settled.get(data_centre, []))
+        near = _reaching(engine, settled.get(data_centre, []))
         if near:
             return near
-        return _able(engine, itertools.chain.from_iterable(settled.values()))
+        return _reaching(
+            engine, itertools.chain.from_iterable(settled.values())
+        )
 
     def _owner_of(
         self,
@@ -226,10 +235,14 @@
         )
 
 
-def _able(
+def _reaching(
     engine: str, candidates: Iterable[Candidate]
 ) -> list[ids.InstanceId]:
-    return [one.instance for one in candidates if engine not in one.avoids]
+    return [
+        candidate.instance
+        for candidate in candidates
+        if engine not in candidate.avoids
+    ]
 
 
 def _rank(
@@ -239,7 +252,7 @@
     return elsewhere, _hash(engine, instance.address)
 
 
-@functools.lru_cache(maxsize=REMEMBERED_HASHES)
+@functools.lru_cache(maxsize=HASH_CACHE_SIZE)
 def _hash(engine: str, address: str) -> int:
     return xxhash.xxh3_64_intdigest("\0".join((engine, address)).encode())
 
--- a/src/boragefold/coordination/fleet/voted_lease.py
+++ b/src/boragefold/coordination/fleet/voted_lease.py
@@ -27,8 +27,8 @@
 # Without the lease, an order is delayed until reports would show an order that
 # the lease holder or another instance without a lease sent for the same
 # requests.
-RIVAL_SECONDS = 1.5
-RIVAL_STEP_SECONDS = 0.75
+UNLEASED_DELAY_SECONDS = 1.5
+UNLEASED_DELAY_STEP_SECONDS = 0.75
 # After this time without a round, only the current reachability counts.
 STALE_SECONDS = 2.0
 # An order may still be on its way for this long after its lease expired.
@@ -200,7 +200,7 @@
         self._until_seconds = -math.inf
         self._others_until_seconds = -math.inf
         self._asked_at_seconds = -math.inf
-        self._not_before_seconds = -math.inf
+        self._retry_at_seconds = -math.inf
         self._refused_until_seconds = -math.inf
 
     def want(self) -> None:
@@ -212,8 +212,8 @@
         if round_ is not None and not round_.over:
             if now_seconds - round_.sent_at_seconds < ANSWER_SECONDS:
                 return
-            self._give_round_up(round_, now_seconds)
-        if now_seconds >= self._not_before_seconds:
+            self._fail_round(round_, now_seconds)
+        if now_seconds >= self._retry_at_seconds:
             self._ask()
 
     def held(self, *, now_seconds: float) -> bool:
@@ -264,7 +264,7 @@
         if self.held(now_seconds=now_seconds):
             return 0.0
         place = self._ballot.place(self.data_centre)
-        return RIVAL_SECONDS + RIVAL_STEP_SECONDS * place
+        return UNLEASED_DELAY_SECONDS + UNLEASED_DELAY_STEP_SECONDS * place
 
     def others_until_seconds(self) -> float:
         """Return when the last lease of another instance ended.
@@ -298,14 +298,14 @@
         was_held = self.held(now_seconds=now_seconds)
         vote = lease_voter.Vote(answer.refused_seconds, answer.others_seconds)
         if round_.count(voter, vote, now_seconds=now_seconds):
-            self._obtain(round_)
+            self._win_round(round_)
             if not was_held:
                 self.changed()
             return
         if answer.others_seconds < 0:
             self._alone = False
         if round_.is_lost():
-            self._give_round_up(round_, now_seconds)
+            self._fail_round(round_, now_seconds)
 
     def _ask(self) -> None:
         self._number += 1
@@ -318,25 +318,25 @@
         )
         self._round = round_
         if round_.over:
-            self._obtain(round_)
+            self._win_round(round_)
 
-    def _obtain(self, round_: Round) -> None:
+    def _win_round(self, round_: Round) -> None:
         self._last_round_failed = False
         self._alone = False
         self._until_seconds = round_.sent_at_seconds + LEASE_SECONDS
         self._others_until_seconds = round_.others_until_seconds
-        self._note_outcome(round_, "held", 0.0)
+        self._log_outcome(round_, "held", 0.0)
 
-    def _give_round_up(self, round_: Round, now_seconds: float) -> None:
+    def _fail_round(self, round_: Round, now_seconds: float) -> None:
         round_.over = True
         self._last_round_failed = True
         retry_seconds = self._ballot.retry_seconds()
-        self._not_before_seconds = now_seconds + retry_seconds
+        self._retry_at_seconds = now_seconds + retry_seconds
         self._ballot.missed(round_)
         if now_seconds < self._until_seconds + ORDER_SECONDS:
             return
         self._refused_until_seconds = now_seconds + round_.refused_seconds
-        self._note_outcome(round_, "no_majority", self._unheard_seconds())
+        self._log_outcome(round_, "no_majority", self._unheard_seconds())
         self._ballot.free(self._engine, round_)
 
     def _alone_after_seconds(self) -> float:
@@ -345,7 +345,7 @@
     def _unheard_seconds(self) -> float:
         return self._ballot.majority_unheard_seconds(self.data_centre)
 
-    def _note_outcome(
+    def _log_outcome(
         self, round_: Round, outcome: str, unheard_seconds: float
     ) -> None:
         # Logged once, as an instance without a majority retries all the time.
--- a/tests/coordination/fleet/test_electorate.py
+++ b/tests/coordination/fleet/test_electorate.py
@@ -79,7 +79,7 @@
     assert decide(fleet, last, fleet.instances)
 
 
-def test_it_is_known_how_long_no_majority_is_heard() -> None:
+def test_the_time_without_a_reachable_majority_is_measured() -> None:
     # Otherwise an owner still sends orders without the lease after its voters
     # are reachable again.
     fleet = settled(3)
@@ -120,7 +120,7 @@
     assert decide(fleet, near[0], near)
 
 
-def test_a_newcomer_that_hears_nobody_decides_nothing() -> None:
+def test_a_new_instance_that_reaches_nobody_decides_nothing() -> None:
     # An instance that starts behind a network partition must not take itself
     # for the only one.
     fleet = settled(3)
--- a/tests/coordination/fleet/test_order_leases.py
+++ b/tests/coordination/fleet/test_order_leases.py
@@ -170,7 +170,7 @@
     assert promises(voter, other, 2, now_seconds=10.3)
 
 
-def test_a_voter_tells_of_the_one_before() -> None:
+def test_a_voter_reports_the_previous_holder() -> None:
     # Otherwise a new holder relies on a report that predates the last orders
     # of the previous one.
     voter = lease_voter.LeaseVoter(started_at_seconds=0.0)
@@ -209,7 +209,7 @@
     assert promises(voter, asker, 2, now_seconds=free_at_seconds)
 
 
-def test_a_promise_outlasts_the_lease_by_an_orders_way() -> None:
+def test_a_promise_outlasts_the_lease_by_the_delay_of_an_order() -> None:
     # An order that is sent at the end of a lease must arrive in this time.
     margin_seconds = lease_voter.PROMISE_SECONDS - voted_lease.LEASE_SECONDS
     assert margin_seconds >= 0.6
@@ -271,7 +271,7 @@
     assert asked == ["dc-b"]
 
 
-def test_who_is_alone_is_so_no_longer_when_voters_are_heard(group) -> None:
+def test_orders_need_the_lease_again_when_voters_are_reachable(group) -> None:
     # Otherwise the first order long after a partition is sent without asking
     # for votes.
     owner = group.owners[0]
@@ -287,7 +287,7 @@
     assert not owner.lease.alone()
 
 
-def test_those_without_a_majority_go_on_one_after_the_other(group) -> None:
+def test_instances_without_a_majority_proceed_one_after_another(group) -> None:
     # Otherwise instances that are cut off from each other all begin to send
     # orders at the same time.
     waits_seconds = {
--- a/tests/coordination/fleet/test_order_turns.py
+++ b/tests/coordination/fleet/test_order_turns.py
@@ -21,15 +21,15 @@
     def counted(self):
         return fencing_numbers.Counted(self.born, self.orders)
 
-    def take(self, expected, giver, at):
+    def take(self, expected, issuer, at):
         if expected != self.orders:
             return False
         self.orders += 1
-        self.accepted.append((at, giver))
+        self.accepted.append((at, issuer))
         return True
 
 
-class Giver:
+class Issuer:
     def __init__(self, engine, number):
         self.engine = engine
         self.number = number
@@ -78,13 +78,13 @@
 
 
 def test_a_turn_begins_after_a_quiet_time(engine) -> None:
-    giver = Giver(engine, 1)
-    giver.look(0.0)
-    assert not giver.try_order(0.0)
-    giver.look(0.3)
-    assert not giver.try_order(0.3)
-    giver.look(0.6)
-    assert giver.try_order(0.6)
+    issuer = Issuer(engine, 1)
+    issuer.look(0.0)
+    assert not issuer.try_order(0.0)
+    issuer.look(0.3)
+    assert not issuer.try_order(0.3)
+    issuer.look(0.6)
+    assert issuer.try_order(0.6)
 
 
 def test_a_fresh_process_gives_no_order_for_a_lease(engine) -> None:
@@ -109,22 +109,22 @@
 def test_two_that_believe_they_own_an_engine_never_alternate(engine) -> None:
     # Two instances that can't reach each other send as many orders to an
     # engine as they can. Only one may succeed within a lease.
-    one, two = Giver(engine, 1), Giver(engine, 2)
+    one, two = Issuer(engine, 1), Issuer(engine, 2)
     now = 0.0
     while now < 20.0:
-        for giver in (one, two):
-            giver.look(now)
-            giver.try_order(now)
+        for issuer in (one, two):
+            issuer.look(now)
+            issuer.try_order(now)
         now += 0.05
     assert engine.accepted
     assert not alternations(engine.accepted)
 
 
 @pytest.mark.parametrize("offset", [0.0, 0.05, 0.2, 0.35, 0.7])
-def test_a_second_giver_waits_while_the_first_is_active(
+def test_a_second_issuer_waits_while_the_first_is_active(
     engine, offset
 ) -> None:
-    one, two = Giver(engine, 1), Giver(engine, 2)
+    one, two = Issuer(engine, 1), Issuer(engine, 2)
     one.run(0.0, 2.0)
     now = 2.0 + offset
     while now < 8.0:
@@ -133,23 +133,23 @@
         two.look(now + 0.01)
         two.try_order(now + 0.01)
         now += 0.1
-    assert {giver for _, giver in engine.accepted} == {1}
+    assert {issuer for _, issuer in engine.accepted} == {1}
 
 
 def test_a_paused_owner_listens_again_before_its_next_order(engine) -> None:
     # Another instance may have taken the engine over and begun its turn during
     # a pause of two seconds. An order right after the pause would come between
     # the orders of that instance.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 2.0)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 2.0)
     assert engine.accepted
     before = len(engine.accepted)
-    giver.look(4.0)
-    assert not giver.try_order(4.0)
-    giver.look(4.2)
-    assert not giver.try_order(4.2)
-    giver.look(4.8)
-    assert giver.try_order(4.8)
+    issuer.look(4.0)
+    assert not issuer.try_order(4.0)
+    issuer.look(4.2)
+    assert not issuer.try_order(4.2)
+    issuer.look(4.8)
+    assert issuer.try_order(4.8)
     assert len(engine.accepted) == before + 1
 
 
@@ -159,53 +159,53 @@
     # The engine answers an order for its current state without checking the
     # count, so a first order of the new owner with an old count would be
     # executed with a fencing token below one used before.
-    giver = Giver(engine, 1)
+    issuer = Issuer(engine, 1)
     for step in range(10):
-        giver.look(step / 10)
-        giver.turns.may_order(now_seconds=step / 10)
-    other = engine.orders
-    engine.take(other, 2, 1.2)
+        issuer.look(step / 10)
+        issuer.turns.may_order(now_seconds=step / 10)
+    expected = engine.orders
+    engine.take(expected, 2, 1.2)
     for step in range(14, 18):
         now = step / 10
-        allowed = giver.turns.may_order(now_seconds=now)
-        assert not (allowed and giver.turns.confirmed(now_seconds=now))
-    giver.look(1.8)
-    assert not giver.turns.may_order(now_seconds=1.8)
+        allowed = issuer.turns.may_order(now_seconds=now)
+        assert not (allowed and issuer.turns.confirmed(now_seconds=now))
+    issuer.look(1.8)
+    assert not issuer.turns.may_order(now_seconds=1.8)
 
 
 def test_a_report_that_was_read_late_confirms_nothing(engine) -> None:
     # After a pause the process reads a report that predates another
     # instance's orders.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
     seen = engine.counted()
     engine.take(engine.orders, 2, 1.2)
-    giver.turns.reported(seen, age_seconds=0.8, now_seconds=1.8)
-    giver.turns.may_order(now_seconds=1.8)
-    assert not giver.turns.confirmed(now_seconds=1.8)
+    issuer.turns.reported(seen, age_seconds=0.8, now_seconds=1.8)
+    issuer.turns.may_order(now_seconds=1.8)
+    assert not issuer.turns.confirmed(now_seconds=1.8)
 
 
 def test_an_answer_that_was_read_late_confirms_nothing(engine) -> None:
     # After a pause the process reads the answer to an order sent before it.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
-    giver.turns.sending()
-    assert engine.take(giver.turns.expected, 1, 1.0)
-    giver.turns.accepted(age_seconds=0.5, now_seconds=1.5)
-    assert not giver.turns.confirmed(now_seconds=1.5)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
+    issuer.turns.sending()
+    assert engine.take(issuer.turns.expected, 1, 1.0)
+    issuer.turns.accepted(age_seconds=0.5, now_seconds=1.5)
+    assert not issuer.turns.confirmed(now_seconds=1.5)
 
 
 def test_a_report_of_fewer_orders_confirms_nothing(engine) -> None:
     # The engine has restarted. Its report must not be taken for an older one
     # that confirms the count from before the restart.
-    giver = Giver(engine, number=1)
-    giver.run(0.0, 1.0)
-    assert giver.try_order(1.05)
+    issuer = Issuer(engine, number=1)
+    issuer.run(0.0, 1.0)
+    assert issuer.try_order(1.05)
     engine.orders = 0
-    giver.look(1.35)
-    assert not giver.try_order(1.36)
-    giver.look(1.5)
-    assert giver.try_order(1.51)
+    issuer.look(1.35)
+    assert not issuer.try_order(1.36)
+    issuer.look(1.5)
+    assert issuer.try_order(1.51)
 
 
 def test_an_order_relies_on_nothing_older_than_the_quiet_time() -> None:
@@ -221,17 +221,17 @@
 
 def test_reports_that_were_read_late_prove_no_quiet_time(engine) -> None:
     # Both reports were requested at the same time; one was read after a pause.
-    giver = Giver(engine, 1)
+    issuer = Issuer(engine, 1)
     seen = engine.counted()
-    giver.turns.reported(seen, now_seconds=0.0)
-    giver.turns.reported(seen, age_seconds=0.6, now_seconds=0.7)
-    assert not giver.turns.begun
+    issuer.turns.reported(seen, now_seconds=0.0)
+    issuer.turns.reported(seen, age_seconds=0.6, now_seconds=0.7)
+    assert not issuer.turns.begun
 
 
 def test_a_former_owner_waits_a_lease_after_its_successor(engine) -> None:
     # An owner is paused, another takes over and sends orders, then hashing
     # selects the first one again. It must not send orders for a lease.
-    one, two = Giver(engine, 1), Giver(engine, 2)
+    one, two = Issuer(engine, 1), Issuer(engine, 2)
     one.run(0.0, 1.0)
     two.run(2.0, 3.0)
     one.turns.begin()
@@ -240,7 +240,7 @@
         one.look(now)
         now += 0.1
         assert now < 12.0
-    last_of_two = max(at for at, giver in engine.accepted if giver == 2)
+    last_of_two = max(at for at, issuer in engine.accepted if issuer == 2)
     assert now - last_of_two >= LEASE_SECONDS
     assert not alternations(engine.accepted)
 
@@ -251,13 +251,13 @@
     # orders.
     first_seconds = []
     for number in (1, 2, 3):
-        giver = Giver(engine, number)
-        giver.look(0.0)
+        issuer = Issuer(engine, number)
+        issuer.look(0.0)
         engine.take(engine.orders, 9, 0.1)
         now = 0.2
-        while not giver.try_order(now):
+        while not issuer.try_order(now):
             now += 0.05
-            giver.look(now)
+            issuer.look(now)
         first_seconds.append(now)
     first_seconds.sort()
     assert first_seconds[0] >= 0.2 + LEASE_SECONDS
@@ -267,61 +267,61 @@
     )
 
 
-def test_an_order_in_doubt_is_not_taken_for_another_givers(engine) -> None:
+def test_an_unanswered_order_is_not_taken_for_a_foreign_one(engine) -> None:
     # The answer to an order is lost. The sender must attribute the rise of the
     # count to that order instead of waiting for another instance's lease.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
-    giver.turns.sending()
-    assert engine.take(giver.turns.expected, 1, 1.0)
-    giver.turns.in_doubt(now_seconds=1.0)
-    assert not giver.turns.may_order(now_seconds=1.1)
-    assert giver.look(1.6) is False
-    assert giver.try_order(1.6)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
+    issuer.turns.sending()
+    assert engine.take(issuer.turns.expected, 1, 1.0)
+    issuer.turns.in_doubt(now_seconds=1.0)
+    assert not issuer.turns.may_order(now_seconds=1.1)
+    assert issuer.look(1.6) is False
+    assert issuer.try_order(1.6)
 
 
 def test_an_order_in_doubt_isnt_settled_by_an_older_report(engine) -> None:
     # Otherwise the same order is sent again, and the engine doesn't count it.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
     old = engine.counted()
-    giver.turns.sending()
-    assert engine.take(giver.turns.expected, 1, 1.0)
-    giver.turns.in_doubt(now_seconds=1.1)
-    giver.turns.reported(old, now_seconds=1.12)
-    assert not giver.turns.may_order(now_seconds=1.12)
-    giver.look(1.3)
-    assert giver.try_order(1.3)
+    issuer.turns.sending()
+    assert engine.take(issuer.turns.expected, 1, 1.0)
+    issuer.turns.in_doubt(now_seconds=1.1)
+    issuer.turns.reported(old, now_seconds=1.12)
+    assert not issuer.turns.may_order(now_seconds=1.12)
+    issuer.look(1.3)
+    assert issuer.try_order(1.3)
 
 
-def test_a_report_that_shows_an_order_in_doubt_settles_it(engine) -> None:
+def test_a_report_that_shows_an_unanswered_order_settles_it(engine) -> None:
     # The report was requested before the order timed out. If it were ignored,
     # a later report would attribute the order to another instance, and the
     # sender would wait for a lease.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
-    giver.turns.sending()
-    assert engine.take(giver.turns.expected, 1, 1.0)
-    giver.turns.in_doubt(now_seconds=1.5)
-    giver.turns.reported(engine.counted(), age_seconds=0.3, now_seconds=1.55)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
+    issuer.turns.sending()
+    assert engine.take(issuer.turns.expected, 1, 1.0)
+    issuer.turns.in_doubt(now_seconds=1.5)
+    issuer.turns.reported(engine.counted(), age_seconds=0.3, now_seconds=1.55)
     for now in (1.6, 2.2):
-        giver.turns.may_order(now_seconds=now)
-    assert giver.look(2.6) is False
-    assert giver.try_order(2.6)
+        issuer.turns.may_order(now_seconds=now)
+    assert issuer.look(2.6) is False
+    assert issuer.try_order(2.6)
 
 
 def test_no_order_is_given_while_a_lost_one_may_still_arrive(engine) -> None:
     # An unload without an answer is sent again and counted. If its first copy
     # arrives later, the engine answers "done" with an outdated fencing token.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
-    giver.turns.sending()
-    giver.turns.in_doubt(now_seconds=1.0)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
+    issuer.turns.sending()
+    issuer.turns.in_doubt(now_seconds=1.0)
     for step in range(2, 10):
-        giver.look(1.0 + step / 10)
-        assert not giver.try_order(1.0 + step / 10)
-    giver.look(2.1)
-    assert giver.try_order(2.1)
+        issuer.look(1.0 + step / 10)
+        assert not issuer.try_order(1.0 + step / 10)
+    issuer.look(2.1)
+    assert issuer.try_order(2.1)
 
 
 def test_another_givers_order_isnt_taken_for_one_lost_long_ago(
@@ -330,62 +330,62 @@
     # Two orders were lost in a network partition and never arrived. Afterwards
     # another owner sends two. If those were taken for the lost ones, the next
     # order would come between that owner's orders.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
     for at in (1.0, 1.1):
-        giver.turns.sending()
-        giver.turns.in_doubt(now_seconds=at)
-        giver.look(at + 0.05)
-    giver.look(2.5)
+        issuer.turns.sending()
+        issuer.turns.in_doubt(now_seconds=at)
+        issuer.look(at + 0.05)
+    issuer.look(2.5)
     assert engine.take(engine.orders, 2, 2.6)
     assert engine.take(engine.orders, 2, 2.7)
-    assert giver.look(3.0) is True
-    assert not giver.try_order(3.0)
+    assert issuer.look(3.0) is True
+    assert not issuer.try_order(3.0)
 
 
-def test_an_order_lost_before_a_handover_hides_no_other_givers(engine) -> None:
+def test_an_order_lost_before_a_handover_hides_no_foreign_one(engine) -> None:
     # The order never arrived, and the owner in between sent one. If that were
     # taken for the lost one, the next order would come between that owner's.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
-    giver.turns.sending()
-    giver.turns.in_doubt(now_seconds=1.5)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
+    issuer.turns.sending()
+    issuer.turns.in_doubt(now_seconds=1.5)
     assert engine.take(engine.orders, 2, 1.6)
-    giver.turns.begin()
-    assert giver.look(2.0) is True
-    giver.run(2.1, 4.9)
+    issuer.turns.begin()
+    assert issuer.look(2.0) is True
+    issuer.run(2.1, 4.9)
     assert engine.accepted[-1] == (1.6, 2)
-    giver.run(5.0, 7.0)
+    issuer.run(5.0, 7.0)
     assert not alternations(engine.accepted)
 
 
-def test_an_order_that_is_lost_after_a_handover_hides_no_other_givers(
+def test_an_order_lost_after_a_handover_hides_no_foreign_one(
     engine,
 ) -> None:
     # The order times out after its sender has become the owner again.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
-    giver.turns.sending()
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
+    issuer.turns.sending()
     assert engine.take(engine.orders, 2, 1.3)
-    giver.turns.begin()
-    giver.turns.in_doubt(now_seconds=1.5)
-    assert giver.look(2.0) is True
-    assert not giver.try_order(2.6)
+    issuer.turns.begin()
+    issuer.turns.in_doubt(now_seconds=1.5)
+    assert issuer.look(2.0) is True
+    assert not issuer.try_order(2.6)
 
 
 def test_an_order_lost_before_a_handover_may_still_arrive(engine) -> None:
     # Otherwise the new turn begins at once and sends the same order while the
     # first copy may still arrive.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
-    giver.turns.sending()
-    giver.turns.in_doubt(now_seconds=1.0)
-    giver.turns.begin()
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
+    issuer.turns.sending()
+    issuer.turns.in_doubt(now_seconds=1.0)
+    issuer.turns.begin()
     for step in range(1, 10):
-        giver.look(1.0 + step / 10)
-        assert not giver.try_order(1.0 + step / 10)
-    giver.look(2.1)
-    assert giver.try_order(2.1)
+        issuer.look(1.0 + step / 10)
+        assert not issuer.try_order(1.0 + step / 10)
+    issuer.look(2.1)
+    assert issuer.try_order(2.1)
 
 
 @pytest.mark.parametrize("lag_seconds", [0.155, 0.3, 0.39])
@@ -395,29 +395,29 @@
     # The engine refused an order because it had counted another instance's. A
     # report with the count from before must not make the next order rely on
     # it.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
     before = engine.counted()
     assert engine.take(engine.orders, 2, 1.14)
-    assert not giver.try_order(1.15)
-    giver.turns.reported(before, now_seconds=1.15 + lag_seconds)
-    assert not giver.turns.may_order(now_seconds=1.15 + lag_seconds)
-    assert giver.look(1.6) is True
-    giver.run(1.7, 4.4)
+    assert not issuer.try_order(1.15)
+    issuer.turns.reported(before, now_seconds=1.15 + lag_seconds)
+    assert not issuer.turns.may_order(now_seconds=1.15 + lag_seconds)
+    assert issuer.look(1.6) is True
+    issuer.run(1.7, 4.4)
     assert engine.accepted[-1] == (1.14, 2)
 
 
 def test_a_refusal_for_another_reason_costs_no_lease(engine) -> None:
     # An engine with too many loads in progress refuses another load with the
     # same response as a wrong count.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
-    giver.turns.sending()
-    giver.turns.refused(now_seconds=1.0)
-    giver.look(1.2)
-    assert not giver.try_order(1.2)
-    giver.look(1.45)
-    assert giver.try_order(1.45)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
+    issuer.turns.sending()
+    issuer.turns.refused(now_seconds=1.0)
+    issuer.look(1.2)
+    assert not issuer.try_order(1.2)
+    issuer.look(1.45)
+    assert issuer.try_order(1.45)
 
 
 def test_a_refusal_for_a_count_taken_for_higher_costs_no_lease(
@@ -425,13 +425,13 @@
 ) -> None:
     # The engine answered the last order without counting it, so the expected
     # count is too high although no other instance sent an order.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
-    giver.turns.sending()
-    giver.turns.accepted(now_seconds=1.0)
-    assert not giver.try_order(1.1)
-    giver.look(1.55)
-    assert giver.try_order(1.55)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
+    issuer.turns.sending()
+    issuer.turns.accepted(now_seconds=1.0)
+    assert not issuer.try_order(1.1)
+    issuer.look(1.55)
+    assert issuer.try_order(1.55)
 
 
 def test_a_report_while_an_order_is_on_its_way_changes_nothing(
@@ -439,51 +439,51 @@
 ) -> None:
     # A report that arrives between an order and its answer must not stop later
     # orders for good.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
-    giver.turns.sending()
-    giver.look(1.05)
-    assert engine.take(giver.turns.expected, 1, 1.1)
-    giver.turns.accepted(now_seconds=1.1)
-    assert giver.try_order(1.15)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
+    issuer.turns.sending()
+    issuer.look(1.05)
+    assert engine.take(issuer.turns.expected, 1, 1.1)
+    issuer.turns.accepted(now_seconds=1.1)
+    assert issuer.try_order(1.15)
 
 
 def test_a_count_that_was_taken_for_higher_is_put_right(engine) -> None:
     # The engine answers an order that changes nothing with "done" and doesn't
     # count it. Otherwise it refuses all later orders for their count.
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
-    giver.turns.sending()
-    giver.turns.accepted(now_seconds=1.0)
-    assert not giver.try_order(1.1)
-    giver.look(1.2)
-    assert giver.turns.expected != engine.orders
-    giver.look(1.6)
-    assert giver.try_order(1.6)
-
-
-def test_a_new_life_of_an_engine_starts_a_new_count(engine) -> None:
-    giver = Giver(engine, 1)
-    giver.run(0.0, 1.0)
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
+    issuer.turns.sending()
+    issuer.turns.accepted(now_seconds=1.0)
+    assert not issuer.try_order(1.1)
+    issuer.look(1.2)
+    assert issuer.turns.expected != engine.orders
+    issuer.look(1.6)
+    assert issuer.try_order(1.6)
+
+
+def test_a_restart_of_an_engine_starts_a_new_count(engine) -> None:
+    issuer = Issuer(engine, 1)
+    issuer.run(0.0, 1.0)
     engine.born += 5_000
     engine.orders = 0
-    assert giver.look(1.1) is False
-    assert giver.try_order(1.1)
+    assert issuer.look(1.1) is False
+    assert issuer.try_order(1.1)
 
 
-def test_fencing_numbers_rise_and_are_never_shared(engine) -> None:
-    one, two = Giver(engine, 1), Giver(engine, 2)
+def test_fencing_tokens_rise_and_are_never_shared(engine) -> None:
+    one, two = Issuer(engine, 1), Issuer(engine, 2)
     seen = []
     for life in range(3):
         engine.born += 2_000
         engine.orders = 0
         for orders in range(5):
             engine.orders = orders
-            for giver in (one, two):
-                giver.turns.reported(
+            for issuer in (one, two):
+                issuer.turns.reported(
                     engine.counted(), now_seconds=10.0 * life + orders
                 )
-                seen.append(giver.turns.fence())
+                seen.append(issuer.turns.fence())
     assert seen == sorted(seen)
     assert len(set(seen)) == len(seen)
     assert max(seen) < 2**63
