--- a/src/boragefold/coordination/fleet/ownership.py
+++ b/src/boragefold/coordination/fleet/ownership.py
@@ -1,13 +1,13 @@
 """Which instance schedules which engine.
 
-An engine has one owner, the instance that decides on its adapters and on
-which requests it runs next. Owners tell of themselves in their heartbeats; an
-engine that nobody claims goes to the instance that hashing names, preferably
-one of the engine's own data centre, so that a cut between data centres
-separates no engine from its owner.
-
-Two instances that can't hear each other may both believe they own an engine.
-That is harmless for requests; which of them may give orders is voted on, see
+An engine has one owner: the instance that decides which adapters it loads and
+which requests it runs next. Owners announce their engines in heartbeats. An
+engine without an owner is assigned by rendezvous hashing, preferably to an
+instance of the engine's own data centre, so that a network partition between
+data centres separates no engine from its owner.
+
+Two instances that can't reach each other may both believe they own an engine.
+That is harmless for requests; which of them may send orders is voted on, see
 :mod:`boragefold.coordination.fleet.order_leases`.
 """
 
@@ -29,25 +29,26 @@
 from boragefold.protocol import ids
 from boragefold.state import deployment
 
-# A process that has just started has heard nobody and would claim everything.
-# Others are found within two greetings. Orders come later, see order_turns;
-# until then it schedules what the engines hold, and learns what is asked for.
+# A process that has just started knows no members and would claim all engines.
+# Members are found within two greetings. An instance sends orders only later,
+# see order_turns; until then it schedules requests on the adapters that the
+# engines have loaded, and learns which adapters are requested.
 SETTLE_SECONDS = 1.2
-# An instance that was found a moment ago may be this much older than told.
-SETTLE_SLACK_SECONDS = 1.0
-# All instances of a data centre, for all its engines.
-REMEMBERED_HASHES = 16_384
+# A recently found instance may have run this much longer than is known here.
+SETTLE_MARGIN_SECONDS = 1.0
+# Enough for all instances and engines of a data centre.
+HASH_CACHE_SIZE = 16_384
 
 
 class Candidate(NamedTuple):
-    """An instance that may own engines, and those that it can't reach."""
+    """An instance that may own engines, and the engines it can't reach."""
 
     instance: ids.InstanceId
     avoids: frozenset[str]
 
 
 class Ownership:
-    """The owners, as this instance sees them."""
+    """The owners of engines according to this instance's membership."""
 
     def __init__(
         self,
@@ -57,13 +58,13 @@
         leaving: Callable[[], bool],
         avoids: Callable[[str], bool] = lambda engine: False,
     ) -> None:
-        """Begin without owners.
+        """Create it without owners.
 
-        :param self_id: who we are
+        :param self_id: this instance
         :param members: the other instances
-        :param leaving: whether this instance is about to stop
-        :param avoids: tells the engines that this instance can't reach, so
-            that another may try
+        :param leaving: returns whether this instance is about to stop
+        :param avoids: returns whether this instance can't reach an engine, so
+            that another instance should own it
         """
         self._self_id = self_id
         self._members = members
@@ -71,12 +72,12 @@
         self._avoids = avoids
         self._claimed: set[str] = set()
         self._owners: dict[str, ids.InstanceId] = {}
-        self._places: Mapping[str, str] = {}
+        self._data_centres: Mapping[str, str] = {}
         self._changes = owner_changes.OwnerChanges(
             self_id=self_id, members=members
         )
-        self._looked_at: tuple[object, ...] = ()
-        self._look_until_seconds = -math.inf
+        self._inputs: tuple[object, ...] = ()
+        self._recompute_until_seconds = -math.inf
 
     @property
     def claimed(self) -> frozenset[str]:
@@ -87,20 +88,20 @@
         return frozenset(self._claimed)
 
     def owner(self, engine: str) -> ids.InstanceId | None:
-        """Tell who owns an engine.
+        """Return the owner of an engine.
 
-        :param engine: its name
-        :return: the instance, perhaps this one; None while nobody does
+        :param engine: the engine's name
+        :return: the owner, possibly this instance; None if there is none
         """
         return self._owners.get(engine)
 
     def change(
         self, record: deployment.EndpointRecord
     ) -> owner_changes.OwnerChange:
-        """Tell why an engine is ours, or isn't any more.
+        """Describe the last change of an engine's owner.
 
         :param record: the engine
-        :return: what led to its owner
+        :return: the owners and the membership behind the change
         """
         return self._changes.of(
             record.name,
@@ -113,39 +114,44 @@
             return ""
         if self._leaving():
             return owner_changes.LEAVING
-        if engine not in self._places:
+        if engine not in self._data_centres:
             return owner_changes.ENGINE_GONE
         if self._avoids(engine):
             return owner_changes.UNREACHABLE
         return owner_changes.OTHER_OWNER
 
     def refresh(self, engines: Iterable[deployment.EndpointRecord]) -> None:
-        """Look at all claims anew, if something about them has changed.
+        """Update the owners if the membership or the engines have changed.
 
-        :param engines: those that exist
+        :param engines: the existing engines
         """
-        places = {engine.name: engine.data_centre for engine in engines}
-        avoided = frozenset(filter(self._avoids, places))
-        # The members' version is current only once they were looked at.
+        data_centres = {engine.name: engine.data_centre for engine in engines}
+        unreachable = frozenset(filter(self._avoids, data_centres))
+        # Members.version is updated by reachable().
         self._members.reachable()
-        looked_at = (self._members.version, places, avoided, self._leaving())
+        inputs = (
+            self._members.version,
+            data_centres,
+            unreachable,
+            self._leaving(),
+        )
         uptime_seconds = self._members.uptime_seconds
-        if looked_at != self._looked_at:
-            self._looked_at = looked_at
-            # Whoever joined just now may own an engine when it has settled.
-            self._look_until_seconds = (
-                uptime_seconds + SETTLE_SECONDS + SETTLE_SLACK_SECONDS
+        if inputs != self._inputs:
+            self._inputs = inputs
+            # An instance that has just joined may own engines after a delay.
+            self._recompute_until_seconds = (
+                uptime_seconds + SETTLE_SECONDS + SETTLE_MARGIN_SECONDS
             )
-        if uptime_seconds <= self._look_until_seconds:
-            self._look(places, avoided)
+        if uptime_seconds <= self._recompute_until_seconds:
+            self._recompute(data_centres, unreachable)
 
-    def _look(
-        self, places: Mapping[str, str], avoided: frozenset[str]
+    def _recompute(
+        self, data_centres: Mapping[str, str], unreachable: frozenset[str]
     ) -> None:
-        self._places = places
-        claims = self._claims(avoided)
-        unclaimed = places.keys() - claims.keys()
-        settled = self._settled(avoided) if unclaimed else {}
+        self._data_centres = data_centres
+        claims = self._claims(unreachable)
+        unclaimed = data_centres.keys() - claims.keys()
+        settled = self._settled(unreachable) if unclaimed else {}
         owners = {
             engine: self._owner_of(
                 engine,
@@ -153,13 +159,13 @@
                 claims.get(engine)
                 or self._eligible(engine, data_centre, settled),
             )
-            for engine, data_centre in places.items()
+            for engine, data_centre in data_centres.items()
         }
         self._owners = {
             name: owner for name, owner in owners.items() if owner is not None
         }
         self._changes.note(self._owners)
-        self._changes.forget(places)
+        self._changes.forget(data_centres)
         self._claimed = {
             name
             for name, owner in self._owners.items()
@@ -167,12 +173,12 @@
         }
 
     def _claims(
-        self, avoided: frozenset[str]
+        self, unreachable: frozenset[str]
     ) -> dict[str, list[ids.InstanceId]]:
         claims: dict[str, list[ids.InstanceId]] = {}
         if not self._leaving():
             claims = {
-                name: [self._self_id] for name in self._claimed - avoided
+                name: [self._self_id] for name in self._claimed - unreachable
             }
         for member in self._members.reachable():
             if member.beat is None or member.beat.leaving:
@@ -181,7 +187,9 @@
                 claims.setdefault(engine.name, []).append(member.instance)
         return claims
 
-    def _settled(self, avoided: frozenset[str]) -> dict[str, list[Candidate]]:
+    def _settled(
+        self, unreachable: frozenset[str]
+    ) -> dict[str, list[Candidate]]:
         settled: dict[str, list[Candidate]] = collections.defaultdict(list)
         for member in self._members.reachable():
             beat = member.beat
@@ -192,8 +200,8 @@
                 settled[member.instance.data_centre].append(candidate)
         is_settled = self._members.uptime_seconds >= SETTLE_SECONDS
         if is_settled and not self._leaving():
-            us = Candidate(self._self_id, avoided)
-            settled[self._self_id.data_centre].append(us)
+            own_candidate = Candidate(self._self_id, unreachable)
+            settled[self._self_id.data_centre].append(own_candidate)
         return settled
 
     def _eligible(
@@ -202,13 +210,15 @@
         data_centre: str,
         settled: Mapping[str, list[Candidate]],
     ) -> list[ids.InstanceId]:
-        # Others are looked at only where nobody of its own data centre could
-        # own it: with all of them for all engines, a fleet whose instances
-        # were killed together is busy with this alone.
-        near = _able(engine, settled.get(data_centre, []))
+        # Instances of other data centres are considered only if no local one
+        # can own the engine. Ranking all instances for all engines would
+        # overload a fleet whose instances were killed together.
+        near = _reaching(engine, settled.get(data_centre, []))
         if near:
             return near
-        return _able(engine, itertools.chain.from_iterable(settled.values()))
+        return _reaching(
+            engine, itertools.chain.from_iterable(settled.values())
+        )
 
     def _owner_of(
         self,
@@ -225,10 +235,14 @@
         )
 
 
-def _able(
+def _reaching(
     engine: str, candidates: Iterable[Candidate]
 ) -> list[ids.InstanceId]:
-    return [one.instance for one in candidates if engine not in one.avoids]
+    return [
+        candidate.instance
+        for candidate in candidates
+        if engine not in candidate.avoids
+    ]
 
 
 def _rank(
@@ -238,7 +252,7 @@
     return elsewhere, _hash(engine, instance.address)
 
 
-@functools.lru_cache(maxsize=REMEMBERED_HASHES)
+@functools.lru_cache(maxsize=HASH_CACHE_SIZE)
 def _hash(engine: str, address: str) -> int:
     return xxhash.xxh3_64_intdigest("\0".join((engine, address)).encode())
 
