--- a/src/boragefold/entry/adapter_orders.py
+++ b/src/boragefold/entry/adapter_orders.py
@@ -1,4 +1,4 @@
-"""Carrying out what placement decides: evict where needed, then load."""
+"""Carries out the loads that placement decides on, with their evictions."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from boragefold.telemetry import counters as telemetry
 from boragefold.timing import timers as timing
 
-# Longer than most answers, shorter than a caller's patience.
+# Longer than most responses take, shorter than callers wait.
 EVICTION_SECONDS = 5.0
 
 
 class AdapterOrders(orderer.Orderer):
-    """Follows each load through its eviction and its order."""
+    """Tracks each load through its eviction and its load order."""
 
     def __init__(
         self,
@@ -42,9 +42,9 @@
         self._loading: dict[tuple[str, works.AdapterVersion], loads.Load] = {}
 
     def order(self, order: actions.Order) -> None:
-        """Begin a load.
+        """Start a load, with the eviction that it needs.
 
-        :param order: what and where
+        :param order: what to load, and where
         """
         load = order.load
         desk = self._orders().desk(load.endpoint)
@@ -56,19 +56,19 @@
             self._evict(desk, load, load.evict)
 
     def drain(self, drain: actions.Drain) -> None:
-        """Evict an adapter as soon as nobody uses it.
+        """Evict an adapter as soon as no request uses it.
 
-        :param drain: which, and where
+        :param drain: the adapter and the endpoint
         """
         desk = self._orders().desk(drain.drain.endpoint)
         if desk is not None:
             desk.evict(drain.drain.adapter)
 
     def finished(self, order: sending.Order, outcome: sending.Outcome) -> None:
-        """Learn what became of an order.
+        """Process the outcome of an order.
 
-        :param order: which
-        :param outcome: what the endpoint said, if anything
+        :param order: the order
+        :param outcome: the endpoint's response, or why there is none
         """
         if order.adapter is None:
             return
@@ -139,7 +139,7 @@
         self._changed()
 
     def _fail_later(self, load: loads.Load, reason: str) -> None:
-        # Deferred: the decisions may be in the middle of giving orders.
+        # Deferred: the caller may be in the middle of giving orders.
         self._counters.add("loads_failed", reason)
         self._timers.once(
             delay_seconds=0.0, callback=lambda: self._failed(load)
--- a/src/boragefold/entry/engine_answer.py
+++ b/src/boragefold/entry/engine_answer.py
@@ -1,4 +1,4 @@
-"""Reading an engine's streamed answer, and trusting none of it."""
+"""Parsing and validation of an engine's streamed response."""
 
 from __future__ import annotations
 
@@ -20,48 +20,48 @@
 
 
 class AnswerReader(abc.ABC):
-    """Receives the checked tokens of one attempt."""
+    """Receives the validated tokens of one attempt."""
 
     @abc.abstractmethod
     def began(self, incarnation: str) -> None:
-        """Learn that the engine accepted the request.
+        """Record that the engine accepted the request.
 
         :param incarnation: of the engine
         """
 
     @abc.abstractmethod
     def tokens(self, texts: list[str]) -> None:
-        """Take tokens that arrived together, in order and without a gap.
+        """Process tokens that arrived together, in order and without a gap.
 
         :param texts: at least one
         """
 
     @abc.abstractmethod
     def whole(self, usage: dict[str, int]) -> None:
-        """Learn that the answer is complete.
+        """Record that the response is complete.
 
-        :param usage: tokens as the engine counted them
+        :param usage: token counts as reported by the engine
         """
 
     @abc.abstractmethod
     def broken(self, reason: str, *, may_have_run: bool) -> None:
-        """Learn that this attempt will not complete.
+        """Record that this attempt failed.
 
         :param reason: ``adapter_not_resident``, ``wrong_adapter``,
             ``crossed``, ``cut``, ``refused``, ``timeout``, ``reset``,
             ``engine_error`` or ``malformed_answer``
-        :param may_have_run: whether the engine may have worked on it
+        :param may_have_run: whether the engine may have processed the request
         """
 
 
 class EngineAnswer(http_client.AnswerSink):
-    """Checks each event of an answer before passing it on.
+    """Validates each event of a response before passing it on.
 
-    An engine that lost its slots between our report and our request could
-    answer with another adapter, and a connection that was crossed could carry
-    another answer. Both would reach the caller as a well-formed text. Every
-    event names its adapter, version and place, so each is held against what
-    was asked.
+    An engine that lost its slots between its load report and this request
+    could respond with another adapter, and a connection that was mixed up
+    could carry the response to another request. Both would look well-formed
+    to the caller. Every event names its adapter, version and token index, so
+    each is compared with the request.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self.pending: http_client.Pending | None = None
 
     def head(self, status: int, headers: dict[str, str]) -> None:
-        """Check the head.
+        """Process the status and the headers.
 
         :param status: the HTTP status
         :param headers: the engine's headers
@@ -96,9 +96,9 @@
             self._reader.began(headers.get("engine-incarnation", ""))
 
     def data(self, data: bytes) -> None:
-        """Check the events that are complete and pass their tokens on.
+        """Validate the events that are complete and pass their tokens on.
 
-        :param data: a piece of the body
+        :param data: a chunk of the body
         """
         if self._ended:
             return
@@ -114,20 +114,20 @@
             self._break(fault, may_have_run=True)
 
     def end(self) -> None:
-        """Accept the end only after the terminator."""
+        """Complete the response if the terminator and the usage arrived."""
         if self._ended:
             return
         if not self._done or self._usage is None:
-            # A connection closed without the terminator cut the answer off.
+            # The connection was closed early: the response is truncated.
             self._break("cut", may_have_run=True)
             return
         self._ended = True
         self._reader.whole(self._usage)
 
     def failed(self, failure: http_client.Failure) -> None:
-        """Pass a failed connection on.
+        """Report a failed connection as a failed attempt.
 
-        :param failure: why
+        :param failure: the cause
         """
         if not self._ended:
             self._break(failure.reason, may_have_run=failure.may_have_arrived)
--- a/src/boragefold/entry/engine_asker.py
+++ b/src/boragefold/entry/engine_asker.py
@@ -1,8 +1,8 @@
-"""The way of a request to the engine that it runs at.
+"""Requests to run on an engine, sent to the instance that owns it.
 
-A request asks the owner of the engine that it ranks first. The owner answers
-once: run it now, or not here. Until then it waits at the owner, which sees
-everything that waits for that engine.
+A request is sent to the owner of the engine that ranks first. The owner
+replies once: run it now, or not on this engine. Until then the request waits
+in the owner's queue, which holds everything that waits for that engine.
 """
 
 from __future__ import annotations
@@ -24,24 +24,25 @@
 from boragefold.state import fleet as fleets
 from boragefold.timing import timers as timing
 
-# Asks are idempotent: the owner knows them by their id.
+# Repeating is safe: the owner identifies a request by its id.
 REPEAT_ASK_SECONDS = 0.5
-# A connection that looks open may be dead; both sides then reconnect.
+# A connection that looks open may be dead; both sides reconnect after this
+# many repetitions without a reply.
 RECONNECT_UNANSWERED = 2
 
 
 class Asker(abc.ABC):
-    """A request that asked to run at an engine."""
+    """Receives the owner's reply for a request."""
 
     @abc.abstractmethod
     def granted(
         self, engine: str, version: int, waits: engine_asks.Waits
     ) -> None:
-        """Run now.
+        """Run the request now.
 
         :param engine: where
         :param version: of the adapter, 0 for any
-        :param waits: what it waited for at the engine's owner
+        :param waits: how long it waited in the owner's queue, by cause
         """
 
     @abc.abstractmethod
@@ -52,18 +53,19 @@
         retry_after_seconds: float,
         wait_seconds: float,
     ) -> None:
-        """Don't run there.
+        """Handle a refusal by the engine's owner.
 
         :param engine: which
-        :param reason: why, one of a small fixed set
-        :param retry_after_seconds: when to come back
-        :param wait_seconds: what an eager request would have had to wait
+        :param reason: one of a small fixed set
+        :param retry_after_seconds: when a retry may succeed
+        :param wait_seconds: estimated time in the queue, for a request that
+            was refused since it asked not to be queued
         """
 
 
 @dataclasses.dataclass(kw_only=True)
 class Asked:
-    """An ask that has no answer yet."""
+    """A request to an owner that has no reply yet."""
 
     asker: Asker
     ask: engine_asks.Ask
@@ -74,7 +76,7 @@
 
 
 class EngineAsker:
-    """Asks the owners of engines, and tells them how requests went."""
+    """Sends requests to the owners of engines, and reports their progress."""
 
     def __init__(
         self,
@@ -86,14 +88,14 @@
         timers: timing.TimerService,
         health: Callable[[str], float],
     ) -> None:
-        """Begin without asks.
+        """Subscribe to the owners' replies.
 
         :param link: to all instances, this one included
         :param members: the other instances
-        :param ownership: who owns which engine
+        :param ownership: which instance owns which engine
         :param fleet: the published deployment
         :param timers: the process clock
-        :param health: how sound an endpoint is, from 0 to 1
+        :param health: health of an endpoint, from 0 to 1
         """
         self._link = link
         self._members = members
@@ -114,25 +116,25 @@
         key: deployment.AdapterKey,
         own: tuple[messages.EngineStatus, ...],
     ) -> list[engine_choice.EngineView]:
-        """Order the engines of a service for a request.
+        """Rank the engines of a service for a request.
 
         :param service: the service
         :param key: the adapter that the request needs
-        :param own: what this instance's own engines are like
+        :param own: status of the engines that this instance owns
         :return: the best first
         """
         return engine_choice.rank(key, self._views(service, own))
 
     def ask(self, asker: Asker, ask: engine_asks.Ask, engine: str) -> None:
-        """Ask to run a request at an engine.
+        """Ask an engine's owner whether a request may run there.
 
-        :param asker: is told the answer, never inside this call
+        :param asker: receives the reply, never inside this call
         :param ask: the request
         :param engine: where
         """
         owner = self._ownership.owner(engine)
         if owner is None:
-            # Without an owner, what the engine holds can still be used.
+            # Without an owner, loaded adapters can still be used.
             self._timers.once(
                 delay_seconds=0.0,
                 callback=lambda: asker.granted(engine, 0, engine_asks.Waits()),
@@ -149,10 +151,10 @@
         self._send(asked)
 
     def started(self, request_id: str, engine: str) -> None:
-        """Tell an engine's owner that an answer has begun.
+        """Tell an engine's owner that a response has started.
 
-        :param request_id: whose
-        :param engine: where
+        :param request_id: of the request
+        :param engine: where it runs
         """
         owner = self._granted.get(request_id)
         if owner is not None:
@@ -162,11 +164,12 @@
     def ended(
         self, request_id: str, engine: str, *, not_held: bool = False
     ) -> None:
-        """Tell an engine's owner that a request is over, or given up.
+        """Tell an engine's owner that a request has ended or was cancelled.
 
-        :param request_id: whose
-        :param engine: where it ran, or was asked to run
-        :param not_held: whether the engine refused it for want of its adapter
+        :param request_id: of the request
+        :param engine: where it ran, or was to run
+        :param not_held: whether the engine rejected it since its adapter
+            isn't loaded
         """
         asked = self._asked.pop(request_id, None)
         owner = self._granted.pop(request_id, None)
@@ -177,7 +180,7 @@
             self._link.send(to=owner, body=body)
 
     def look_after(self) -> None:
-        """Repeat asks without an answer, and end those of former owners."""
+        """Repeat unanswered requests, and refuse those of former owners."""
         now_seconds = self._timers.now_seconds()
         for request_id, asked in list(self._asked.items()):
             if self._ownership.owner(asked.engine) != asked.owner:
@@ -243,7 +246,7 @@
         asked = self._answered(sender, body.request_id, body.engine)
         if asked is None:
             if body.request_id not in self._granted:
-                # The request gave up meanwhile.
+                # The request was cancelled in the meantime.
                 ended = messages.RunEnded(body.request_id, body.engine, False)
                 self._link.send(to=sender, body=ended)
             return
--- a/src/boragefold/entry/engine_dialect.py
+++ b/src/boragefold/entry/engine_dialect.py
@@ -1,4 +1,4 @@
-"""What the owner of an engine needs of the language that engines speak."""
+"""Interface to the protocol of an engine, as its owner uses it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EngineReport(NamedTuple):
-    """What an engine says that it holds and does."""
+    """An engine's report of its loaded adapters and its order count."""
 
     counted: fencing_numbers.Counted
     held: dict[str, dict[str, int]]
@@ -22,10 +22,10 @@
 
 
 class OrderAnswer(enum.Enum):
-    """What became of an order.
+    """Outcome of an order.
 
-    ``DONE`` and ``ACCEPTED`` move the engine's count; ``HELD_ALREADY`` is the
-    answer to a load that was not needed, and doesn't.
+    ``DONE`` and ``ACCEPTED`` increase the engine's order count;
+    ``HELD_ALREADY``, the response to a load that was not needed, does not.
     """
 
     DONE = "done"
@@ -36,13 +36,13 @@
 
 
 class EngineDialect(abc.ABC):
-    """Writes reports' calls and orders, and reads their answers."""
+    """Builds calls for reports and orders, and parses the responses."""
 
     @abc.abstractmethod
     def report_call(
         self, record: deployment.EndpointRecord
     ) -> http_client.Call:
-        """Write the call that asks an engine what it holds.
+        """Build the call that requests an engine's report.
 
         :param record: the engine
         :return: the call
@@ -50,11 +50,11 @@
 
     @abc.abstractmethod
     def read_report(self, status: int, body: bytes) -> EngineReport | None:
-        """Understand an engine's report.
+        """Parse an engine's report.
 
-        :param status: of the answer
-        :param body: of the answer
-        :return: the report; None when it is none
+        :param status: of the response
+        :param body: of the response
+        :return: the report; None if the response holds none
         """
 
     @abc.abstractmethod
@@ -66,11 +66,11 @@
         expected: int,
         fence: int,
     ) -> http_client.Call:
-        """Write an order to an engine.
+        """Build the call that sends an order to an engine.
 
         :param record: the engine
-        :param order: what it shall load or drop
-        :param expected: the count of orders that it must have accepted
+        :param order: what to load or unload
+        :param expected: number of orders that the engine must have accepted
         :param fence: the order's fencing number
         :return: the call
         """
@@ -79,11 +79,11 @@
     def read_order_answer(
         self, order: engine_asks.Order, status: int
     ) -> OrderAnswer:
-        """Understand the answer to an order.
+        """Parse the response to an order.
 
         :param order: the order
-        :param status: of the answer
-        :return: what became of the order
+        :param status: of the response
+        :return: outcome of the order
         """
 
 
--- a/src/boragefold/entry/engine_forwarding.py
+++ b/src/boragefold/entry/engine_forwarding.py
@@ -1,4 +1,4 @@
-"""A request to a model engine: asked of its owner, then sent."""
+"""Forwarding of a request to a model engine once its owner grants it."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from boragefold.state import deployment
 from boragefold.transport import http_server
 
-# Owners that a request asks in turn before it waits where the wait is least;
-# each costs a round trip.
+# Owners asked in turn, each at the cost of a round trip, before the request
+# is queued where the wait is shortest.
 EAGER_ASKS = 3
-# Asks in all, when owners change or queues are too long.
+# Limit for all owners asked, when owners change or queues are too long.
 MAX_ASKS = 5
-# How often a request without an engine in reach looks again.
+# Retry interval while no engine is available.
 LOOK_AGAIN_SECONDS = 0.1
-# Part of the time for the answer that may pass in looking.
+# Share of the response time that may pass without an available engine.
 LOOKING_SHARE = 0.5
-# An engine that is about to finish loading is asked again, rather than have
-# another one load as well.
+# An engine that is about to finish a load is asked again, which saves a load
+# of the same adapter on another engine.
 MAX_NOT_HELD = 3
-# A request may still be at an engine for so long after its caller's deadline.
+# A request may still run on an engine this long after the caller's deadline.
 ENDS_SLACK_SECONDS = 1.0
 
 
 class EngineForwarding(forwarding.Forwarding, engine_asker.Asker):
-    """Asks for an engine, and sends the request when it may run."""
+    """Asks an engine's owner, and sends the request when it is granted."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self._refused_for = "no_engine"
 
     def begin(self) -> None:
-        """Ask for the best engine that may be asked, or refuse."""
+        """Ask for the best available engine, or refuse the request."""
         self._let_go()
         if self.over:
             return
@@ -85,7 +85,7 @@
             )
 
     def has_untried(self) -> bool:
-        """Tell whether the request could go to a further engine.
+        """Check whether the request may be sent to a further engine.
 
         :return: whether the route allows it
         """
@@ -95,11 +95,11 @@
     def granted(
         self, engine: str, version: int, waits: engine_asks.Waits
     ) -> None:
-        """Send the request, unless the engine is leaving by now.
+        """Send the request, unless the engine is being removed by now.
 
         :param engine: where
         :param version: of the adapter, 0 for any
-        :param waits: what it waited for at the engine's owner
+        :param waits: how long it waited in the owner's queue, by cause
         """
         if self.over:
             return
@@ -120,12 +120,13 @@
         retry_after_seconds: float,
         wait_seconds: float,
     ) -> None:
-        """Ask elsewhere.
+        """Try the next engine after a refusal by an owner.
 
-        :param engine: which
+        :param engine: which engine was refused
         :param reason: why
-        :param retry_after_seconds: when to come back
-        :param wait_seconds: what an eager request would have had to wait
+        :param retry_after_seconds: when a retry may succeed
+        :param wait_seconds: estimated time in the queue, for a request that
+            was refused since it asked not to be queued
         """
         if self.over:
             return
@@ -147,7 +148,7 @@
         self.begin()
 
     def wait_fields(self) -> dict[str, Any]:
-        """Tell where the time before the last sending went, for the log.
+        """Break down the time before the last attempt, for the log.
 
         :return: seconds and counts, by name
         """
@@ -161,16 +162,16 @@
         }
 
     def attempt_answering(self) -> None:
-        """Tell the engine's owner that the answer has begun."""
+        """Tell the engine's owner that the response has started."""
         self._asker.started(self.admitted.request.request_id, self._engine)
 
     def attempt_rejected(
         self, endpoint: str, facts: dialects.AnswerFacts
     ) -> None:
-        """Go on after an engine didn't run the request.
+        """Retry or refuse after an engine rejected the request.
 
-        :param endpoint: which
-        :param facts: what it said
+        :param endpoint: the engine
+        :param facts: its response
         """
         self.shared.log.write(
             "engine_rejected",
@@ -240,7 +241,7 @@
         )
 
     def _give_up_at_seconds(self) -> float:
-        # What begins later finds its caller gone.
+        # The caller has left by then: a later start is useless.
         admitted = self.admitted
         patience_seconds = self.shared.dialect.first_event_seconds(
             admitted.route
--- a/src/boragefold/entry/engine_orders.py
+++ b/src/boragefold/entry/engine_orders.py
@@ -1,4 +1,4 @@
-"""Sending orders to engines over HTTP."""
+"""Sends orders to engines over HTTP."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 STATUS_OK = 200
 OLD_FENCING = "old_fencing"
-# After this the answer is taken for lost.
+# The response counts as lost after this time.
 ANSWER_SECONDS = 10.0
 
 
 class OrderAnswer(msgspec.Struct):
-    """What an engine answers on ``POST /v1/orders``."""
+    """An engine's response to ``POST /v1/orders``."""
 
     reason: str
     fencing: int
 
 
 class EngineOrders(sending.OrderSender):
-    """Writes orders on connections of their own, and reads the outcome."""
+    """Sends each order on a connection of its own, and parses the outcome."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         still_ours: Callable[[], bool],
         finished: Callable[[sending.Outcome], None],
     ) -> None:
-        """Send an order on a fresh connection.
+        """Send an order on a new connection.
 
         :param order: the order
-        :param still_ours: asked right before the bytes are written
+        :param still_ours: checked right before the request is written
         :param finished: called once with the outcome
         """
         address = self._address_of(order.endpoint)
--- a/src/boragefold/entry/engine_owner.py
+++ b/src/boragefold/entry/engine_owner.py
@@ -1,4 +1,4 @@
-"""The engines that this instance schedules for the whole fleet."""
+"""Schedules the engines that this instance owns, for all instances."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 from boragefold.timing import timers as timing
 from boragefold.transport import http_client
 
-# An engine that gives its owner no report for so long is given up: eight
-# questions without an answer.
+# An owner gives up an engine after this time without a report: eight failed
+# report requests.
 GIVE_UP_SECONDS = 2.0
-# Whoever gave an engine up leaves it to others for so long.
+# An instance that gave up an engine leaves it to others for this time.
 AVOID_SECONDS = 8.0
-# Finer differences of waiting change no choice, and would be told each time.
+# Smaller differences change no choice but would be sent with each message.
 TOLD_STEP_SECONDS = 0.02
 
 
 class EngineOwner:
-    """Answers what other instances ask of our engines."""
+    """Replies to requests of all instances for the engines owned here."""
 
     def __init__(
         self,
@@ -56,20 +56,22 @@
             [deployment.EndpointRecord], owner_changes.OwnerChange
         ],
     ) -> None:
-        """Begin without an engine.
+        """Subscribe to the messages of instances that use owned engines.
 
         :param link: to all instances, this one included
         :param fleet: the published deployment
-        :param dialect: speaks with the engines
-        :param client: reaches them
+        :param dialect: builds and parses the calls to engines
+        :param client: HTTP client for the engines
         :param timers: the process clock
         :param counters: of this process
         :param log: of this process
-        :param lease_seconds: how long the orders of two givers must be apart
-        :param giver: our own number in fencing numbers
-        :param leases: under which orders are given
-        :param loads_elsewhere: loads on the way to engines of other owners
-        :param owner_change: tells why an engine is ours, or isn't any more
+        :param lease_seconds: minimum time between orders of two instances
+        :param giver: this instance's own number in fencing numbers
+        :param leases: required for giving orders
+        :param loads_elsewhere: number of loads under way on engines of other
+            owners
+        :param owner_change: explains why this instance started or stopped
+            owning an engine
         """
         self._link = link
         self._fleet = fleet
@@ -84,13 +86,13 @@
         self._started_at_seconds = timers.now_seconds()
         self._count_loads_elsewhere = loads_elsewhere
         self._owner_change = owner_change
-        # Looked at with each call of hold: counted anew for each decision,
-        # they cost more than it when there are many engines.
+        # Both are updated once per call of hold: computing them for each
+        # decision costs more than the decision if there are many engines.
         self._loads_elsewhere = 0
         self._engines = 0
         self._owned: dict[str, owned_engine.OwnedEngine] = {}
-        # Turns outlive ownership: whoever owns an engine again must know that
-        # others gave it orders meanwhile.
+        # Kept after ownership ends: an instance that owns an engine again
+        # must detect that others gave it orders in the meantime.
         self._turns: dict[str, order_turns.OrderTurns] = {}
         self._avoided_until_seconds: dict[str, float] = {}
         self._due: timing.Subscription | None = None
@@ -99,9 +101,9 @@
         link.subscribe(messages.RunEnded, self._take_ended)
 
     def hold(self, records: Iterable[deployment.EndpointRecord]) -> None:
-        """Schedule these engines from now on, and no others.
+        """Schedule exactly these engines from now on.
 
-        :param records: the engines that are ours
+        :param records: the engines that this instance owns
         """
         self._loads_elsewhere = self._count_loads_elsewhere()
         self._engines = sum(1 for _ in self._fleet.engines())
@@ -119,13 +121,14 @@
         self.run()
 
     def avoids(self, engine: str) -> bool:
-        """Tell whether an engine should have another owner.
+        """Check whether an engine should have another owner.
 
-        An engine may be cut off from its owner alone. While that one keeps
-        it, nobody loads an adapter there though all others could.
+        Only the owner may be cut off from an engine. As long as it stays the
+        owner, no adapter is loaded there although all others could load one.
 
         :param engine: its name
-        :return: whether we can't reach it, or couldn't a moment ago
+        :return: whether this instance can't reach the engine, or couldn't
+            recently
         """
         now_seconds = self._timers.now_seconds()
         owned = self._owned.get(engine)
@@ -142,9 +145,9 @@
         return tuple(filter(self.avoids, list(self._avoided_until_seconds)))
 
     def statuses(self) -> tuple[messages.EngineStatus, ...]:
-        """Tell what other instances need to know of our engines.
+        """Describe the owned engines for other instances.
 
-        :return: one for each
+        :return: one status for each engine
         """
         now_seconds = self._timers.now_seconds()
         return tuple(
@@ -155,7 +158,7 @@
         )
 
     def peer_gone(self, peer: ids.InstanceId) -> None:
-        """Forget what an incarnation asked for that is no more.
+        """Remove the requests of an incarnation that has ended.
 
         :param peer: the incarnation
         """
@@ -168,15 +171,16 @@
                 self._run_one(name)
 
     def run(self) -> None:
-        """Do what the schedules decide now."""
+        """Carry out the current decisions of all schedules."""
         for name in list(self._owned):
             self._advance(name)
         self._set_due()
 
     def _run_one(self, name: str) -> None:
-        # Deciding for every engine at each message of one of them, an instance
-        # that owns them all, because the others stopped, is busy with that
-        # alone: requests of its callers lie unread until they have left.
+        # Only one engine is advanced: if each message advanced all engines,
+        # an instance that owns all of them because the others stopped would
+        # do nothing else, and its callers would leave before their requests
+        # are read.
         self._advance(name)
         self._set_due()
 
@@ -264,7 +268,7 @@
     ) -> None:
         ask = self._ask(sender, body)
         if body.unanswered == engine_asker.RECONNECT_UNANSWERED:
-            # What we answered didn't arrive: the connection only looks open.
+            # The reply didn't arrive: the connection only looks open.
             self._link.reconnect(sender)
         owned = self._owned.get(body.engine)
         if owned is None:
@@ -274,7 +278,7 @@
             return
         granted = owned.schedule.granted(ask.request_id)
         if granted is not None:
-            # The asker repeats an ask whose answer was lost.
+            # The request is repeated since the reply was lost.
             self._answer(body.engine, granted)
             return
         refusal = owned.schedule.offer(
@@ -325,7 +329,7 @@
         elif isinstance(action, engine_asks.TurnAway):
             self._counters.add("engine_asks_refused", action.reason)
             if action.reason != engine_schedule.BUSY:
-                # The asker logs where an eager request went instead.
+                # The requesting instance logs where the request went instead.
                 self._log_refusal(engine, action)
             self._link.send(
                 to=action.ask.sender,
--- a/src/boragefold/entry/engine_views.py
+++ b/src/boragefold/entry/engine_views.py
@@ -1,4 +1,4 @@
-"""Engines as an instance sees them when it chooses one."""
+"""Cached views of the engines, for ranking them."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from boragefold.protocol import peer_messages as messages
 from boragefold.state import deployment
 
-# Engines' sets change more slowly than requests come.
+# Sets of adapters change less often than requests arrive.
 REMEMBERED_SETS = 256
 MAX_SEEN = 4_096
 
 
 class Seen(NamedTuple):
-    """A view, and what it was made of."""
+    """A view, and the record or status that it was built from."""
 
     source: messages.EngineStatus | deployment.EndpointRecord
     view: engine_choice.EngineView
@@ -34,7 +34,7 @@
 
 
 class EngineViews:
-    """The engines as they were last seen; a view is made when one changes."""
+    """Keeps a view of each engine, and rebuilds it when the engine changes."""
 
     def __init__(self) -> None:
         self._seen: dict[str, Seen] = {}
@@ -47,13 +47,13 @@
         near: bool,
         health: float,
     ) -> engine_choice.EngineView:
-        """See an engine as it is now.
+        """Return the current view of an engine.
 
-        :param record: its entry
-        :param status: what its owner tells; None where nobody schedules it
-        :param near: whether the engine is in our data centre
-        :param health: how sound it is, from 0 to 1
-        :return: what decides about it
+        :param record: its published record
+        :param status: sent by its owner; None if no instance schedules it
+        :param near: whether the engine is in this instance's data centre
+        :param health: from 0 to 1
+        :return: what the ranking needs to know of it
         """
         source = record if status is None else status
         seen = self._seen.get(record.name)
@@ -70,7 +70,7 @@
             else _told_view(status, near, health)
         )
         if len(self._seen) >= MAX_SEEN:
-            # Engines that start again under new names leave theirs behind.
+            # Restarted engines have new names; the old ones are never removed.
             self._seen.clear()
         self._seen[record.name] = Seen(source, view)
         return view
--- a/src/boragefold/entry/load_reports.py
+++ b/src/boragefold/entry/load_reports.py
@@ -1,4 +1,4 @@
-"""Asking endpoints for their load, and listing them for the decisions."""
+"""Polls endpoints for their load, and keeps their specifications current."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from boragefold.transport import http_client
 from boragefold.transport import whole_answer
 
-# A report is of use for about a second.
+# A report is useful for about a second.
 PERIOD_SECONDS = 0.5
-# Bounds the processor time, however many endpoints there are.
+# Bounds the CPU time, however many endpoints there are.
 MAX_ASKS_PER_SECOND = 20.0
-# An endpoint without a report for so long is taken to be slow.
+# A poll without progress for this long has failed: the endpoint is slow.
 SILENCE_SECONDS = 1.0
 STATUS_OK = 200
-# Expected round trips until one is published.
+# Assumed round-trip times; none are published.
 NEAR_SECONDS = 0.0005
 SAME_REGION_SECONDS = 0.003
 FAR_SECONDS = 0.08
 
 
 class EngineReport(msgspec.Struct):
-    """What an engine answers on ``GET /v1/load``.
+    """An engine's response to ``GET /v1/load``.
 
-    ``resident`` lists adapter, version and how many requests run on it.
+    ``resident`` lists adapter, version and number of running requests.
     """
 
     incarnation: str
@@ -44,15 +44,15 @@
     fencing: int = 0
 
 
-# The endpoint, its report, the running requests by adapter, and a moment no
-# later than they were counted.
+# The endpoint, its report, the running requests by adapter, and a time no
+# later than that of the count.
 Sampled = Callable[
     [str, EngineReport, dict[works.AdapterVersion, int], float], None
 ]
 
 
 class LoadReports:
-    """Keeps the decisions' view of the endpoints up to date."""
+    """Keeps the endpoints up to date for the decisions."""
 
     def __init__(
         self,
@@ -81,28 +81,28 @@
         self._turn: list[str] = []
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start polling."""
         self._ask_next()
 
     def address_of(self, endpoint: str) -> str | None:
-        """Look up where an endpoint listens.
+        """Look up the address of an endpoint.
 
         :param endpoint: its name
-        :return: IP number and port, or None when it isn't published
+        :return: IP address and port, or None if it isn't published
         """
         record = self._records.get(endpoint)
         return None if record is None else record.address
 
     def record(self, endpoint: str) -> published.EndpointRecord | None:
-        """Look an endpoint up.
+        """Look up the published record of an endpoint.
 
         :param endpoint: its name
-        :return: what is published of it
+        :return: the record, or None if it isn't published
         """
         return self._records.get(endpoint)
 
     def names(self) -> list[str]:
-        """List the endpoints of our own data centre.
+        """List the endpoints of this instance's data centre.
 
         :return: their names
         """
@@ -133,7 +133,7 @@
         return listed
 
     def refresh(self) -> None:
-        """Take over what is published of the endpoints now."""
+        """Apply the published records of all endpoints."""
         self._records = {
             qualified(record): record._replace(name=qualified(record))
             for record in self._catalogue.endpoints
@@ -230,8 +230,8 @@
                 incarnation=report.incarnation,
                 running=report.running,
                 waiting=report.waiting,
-                # It was measured after we asked; counting our requests twice
-                # is the safe side.
+                # It was measured after the request was sent. Requests of this
+                # instance may be counted twice, which overestimates the load.
                 measured_at_seconds=asked_at_seconds,
                 resident=tuple(running),
             )
@@ -240,7 +240,7 @@
 
 
 def qualified(record: published.EndpointRecord) -> str:
-    """Name an endpoint uniquely in the fleet.
+    """Build the name of an endpoint that is unique among all endpoints.
 
     :param record: as published
     :return: data centre and name
--- a/src/boragefold/entry/orderer.py
+++ b/src/boragefold/entry/orderer.py
@@ -1,4 +1,4 @@
-"""What carries out the orders that placement decides on."""
+"""Interface for carrying out the orders that placement decides on."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
     @abc.abstractmethod
     def drain(self, drain: actions.Drain) -> None:
-        """Have every instance stop using an adapter at an endpoint.
+        """Have every instance stop using an adapter on an endpoint.
 
-        :param drain: which
+        :param drain: the adapter and the endpoint
         """
 
 
--- a/src/boragefold/entry/owned_engine.py
+++ b/src/boragefold/entry/owned_engine.py
@@ -1,4 +1,4 @@
-"""One engine that this instance schedules: its orders and its reports."""
+"""Orders to and reports of one engine that this instance owns."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from boragefold.transport import http_client
 from boragefold.transport import whole_answer
 
-# A report that was asked for and failed is asked for again after this.
+# Pause before the next request for a report after a failed one.
 REPORT_PAUSE_SECONDS = 0.25
-# What a report says is about this old, so asking sooner tells nothing new. A
-# load that is overdue would ask at each event of the engine.
+# A report is about this old when it arrives, so asking sooner yields nothing
+# new. Without a limit, an overdue load would request one on each event.
 REPORT_SPACING_SECONDS = 0.1
-# Of orders in doubt a line of the log names so many.
+# Unresolved orders named in one log line.
 MAX_LOGGED_DOUBTS = 3
-# Without the lease, orders go only to an engine that was watched for long.
+# Orders without the lease need this time of ownership first.
 WATCH_SECONDS = 2.0
-# An order without an answer, which may have arrived.
+# Outcome of an order without a response, which may have arrived.
 UNKNOWN = "unknown"
 
 
 class GivenOrder(NamedTuple):
-    """An order on its way, and what it relied on."""
+    """An order in flight, and the state that it was based on."""
 
     order: engine_asks.Order
     expected: int
@@ -46,7 +46,7 @@
 
 
 class OwnedEngine:
-    """Gives one engine its orders, and keeps its schedule informed."""
+    """Gives orders to one engine, and updates its schedule from reports."""
 
     def __init__(
         self,
@@ -75,13 +75,13 @@
         self._changed = changed
         self._asking = False
         self._asked_report_at_seconds = -math.inf
-        # When the last report that we have was asked for.
+        # When the newest known report was requested.
         self._told_as_of_seconds = -math.inf
         self._next_report: timing.Subscription | None = None
         self._next_report_at_seconds = math.inf
         self._stopped = False
-        # Whether the engine gave us its last report. An owner behind a cut
-        # believes that it owns engines which it can't reach.
+        # Whether the last request for a report succeeded. An owner that is
+        # cut off believes that it owns engines which it can't reach.
         self.answers = False
         self._taken_up_at_seconds = timers.now_seconds()
         self._silent_since_seconds = self._taken_up_at_seconds
@@ -89,30 +89,30 @@
         self.ask_report()
 
     def silent_seconds(self) -> float:
-        """Tell how long the engine has given us no report that we asked for.
+        """Compute how long requests for a report have failed.
 
-        :return: seconds; 0 while it answers
+        :return: seconds; 0 if the last one succeeded
         """
         if self.answers:
             return 0.0
         return self._timers.now_seconds() - self._silent_since_seconds
 
     def stop(self) -> None:
-        """Give no further order: the engine is another instance's now."""
+        """Stop giving orders: another instance owns the engine now."""
         self._stopped = True
         if not self._ordering:
             self._lease.end()
 
     def renew(self, record: deployment.EndpointRecord) -> None:
-        """Take over the engine's newest record.
+        """Replace the engine's record by a newer one.
 
         :param record: the record
         """
         reborn = record.born_milliseconds != self.record.born_milliseconds
         self.record = record
         if reborn:
-            # Its model may be on the way already. Ordered again before a
-            # report says so, the load wouldn't be counted.
+            # The restarted engine may be loading its model already. A load
+            # that is ordered again before a report shows it isn't counted.
             self.schedule.places.learn(
                 {}, {}, now_seconds=self._timers.now_seconds(), busy=True
             )
@@ -163,13 +163,13 @@
         return owned_seconds >= WATCH_SECONDS and self._lease.alone()
 
     def _has_to_listen(self, fresh_seconds: float) -> bool:
-        # A turn that begins asks by itself until it has begun. One that was
-        # begun anew after a pause has nobody who asks.
+        # A turn that is starting requests reports until it has started. If it
+        # starts anew after a pause, nothing else requests one.
         pauses = fresh_seconds / REPORT_PAUSE_SECONDS
         return pauses >= 2 and not self._turns.begun
 
     def refused(self, key: deployment.AdapterKey) -> None:
-        """Note that the engine refused a request for want of its adapter.
+        """Record that the engine rejected a request for a missing adapter.
 
         :param key: the adapter or model
         """
@@ -178,7 +178,7 @@
         self.ask_report()
 
     def ask_report(self) -> None:
-        """Ask the engine what it holds and how many orders it accepted."""
+        """Request the engine's report of loaded adapters and order count."""
         self._drop_next_report()
         if self._asking or self._stopped:
             return
@@ -254,8 +254,8 @@
         )
 
     def _has_to_watch(self, now_seconds: float) -> bool:
-        # The count must be known and be seen to stand still, and an order that
-        # is carried out to be done.
+        # Reports are needed until the count is known and no longer changes,
+        # and until an accepted order has been carried out.
         turns = self._turns
         return (
             not turns.begun
@@ -265,8 +265,8 @@
         )
 
     def _ask_later(self, delay_seconds: float) -> None:
-        # Each report may ask for the next: two that wait would go on for ever
-        # beside each other.
+        # Each report may schedule the next one. Keeping one timer prevents
+        # two series of reports from running side by side forever.
         at_seconds = self._timers.now_seconds() + delay_seconds
         if at_seconds >= self._next_report_at_seconds:
             return
@@ -299,7 +299,7 @@
         call = self._dialect.order_call(
             self.record, order, expected=given.expected, fence=given.fence
         )
-        # Asked again right before the first byte, on a clock that counts
+        # Checked again right before the first byte, on a clock that counts
         # suspension: a process that was frozen since must not order.
         call = call._replace(may_send=lambda: self._still_fresh(now_seconds))
         self._turns.sending()
--- a/src/boragefold/entry/store_budget.py
+++ b/src/boragefold/entry/store_budget.py
@@ -1,4 +1,4 @@
-"""The weight store's limits, as placement asks for them."""
+"""Adapts the limits of the weight store to the interface of placement."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class StoreBudget(loads.LoadBudget):
-    """Hands placement the loads that the fleet's limits leave to us."""
+    """Grants placement this instance's share of the fleet's load limits."""
 
     def __init__(self, *, budget: load_budget.LoadBudget) -> None:
         self._budget = budget
@@ -18,10 +18,10 @@
         )
 
     def try_take(self, *, now_seconds: float) -> bool:
-        """Take the right to begin one load.
+        """Reserve the right to start one load.
 
         :param now_seconds: unused; the budget has the process clock
-        :return: whether it was there
+        :return: whether it was available
         """
         taken = self._budget.try_take()
         if not isinstance(taken, load_budget.Load):
@@ -30,9 +30,9 @@
         return True
 
     def ended(self, *, now_seconds: float) -> None:
-        """Give back the oldest running load's place.
+        """Release the reservation of the oldest running load.
 
-        Places are alike, so it doesn't matter which load ended.
+        Reservations are alike, so it doesn't matter which load ended.
 
         :param now_seconds: unused
         """
--- a/src/boragefold/entry/use_gate.py
+++ b/src/boragefold/entry/use_gate.py
@@ -1,4 +1,4 @@
-"""Lets a chat through to an endpoint only under a lease of use."""
+"""Admits requests to an endpoint only under a lease for the adapter."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from boragefold.protocol import order_messages
 from boragefold.timing import timers as timing
 
-# Until a new holder gives leases.
+# Covers the time until a new holder of the endpoint grants leases.
 WAIT_SECONDS = 3.0
 CHECK_SECONDS = 0.25
-# Reasons that pass by themselves; any other sends the chat elsewhere.
+# Temporary reasons; after any other the request is sent elsewhere.
 PASSING = frozenset({"asking", "not_ready", "no_holder", "not_holder"})
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
 class Waiting:
-    """A chat that waits for its lease."""
+    """A request that waits for its lease."""
 
     target: order_messages.Target
     until_seconds: float
@@ -28,7 +28,7 @@
 
 
 class UseGate:
-    """Begins uses, and keeps those that have to wait for their lease."""
+    """Starts uses of adapters, and queues those that wait for a lease."""
 
     def __init__(
         self,
@@ -49,10 +49,10 @@
         granted: Callable[[using.Use], None],
         refused: Callable[[str], None],
     ) -> None:
-        """Begin a use, now or when the lease has come.
+        """Start a use, now or when the lease is granted.
 
         :param endpoint: its name
-        :param adapter: what will be used
+        :param adapter: the adapter to use
         :param granted: called with the use, perhaps inside this call
         :param refused: called later with the reason; nothing may be sent
         """
@@ -67,9 +67,9 @@
         self._try(waiting)
 
     def lease_came(self, target: order_messages.Target) -> None:
-        """Let those through that waited for a lease.
+        """Start the uses that waited for a lease.
 
-        :param target: what it is for
+        :param target: the endpoint and adapter of the lease
         """
         for waiting in list(self._waiting):
             if waiting.target == target:
@@ -91,7 +91,7 @@
             return
         use = self._uses().begin(waiting.target)
         if isinstance(use, using.Use):
-            # begin() may have let it through already.
+            # begin() may have started this use through a callback already.
             if waiting in self._waiting:
                 self._waiting.remove(waiting)
                 waiting.granted(use)
--- a/src/boragefold/entry/work_digests.py
+++ b/src/boragefold/entry/work_digests.py
@@ -1,4 +1,4 @@
-"""Telling neighbours what waits here, and which endpoint holds what."""
+"""Exchanges digests of queued work and loaded adapters with peers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class WorkDigests:
-    """Sends digests to whom they concern, and takes in those of others."""
+    """Sends digests to the instances concerned, and applies received ones."""
 
     def __init__(
         self,
@@ -36,9 +36,9 @@
         link.subscribe(fleet_messages.AdapterLoaded, self._on_loaded)
 
     def tell(self, tell: actions.Tell) -> None:
-        """Send a digest to the instance that decides on what is in it.
+        """Send a digest to the instance that decides about its content.
 
-        :param tell: to whom, and what
+        :param tell: the receiver and the digest
         """
         body = fleet_messages.WorkDigest(tell.digest)
         for peer in self._others():
@@ -48,7 +48,7 @@
     def tell_loaded(
         self, endpoint: str, adapter: works.AdapterVersion
     ) -> None:
-        """Tell our data centre that an endpoint holds an adapter now.
+        """Tell this instance's data centre that an endpoint loaded an adapter.
 
         Others learn it from the endpoint's next load report.
 
