--- a/tests/entry/test_engine_answer.py
+++ b/tests/entry/test_engine_answer.py
@@ -84,7 +84,8 @@
     ],
 )
 def test_nothing_but_the_asked_answer_is_passed_on(pieces, ended, passed_on):
-    # Another request's answer, or half of one, must not pass for the caller's.
+    # A part of a response, or the response to another request, must not be
+    # returned as the caller's.
     reader = read(*pieces)
     assert (reader.ended, len(reader.texts)) == (ended, passed_on)
 
--- a/tests/entry/test_engine_orders.py
+++ b/tests/entry/test_engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders of one owner whose reports and answers are late or lost."""
+"""Orders of one owner, with reports and responses delayed or lost."""
 
 from __future__ import annotations
 
@@ -18,8 +18,9 @@
 
 
 def test_a_report_that_came_late_frees_no_place_of_a_newer_load() -> None:
-    # A sixth adapter was loaded: a report that was asked for before two loads
-    # came after them, and undid the first while the second kept the count.
+    # A report that was requested before two loads arrived after them. It
+    # cancelled the first, whose slot was then used for a sixth adapter, since
+    # its order count matched that of the second.
     wire = full_wire()
     wire.ask("f")
     wire.run_for(0.03)
@@ -35,8 +36,9 @@
 
 
 def test_a_load_without_an_answer_keeps_its_place() -> None:
-    # A sixth adapter was loaded: one that was dropped and loaded again had no
-    # answer to its load, and the report that showed it was not believed.
+    # An adapter was unloaded and loaded again, and the response to the load
+    # was lost. The report that showed the adapter was ignored, so a sixth
+    # adapter was loaded.
     wire = full_wire()
     wire.ask("f")
     wire.run_for(0.06)
--- a/tests/entry/test_engine_orders_walk.py
+++ b/tests/entry/test_engine_orders_walk.py
@@ -1,4 +1,4 @@
-"""Random schedules of one owner and its engine, in virtual time."""
+"""Random schedules for one owner and its engine, in simulated time."""
 
 from __future__ import annotations
 
@@ -54,5 +54,5 @@
 
 @pytest.mark.parametrize("seed", range(SCHEDULES))
 def test_no_order_loads_more_than_the_engine_has_room_for(seed) -> None:
-    # An engine that is ordered to hold too much crashes and comes back empty.
+    # An engine that is ordered to load too much crashes and restarts empty.
     assert not play(seed).engine.overfull
--- a/tests/entry/test_engine_owner.py
+++ b/tests/entry/test_engine_owner.py
@@ -1,4 +1,4 @@
-"""An instance that schedules many engines."""
+"""An instance that owns many engines."""
 
 from __future__ import annotations
 
@@ -61,10 +61,10 @@
 
 
 def test_a_message_of_one_engine_decides_for_that_one(advances) -> None:
-    # The other instances stop in turn, and one owns all nine engines. Were
-    # each ask, start and end to decide for all of them, it would do nothing
-    # else: its callers' requests lie unread for two seconds, and are sent on
-    # after the callers have left.
+    # During a rolling restart one instance owns all nine engines. If each
+    # request, start and end advanced all of them, the instance would do
+    # nothing else: requests of its callers would stay unread for two seconds
+    # and be forwarded after the callers have left.
     network = networks.Network(seed=1)
     node = network.start("dc-a", "10.1.0.1:70")
     asker = network.start("dc-a", "10.1.0.2:70")
@@ -91,7 +91,8 @@
 
 
 def test_the_log_says_why_an_engine_changed_hands() -> None:
-    # Two instances held one engine, and no line told whom each took for gone.
+    # When two instances own one engine, the log has to show which instances
+    # each of them considered gone.
     lines = []
     log = types.SimpleNamespace(
         write=lambda event, **fields: lines.append((event, fields))
--- a/tests/entry/test_order_walk.py
+++ b/tests/entry/test_order_walk.py
@@ -1,4 +1,4 @@
-"""Schedules for the owners of one engine, judged by its record of orders."""
+"""Schedules for the owners of one engine, checked by its record of orders."""
 
 from __future__ import annotations
 
@@ -41,7 +41,8 @@
 
 @pytest.mark.parametrize("profile", order_plans.PROFILES)
 def test_no_schedule_has_two_givers_at_once(profile) -> None:
-    # Two instances take turns at one engine, or a fencing number falls.
+    # A breach: two instances alternate on one engine, or a fencing number
+    # decreases.
     broken = {}
     for seed in SEEDS:
         steps = order_plans.draw(seed=seed, profile=profile)
@@ -51,8 +52,9 @@
 
 
 def test_what_leaves_is_not_dropped_by_the_next_owner() -> None:
-    # An adapter leaves while a former owner's request runs on it. The next
-    # owner dropped it again, which isn't counted; the third used its count.
+    # An adapter is being unloaded while a request of a former owner runs on
+    # it. The next owner unloaded it again, which isn't counted, and the third
+    # one reused the order count.
     steps = [
         claim(0.0, 0),
         ask(0.9, "a5", 4.0),
@@ -74,8 +76,8 @@
 
 
 def test_an_order_that_comes_late_finds_no_repetition_of_itself() -> None:
-    # The answer to an order is lost, the order is given again, and the first
-    # copy arrives after it with a fencing number that is too low.
+    # The response to an order is lost and the order is repeated. The first
+    # copy arrives after the second, with a fencing number that is too low.
     asked = [
         ask(0.8 + number / 10, f"a{number % 8}", 0.2) for number in range(30)
     ]
@@ -84,7 +86,7 @@
 
 
 def test_two_that_take_a_full_engine_up_at_once_dont_share_a_count() -> None:
-    # Both dropped the first adapter of the report for their first load.
+    # Both unloaded the first adapter of the report for their first load.
     steps = [
         *FILLED,
         release(2.0, 0),
@@ -99,7 +101,7 @@
 
 
 def test_two_that_wait_for_one_lease_dont_share_a_count() -> None:
-    # Both saw the former owner's last order and began when its lease passed.
+    # Both saw the former owner's last order and began when its lease expired.
     steps = [
         *FILLED,
         claim(1.0, 1),
@@ -112,8 +114,8 @@
 
 
 def test_what_was_dropped_and_loaded_again_is_not_dropped_early() -> None:
-    # A report from before the unload passed for the end of the new load; the
-    # second unload isn't counted, and the next owner used its count.
+    # A report from before the unload was taken as the end of the new load.
+    # The second unload isn't counted, and the next owner reused its count.
     steps = [
         claim(0.0, 2),
         ask(4.0, "a0"),
@@ -134,7 +136,8 @@
 def test_a_model_isnt_ordered_again_when_the_record_tells_of_the_restart() -> (
     None
 ):
-    # The engine's new record forgot the load that was ordered since.
+    # Applying the new record of a restarted engine discarded the load that
+    # had been ordered since the restart.
     steps = [
         claim(0.0, 0),
         Step(1.0, "restart", seconds=0.4),
@@ -149,7 +152,8 @@
 
 
 def test_an_owner_that_is_cut_off_orders_nothing() -> None:
-    # It takes the others for gone, and orders what their owner orders, too.
+    # It considers the others gone, and would give orders beside the owner
+    # that the others see.
     for cut_off in (0, 1):
         steps = [
             claim(0.0, 0),
@@ -170,21 +174,23 @@
 
 
 def test_a_new_holder_relies_on_no_report_of_the_time_before() -> None:
-    # It had listened while another one held the lease, and began at once.
+    # It had counted quiet time from before it got the lease, while another
+    # instance held it, and began at once.
     steps = order_plans.draw(seed=1317, profile="badsplit")
     assert not order_walk.OrderWalk(seed=1317, steps=steps).run()
 
 
 def test_an_order_lost_before_a_handover_hides_no_other_owners() -> None:
-    # It never arrived, and the owner in between gave one, which passed for it:
-    # the first owner came back with no lease between.
+    # The order never arrived. One by the owner in between was mistaken for
+    # it, so the first owner resumed without waiting for a lease.
     steps = order_plans.draw(seed=2182, profile="badhand")
     assert not breaches(steps, seeds=(2182,))
 
 
 def test_two_that_own_an_idle_engine_dont_load_the_same_adapter() -> None:
-    # Two that can't hear each other load one adapter within a report's lag;
-    # the engine takes the second order without a look at its count.
+    # Two owners that can't reach each other load the same adapter within the
+    # delay of a report. The engine accepts the second order without checking
+    # the order count.
     steps = [
         claim(0.0, 0),
         claim(0.2, 1),
@@ -198,7 +204,8 @@
 def test_no_order_of_a_former_life_is_given_to_an_engine_that_is_back() -> (
     None
 ):
-    # Its first report counts no orders, and confirmed the count of before.
+    # The first report after a restart counts no orders, and was taken as a
+    # confirmation of the count from before the restart.
     broken = {}
     for seed in (1175, 1335, 1436):
         steps = order_plans.draw(seed=seed, profile="all")
@@ -211,7 +218,8 @@
 def test_no_schedule_has_two_givers_where_engines_tell_their_start(
     profile,
 ) -> None:
-    # An unload that meets the next life of an engine lowers no number there.
+    # With start times, an unload that reaches the engine after a restart
+    # lowers no fencing number.
     broken = {}
     for seed in (50026, 51194, *SEEDS):
         steps = order_plans.draw(seed=seed, profile=profile)
@@ -222,7 +230,7 @@
 
 
 def test_an_unload_that_meets_the_next_life_lowers_no_number() -> None:
-    # The engine had started again, tells no start, and didn't count it.
+    # Without start times, the engine restarted and didn't count the unload.
     broken = {}
     for seed in (50026, 51194):
         steps = order_plans.draw(seed=seed, profile="restart")
--- a/tests/entry/test_owned_engine.py
+++ b/tests/entry/test_owned_engine.py
@@ -1,4 +1,4 @@
-"""The orders of one engine's owners."""
+"""Orders to one engine by its successive owners."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Engine:
-    """A full engine with a long answer on each adapter, somebody else's."""
+    """A full engine with a long-running request on each adapter."""
 
     def __init__(self, *, clock) -> None:
         self.model = model_engine.ModelEngine(
@@ -53,7 +53,7 @@
 
 
 class LosingClient:
-    """Lets the engine take the first order, and loses its answer."""
+    """Delivers the first order, and loses the response."""
 
     def __init__(self, *, client, timers) -> None:
         self._client = client
@@ -74,7 +74,7 @@
 
 
 class Nobody:
-    """Takes an answer that is lost."""
+    """Discards a response."""
 
     def head(self, status, headers) -> None:
         pass
@@ -87,7 +87,7 @@
 
 
 class Client:
-    """Brings calls to the engine and its answers back."""
+    """Delivers calls to the engine, and its responses after a delay."""
 
     def __init__(self, *, engine, timers, giver) -> None:
         self._engine = engine
@@ -140,7 +140,7 @@
 
 
 def want(owned, network, *, seconds) -> None:
-    """Let requests for adapters that aren't held wait, and time pass."""
+    """Queue requests for adapters that aren't loaded, and let time pass."""
     now_seconds = owned._timers.now_seconds()
     for step in range(round(seconds / 0.1)):
         ask = engine_loads.ask(
@@ -173,7 +173,8 @@
 def test_a_new_owner_gives_no_order_while_one_is_carried_out(
     network, node, engine
 ) -> None:
-    # A second drop of an adapter that leaves is accepted and not counted.
+    # A second unload of an adapter that is still being unloaded is accepted
+    # but not counted.
     own(network, node, engine, 1, seconds=0.9)
     assert engine.accepted()[-1].status == model_engine.ACCEPTED
     given = len(engine.accepted())
@@ -184,7 +185,8 @@
 def test_owners_of_a_busy_engine_never_share_a_count(
     network, node, engine
 ) -> None:
-    # An order of an owner that wasn't counted lets the next one go below it.
+    # After an order that isn't counted, the next owner could use a lower
+    # fencing number.
     for giver, seconds in ((1, 0.9), (3, 1.3), (2, 1.5)):
         own(network, node, engine, giver, seconds=seconds)
     fences = [given.fence for given in engine.accepted()]
@@ -196,7 +198,8 @@
 def test_an_engine_that_is_watched_is_asked_one_report_at_a_time(
     network, node, engine
 ) -> None:
-    # Reports that each ask for the next went on beside each other.
+    # Each report schedules the next one, so that several series of reports
+    # could run side by side.
     own(network, node, engine, 1, seconds=1.0)
     reports = engine.reports
     owned = take_up(node, engine, 2)
@@ -210,7 +213,8 @@
 def test_the_log_says_what_explained_a_rise_of_the_count(
     network, node, engine
 ) -> None:
-    # An order of another owner passed for one in doubt, and no line told so.
+    # An order of another owner was mistaken for an unresolved one of this
+    # owner, and the log didn't show it.
     lines = []
     log = types.SimpleNamespace(
         write=lambda event, **fields: lines.append((event, fields))
