--- a/src/boragefold/entry/adapter_orders.py
+++ b/src/boragefold/entry/adapter_orders.py
@@ -16,7 +16,7 @@
 from boragefold.timing import timers as timing
 
 # Longer than most responses take, shorter than callers wait.
-EVICTION_SECONDS = 5.0
+EVICTION_TIMEOUT_SECONDS = 5.0
 
 
 class AdapterOrders(orderer.Orderer):
@@ -49,11 +49,11 @@
         load = order.load
         desk = self._orders().desk(load.endpoint)
         if desk is None:
-            self._fail_later(load, "not_holder")
+            self._schedule_failure(load, "not_holder")
         elif load.evict is None:
-            self._load(desk, load)
+            self._start_load(desk, load)
         else:
-            self._evict(desk, load, load.evict)
+            self._start_eviction(desk, load, load.evict)
 
     def drain(self, drain: actions.Drain) -> None:
         """Evict an adapter as soon as no request uses it.
@@ -75,11 +75,11 @@
         key = (order.endpoint, order.adapter)
         done = isinstance(outcome, sending.Done)
         if order.kind == "evict" and key in self._evicting:
-            self._evicted(self._evicting.pop(key), done)
+            self._on_evicted(self._evicting.pop(key), done)
         elif order.kind == "load" and key in self._loading:
-            self._load_over(self._loading.pop(key), outcome)
+            self._on_load_outcome(self._loading.pop(key), outcome)
 
-    def _evict(
+    def _start_eviction(
         self,
         desk: order_desks.Desk,
         load: loads.Load,
@@ -91,23 +91,23 @@
         if isinstance(answer, sending.Refused):
             self._evicting.pop(key, None)
             if answer.reason == "not_loaded":
-                self._load(desk, load)
+                self._start_load(desk, load)
             else:
-                self._fail_later(load, answer.reason)
+                self._schedule_failure(load, answer.reason)
             return
         self._timers.once(
-            delay_seconds=EVICTION_SECONDS,
-            callback=lambda: self._give_up_eviction(load, evict),
+            delay_seconds=EVICTION_TIMEOUT_SECONDS,
+            callback=lambda: self._cancel_eviction(load, evict),
         )
 
-    def _evicted(self, load: loads.Load, done: bool) -> None:
+    def _on_evicted(self, load: loads.Load, done: bool) -> None:
         desk = self._orders().desk(load.endpoint)
         if done and desk is not None:
-            self._load(desk, load)
+            self._start_load(desk, load)
         else:
-            self._fail_later(load, "eviction_failed")
+            self._schedule_failure(load, "eviction_failed")
 
-    def _give_up_eviction(
+    def _cancel_eviction(
         self, load: loads.Load, evict: works.AdapterVersion
     ) -> None:
         key = (load.endpoint, evict)
@@ -120,32 +120,36 @@
         self._events.loaded(
             load.endpoint, evict, now_seconds=self._timers.now_seconds()
         )
-        self._fail_later(load, "eviction_timeout")
+        self._schedule_failure(load, "eviction_timeout")
 
-    def _load(self, desk: order_desks.Desk, load: loads.Load) -> None:
+    def _start_load(self, desk: order_desks.Desk, load: loads.Load) -> None:
         key = (load.endpoint, load.adapter)
         self._loading[key] = load
         answer = desk.load(load.adapter)
         if isinstance(answer, sending.Refused):
             self._loading.pop(key, None)
-            self._fail_later(load, answer.reason)
+            self._schedule_failure(load, answer.reason)
 
-    def _load_over(self, load: loads.Load, outcome: sending.Outcome) -> None:
+    def _on_load_outcome(
+        self, load: loads.Load, outcome: sending.Outcome
+    ) -> None:
         if not isinstance(outcome, sending.Done):
-            self._fail_later(load, getattr(outcome, "reason", outcome.tag))
+            self._schedule_failure(
+                load, getattr(outcome, "reason", outcome.tag)
+            )
             return
         self._events.load_ended(load, now_seconds=self._timers.now_seconds())
         self._loaded(load.endpoint, load.adapter)
         self._changed()
 
-    def _fail_later(self, load: loads.Load, reason: str) -> None:
+    def _schedule_failure(self, load: loads.Load, reason: str) -> None:
         # Deferred: the caller may be in the middle of giving orders.
         self._counters.add("loads_failed", reason)
         self._timers.once(
-            delay_seconds=0.0, callback=lambda: self._failed(load)
+            delay_seconds=0.0, callback=lambda: self._report_failure(load)
         )
 
-    def _failed(self, load: loads.Load) -> None:
+    def _report_failure(self, load: loads.Load) -> None:
         self._events.load_failed(load, now_seconds=self._timers.now_seconds())
         self._changed()
 
--- a/src/boragefold/entry/engine_answer.py
+++ b/src/boragefold/entry/engine_answer.py
@@ -87,11 +87,11 @@
         :param headers: the engine's headers
         """
         if status == STATUS_CONFLICT:
-            self._break("adapter_not_resident", may_have_run=False)
+            self._fail("adapter_not_resident", may_have_run=False)
         elif status == STATUS_UNAVAILABLE:
-            self._break("engine_busy", may_have_run=False)
+            self._fail("engine_busy", may_have_run=False)
         elif status != STATUS_OK:
-            self._break("engine_error", may_have_run=True)
+            self._fail("engine_error", may_have_run=True)
         else:
             self._reader.began(headers.get("engine-incarnation", ""))
 
@@ -104,14 +104,16 @@
             return
         *events, self._buffer = (self._buffer + data).split(EVENT_END)
         if len(self._buffer) > MAX_EVENT_BYTES:
-            self._break("malformed_answer", may_have_run=True)
+            self._fail("malformed_answer", may_have_run=True)
             return
         texts: list[str] = []
-        fault = next(filter(None, (self._take(e, texts) for e in events)), "")
+        fault = next(
+            filter(None, (self._read_event(e, texts) for e in events)), ""
+        )
         if texts:
             self._reader.tokens(texts)
         if fault:
-            self._break(fault, may_have_run=True)
+            self._fail(fault, may_have_run=True)
 
     def end(self) -> None:
         """Complete the response if the terminator and the usage arrived."""
@@ -119,7 +121,7 @@
             return
         if not self._done or self._usage is None:
             # The connection was closed early: the response is truncated.
-            self._break("cut", may_have_run=True)
+            self._fail("cut", may_have_run=True)
             return
         self._ended = True
         self._reader.whole(self._usage)
@@ -130,9 +132,9 @@
         :param failure: the cause
         """
         if not self._ended:
-            self._break(failure.reason, may_have_run=failure.may_have_arrived)
+            self._fail(failure.reason, may_have_run=failure.may_have_arrived)
 
-    def _take(self, event: bytes, texts: list[str]) -> str:
+    def _read_event(self, event: bytes, texts: list[str]) -> str:
         payload = event.removeprefix(EVENT_PREFIX)
         if payload == DONE_PAYLOAD:
             self._done = True
@@ -144,11 +146,11 @@
         if decoded.usage is not None:
             self._usage = decoded.usage
             return ""
-        return self._take_token(decoded, texts)
+        return self._read_token(decoded, texts)
 
-    def _take_token(self, event: chat.EngineEvent, texts: list[str]) -> str:
-        named = (event.adapter, event.version)
-        if named != (self._needs.adapter, self._needs.version):
+    def _read_token(self, event: chat.EngineEvent, texts: list[str]) -> str:
+        received = (event.adapter, event.version)
+        if received != (self._needs.adapter, self._needs.version):
             return "wrong_adapter"
         if event.index != self._next_token:
             return "crossed"
@@ -156,7 +158,7 @@
         texts.append(event.choices[0]["delta"]["content"])
         return ""
 
-    def _break(self, reason: str, *, may_have_run: bool) -> None:
+    def _fail(self, reason: str, *, may_have_run: bool) -> None:
         self._ended = True
         if self.pending is not None:
             self.pending.cancel()
--- a/src/boragefold/entry/engine_asker.py
+++ b/src/boragefold/entry/engine_asker.py
@@ -25,7 +25,7 @@
 from boragefold.timing import timers as timing
 
 # Repeating is safe: the owner identifies a request by its id.
-REPEAT_ASK_SECONDS = 0.5
+RETRY_SECONDS = 0.5
 # A connection that looks open may be dead; both sides reconnect after this
 # many repetitions without a reply.
 RECONNECT_UNANSWERED = 2
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Asked:
+class PendingRequest:
     """A request to an owner that has no reply yet."""
 
     asker: Asker
@@ -103,12 +103,12 @@
         self._fleet = fleet
         self._timers = timers
         self._health = health
-        self._asked: dict[str, Asked] = {}
+        self._pending: dict[str, PendingRequest] = {}
         self._granted: dict[str, ids.InstanceId] = {}
         self._engine_views = engine_views.EngineViews()
-        link.subscribe(messages.EngineGrant, self._take_grant)
-        link.subscribe(messages.EngineRefusal, self._take_refusal)
-        link.subscribe(messages.EngineWaits, self._take_waits)
+        link.subscribe(messages.EngineGrant, self._on_grant)
+        link.subscribe(messages.EngineRefusal, self._on_refusal)
+        link.subscribe(messages.EngineWaits, self._on_waits)
 
     def ranked(
         self,
@@ -140,15 +140,15 @@
                 callback=lambda: asker.granted(engine, 0, engine_asks.Waits()),
             )
             return
-        asked = Asked(
+        pending = PendingRequest(
             asker=asker,
             ask=ask,
             engine=engine,
             owner=owner,
             sent_at_seconds=self._timers.now_seconds(),
         )
-        self._asked[ask.request_id] = asked
-        self._send(asked)
+        self._pending[ask.request_id] = pending
+        self._send(pending)
 
     def started(self, request_id: str, engine: str) -> None:
         """Tell an engine's owner that a response has started.
@@ -171,10 +171,10 @@
         :param not_held: whether the engine rejected it since its adapter
             isn't loaded
         """
-        asked = self._asked.pop(request_id, None)
+        pending = self._pending.pop(request_id, None)
         owner = self._granted.pop(request_id, None)
-        if owner is None and asked is not None:
-            owner = asked.owner
+        if owner is None and pending is not None:
+            owner = pending.owner
         if owner is not None:
             body = messages.RunEnded(request_id, engine, not_held)
             self._link.send(to=owner, body=body)
@@ -182,36 +182,36 @@
     def look_after(self) -> None:
         """Repeat unanswered requests, and refuse those of former owners."""
         now_seconds = self._timers.now_seconds()
-        for request_id, asked in list(self._asked.items()):
-            if self._ownership.owner(asked.engine) != asked.owner:
-                del self._asked[request_id]
-                asked.asker.turned_away(
-                    asked.engine, "owner_changed", 0.0, 0.0
+        for request_id, pending in list(self._pending.items()):
+            if self._ownership.owner(pending.engine) != pending.owner:
+                del self._pending[request_id]
+                pending.asker.turned_away(
+                    pending.engine, "owner_changed", 0.0, 0.0
                 )
-            elif now_seconds - asked.sent_at_seconds > REPEAT_ASK_SECONDS:
-                asked.sent_at_seconds = now_seconds
-                asked.unanswered += 1
-                if asked.unanswered == RECONNECT_UNANSWERED:
-                    self._link.reconnect(asked.owner)
-                self._send(asked)
+            elif now_seconds - pending.sent_at_seconds > RETRY_SECONDS:
+                pending.sent_at_seconds = now_seconds
+                pending.unanswered += 1
+                if pending.unanswered == RECONNECT_UNANSWERED:
+                    self._link.reconnect(pending.owner)
+                self._send(pending)
 
     def _views(
         self, service: str, own: tuple[messages.EngineStatus, ...]
     ) -> Iterator[engine_choice.EngineView]:
-        told = self._told()
-        told.update((status.name, status) for status in own)
+        statuses = self._reported_statuses()
+        statuses.update((status.name, status) for status in own)
         data_centre = self._link.self_id.data_centre
         for record in self._fleet.endpoints_of(service):
             near = record.data_centre == data_centre
             health = self._health(record.name)
-            status = told.get(record.name)
+            status = statuses.get(record.name)
             if status is not None and not status.answers:
                 continue
             yield self._engine_views.see(
                 record, status, near=near, health=health
             )
 
-    def _told(self) -> dict[str, messages.EngineStatus]:
+    def _reported_statuses(self) -> dict[str, messages.EngineStatus]:
         return {
             status.name: status
             for member in self._members.reachable()
@@ -220,12 +220,12 @@
             if self._ownership.owner(status.name) == member.instance
         }
 
-    def _send(self, asked: Asked) -> None:
+    def _send(self, pending: PendingRequest) -> None:
         now_seconds = self._timers.now_seconds()
-        ask = asked.ask
+        ask = pending.ask
         body = messages.EngineAsk(
             request_id=ask.request_id,
-            engine=asked.engine,
+            engine=pending.engine,
             model=ask.needs.model,
             adapter=ask.needs.adapter,
             prompt_tokens=ask.prompt_tokens,
@@ -234,17 +234,17 @@
             on_time_in_seconds=ask.on_time_by_seconds - now_seconds,
             give_up_in_seconds=ask.give_up_at_seconds - now_seconds,
             ends_in_seconds=ask.ends_by_seconds - now_seconds,
-            unanswered=asked.unanswered,
+            unanswered=pending.unanswered,
             eager=ask.eager,
             event_gap_seconds=ask.event_gap_seconds,
         )
-        self._link.send(to=asked.owner, body=body)
+        self._link.send(to=pending.owner, body=body)
 
-    def _take_grant(
+    def _on_grant(
         self, sender: ids.InstanceId, body: messages.EngineGrant
     ) -> None:
-        asked = self._answered(sender, body.request_id, body.engine)
-        if asked is None:
+        pending = self._pop_pending(sender, body.request_id, body.engine)
+        if pending is None:
             if body.request_id not in self._granted:
                 # The request was cancelled in the meantime.
                 ended = messages.RunEnded(body.request_id, body.engine, False)
@@ -256,34 +256,38 @@
             load_seconds=body.load_wait_seconds,
             turn_seconds=body.turn_wait_seconds,
         )
-        asked.asker.granted(body.engine, body.version, waits)
+        pending.asker.granted(body.engine, body.version, waits)
 
-    def _take_refusal(
+    def _on_refusal(
         self, sender: ids.InstanceId, body: messages.EngineRefusal
     ) -> None:
-        asked = self._answered(sender, body.request_id, body.engine)
-        if asked is not None:
-            asked.asker.turned_away(
+        pending = self._pop_pending(sender, body.request_id, body.engine)
+        if pending is not None:
+            pending.asker.turned_away(
                 body.engine,
                 body.reason,
                 body.retry_after_seconds,
                 body.wait_seconds,
             )
 
-    def _take_waits(
+    def _on_waits(
         self, sender: ids.InstanceId, body: messages.EngineWaits
     ) -> None:
-        asked = self._asked.get(body.request_id)
-        if asked is not None and asked.owner == sender:
-            asked.unanswered = 0
+        pending = self._pending.get(body.request_id)
+        if pending is not None and pending.owner == sender:
+            pending.unanswered = 0
 
-    def _answered(
+    def _pop_pending(
         self, sender: ids.InstanceId, request_id: str, engine: str
-    ) -> Asked | None:
-        asked = self._asked.get(request_id)
-        if asked is None or asked.engine != engine or asked.owner != sender:
+    ) -> PendingRequest | None:
+        pending = self._pending.get(request_id)
+        if (
+            pending is None
+            or pending.engine != engine
+            or pending.owner != sender
+        ):
             return None
-        return self._asked.pop(request_id)
+        return self._pending.pop(request_id)
 
 
 __all__ = [
--- a/src/boragefold/entry/engine_forwarding.py
+++ b/src/boragefold/entry/engine_forwarding.py
@@ -19,18 +19,18 @@
 
 # Owners asked in turn, each at the cost of a round trip, before the request
 # is queued where the wait is shortest.
-EAGER_ASKS = 3
+MAX_FAIL_FAST_TRIES = 3
 # Limit for all owners asked, when owners change or queues are too long.
-MAX_ASKS = 5
+MAX_TRIES = 5
 # Retry interval while no engine is available.
-LOOK_AGAIN_SECONDS = 0.1
+RETRY_SECONDS = 0.1
 # Share of the response time that may pass without an available engine.
-LOOKING_SHARE = 0.5
+MAX_RETRY_SHARE = 0.5
 # An engine that is about to finish a load is asked again, which saves a load
 # of the same adapter on another engine.
-MAX_NOT_HELD = 3
+MAX_NOT_LOADED = 3
 # A request may still run on an engine this long after the caller's deadline.
-ENDS_SLACK_SECONDS = 1.0
+END_MARGIN_SECONDS = 1.0
 
 
 class EngineForwarding(forwarding.Forwarding, engine_asker.Asker):
@@ -52,36 +52,40 @@
         self._owner = owner
         self._needs = needs
         self._self_id = self_id
-        self._asked: list[str] = []
-        self._waits: dict[str, float] = {}
-        self._not_held = 0
+        self._tried: list[str] = []
+        self._queue_seconds: dict[str, float] = {}
+        self._not_loaded_count = 0
         self._engine = ""
-        self._owner_waits = engine_asks.Waits()
+        self._queue_times = engine_asks.Waits()
         self._retry_after_seconds = forwarding.RETRY_AFTER_SECONDS
-        self._refused_for = "no_engine"
+        self._refusal_reason = "no_engine"
 
     def begin(self) -> None:
         """Ask for the best available engine, or refuse the request."""
-        self._let_go()
+        self._release_engine()
         if self.over:
             return
         if not self.still_allowed():
             self.refuse(refusals.NO_KEY, "key_withdrawn")
             return
-        engine = self._next_eager()
+        engine = self._next_engine()
         if engine is not None:
-            self._ask(engine, eager=self._can_be_on_time())
-        elif self._waits:
-            shortest = min(self._waits, key=self._waits.__getitem__)
-            del self._waits[shortest]
-            self._ask(shortest, eager=False)
-        elif self._asked or not self._may_look_again():
+            self._request_engine(engine, eager=self._can_be_on_time())
+        elif self._queue_seconds:
+            shortest = min(
+                self._queue_seconds, key=self._queue_seconds.__getitem__
+            )
+            del self._queue_seconds[shortest]
+            self._request_engine(shortest, eager=False)
+        elif self._tried or not self._may_retry():
             self.refuse(
-                refusals.NOT_RUN, self._refused_for, self._retry_after_seconds
+                refusals.NOT_RUN,
+                self._refusal_reason,
+                self._retry_after_seconds,
             )
         else:
             self.shared.timers.once(
-                delay_seconds=LOOK_AGAIN_SECONDS, callback=self.begin
+                delay_seconds=RETRY_SECONDS, callback=self.begin
             )
 
     def has_untried(self) -> bool:
@@ -103,14 +107,14 @@
         """
         if self.over:
             return
-        self._owner_waits = waits
+        self._queue_times = waits
         record = self.shared.fleet.endpoint(engine)
         if record is None or record.leaving:
             self.begin()
         elif not self.still_allowed():
             self.refuse(refusals.NO_KEY, "key_withdrawn")
         else:
-            self._waits.clear()
+            self._queue_seconds.clear()
             self.send(record, version)
 
     def turned_away(
@@ -139,10 +143,10 @@
             wait_seconds=round(wait_seconds, 3),
         )
         if reason == engine_schedule.BUSY:
-            self._waits[engine] = wait_seconds
+            self._queue_seconds[engine] = wait_seconds
             self.begin()
             return
-        self._refused_for = reason
+        self._refusal_reason = reason
         if retry_after_seconds:
             self._retry_after_seconds = retry_after_seconds
         self.begin()
@@ -152,10 +156,10 @@
 
         :return: seconds and counts, by name
         """
-        waits = self._owner_waits
+        waits = self._queue_times
         return {
             "prompt_tokens": self.admitted.request.prompt_tokens,
-            "asks": len(self._asked),
+            "asks": len(self._tried),
             "place_wait_seconds": round(waits.place_seconds, 4),
             "load_wait_seconds": round(waits.load_seconds, 4),
             "turn_wait_seconds": round(waits.turn_seconds, 4),
@@ -180,20 +184,20 @@
             status=facts.status,
             not_held=facts.not_held,
         )
-        self._let_go(not_held=facts.not_held or facts.status == 503)
+        self._release_engine(not_held=facts.not_held or facts.status == 503)
         if facts.not_held:
-            self._not_held += 1
-            if self._not_held < MAX_NOT_HELD:
-                self._asked.remove(endpoint)
+            self._not_loaded_count += 1
+            if self._not_loaded_count < MAX_NOT_LOADED:
+                self._tried.remove(endpoint)
         if self.may_repeat(endpoint, may_have_run=False):
             self.begin()
         else:
             reason = "adapter_missing" if facts.not_held else "engine_full"
             self.refuse(refusals.NOT_RUN, reason)
 
-    def _next_eager(self) -> str | None:
-        eager_left = len(self._waits) < EAGER_ASKS
-        if not eager_left or len(self._asked) >= MAX_ASKS:
+    def _next_engine(self) -> str | None:
+        may_fail_fast = len(self._queue_seconds) < MAX_FAIL_FAST_TRIES
+        if not may_fail_fast or len(self._tried) >= MAX_TRIES:
             return None
         ranked = self._asker.ranked(
             self.admitted.service.name, self._needs, self._owner.statuses()
@@ -202,25 +206,27 @@
             (
                 engine.name
                 for engine in ranked
-                if engine.name not in self._asked
+                if engine.name not in self._tried
                 and self.may_go_to(engine.name)
             ),
             None,
         )
 
-    def _ask(self, engine: str, *, eager: bool) -> None:
+    def _request_engine(self, engine: str, *, eager: bool) -> None:
         self._engine = engine
-        self._asked.append(engine)
-        self._asker.ask(self, self._make_ask(eager), engine)
+        self._tried.append(engine)
+        self._asker.ask(self, self._make_request(eager), engine)
 
-    def _on_time_by_seconds(self) -> float:
+    def _start_deadline_seconds(self) -> float:
         admitted = self.admitted
         return admitted.arrived_at_seconds + admitted.route.target_seconds
 
     def _can_be_on_time(self) -> bool:
-        return self.shared.timers.now_seconds() < self._on_time_by_seconds()
+        return (
+            self.shared.timers.now_seconds() < self._start_deadline_seconds()
+        )
 
-    def _make_ask(self, eager: bool) -> engine_asks.Ask:
+    def _make_request(self, eager: bool) -> engine_asks.Ask:
         admitted = self.admitted
         workspace = admitted.workspace
         priority = admitted.route.priority
@@ -233,35 +239,35 @@
             prompt_tokens=admitted.request.prompt_tokens,
             output_tokens=admitted.request.output_tokens,
             priority=priority,
-            on_time_by_seconds=self._on_time_by_seconds(),
-            give_up_at_seconds=self._give_up_at_seconds(),
-            ends_by_seconds=self.ends_at_seconds + ENDS_SLACK_SECONDS,
+            on_time_by_seconds=self._start_deadline_seconds(),
+            give_up_at_seconds=self._queue_deadline_seconds(),
+            ends_by_seconds=self.ends_at_seconds + END_MARGIN_SECONDS,
             eager=eager,
             event_gap_seconds=admitted.route.event_gap_seconds,
         )
 
-    def _give_up_at_seconds(self) -> float:
+    def _queue_deadline_seconds(self) -> float:
         # The caller has left by then: a later start is useless.
         admitted = self.admitted
-        patience_seconds = self.shared.dialect.first_event_seconds(
+        max_wait_seconds = self.shared.dialect.first_event_seconds(
             admitted.route
         )
         first_event_at_seconds = (
             admitted.arrived_at_seconds
-            + patience_seconds
+            + max_wait_seconds
             - answer_deadline.MARGIN_SECONDS
         )
         return min(self.ends_at_seconds, first_event_at_seconds)
 
-    def _may_look_again(self) -> bool:
+    def _may_retry(self) -> bool:
         now_seconds = self.shared.timers.now_seconds()
         waited_seconds = now_seconds - self.admitted.arrived_at_seconds
-        whole_seconds = (
-            self._give_up_at_seconds() - self.admitted.arrived_at_seconds
+        total_seconds = (
+            self._queue_deadline_seconds() - self.admitted.arrived_at_seconds
         )
-        return waited_seconds < LOOKING_SHARE * whole_seconds
+        return waited_seconds < MAX_RETRY_SHARE * total_seconds
 
-    def _let_go(self, *, not_held: bool = False) -> None:
+    def _release_engine(self, *, not_held: bool = False) -> None:
         if not self._engine:
             return
         engine, self._engine = self._engine, ""
@@ -270,7 +276,7 @@
         )
 
     def _ended(self) -> None:
-        self._let_go()
+        self._release_engine()
 
 
 __all__ = [
--- a/src/boragefold/entry/engine_orders.py
+++ b/src/boragefold/entry/engine_orders.py
@@ -14,7 +14,7 @@
 STATUS_OK = 200
 OLD_FENCING = "old_fencing"
 # The response counts as lost after this time.
-ANSWER_SECONDS = 10.0
+RESPONSE_TIMEOUT_SECONDS = 10.0
 
 
 class OrderAnswer(msgspec.Struct):
@@ -66,16 +66,16 @@
             headers=[answers.JSON],
             body=msgspec.json.encode(body),
             fresh=True,
-            progress_seconds=ANSWER_SECONDS,
+            progress_seconds=RESPONSE_TIMEOUT_SECONDS,
             may_send=still_ours,
         )
         sink = whole_answer.WholeAnswerSink(
-            done=lambda answer: finished(_read(answer))
+            done=lambda answer: finished(_parse_outcome(answer))
         )
         self._client.send(call, sink)
 
 
-def _read(
+def _parse_outcome(
     answer: whole_answer.WholeAnswer | http_client.Failure,
 ) -> sending.Outcome:
     if isinstance(answer, http_client.Failure):
@@ -83,14 +83,14 @@
             return sending.NoAnswer(reason=answer.reason)
         return sending.Failed(reason=answer.reason)
     try:
-        said = _DECODER.decode(answer.body)
+        response = _DECODER.decode(answer.body)
     except msgspec.MsgspecError:
         return sending.NoAnswer(reason="malformed_answer")
     if answer.status == STATUS_OK:
         return sending.Done()
-    if said.reason == OLD_FENCING:
-        return sending.Outdated(highest=said.fencing)
-    return sending.Failed(reason=said.reason)
+    if response.reason == OLD_FENCING:
+        return sending.Outdated(highest=response.fencing)
+    return sending.Failed(reason=response.reason)
 
 
 _DECODER = msgspec.json.Decoder(OrderAnswer)
--- a/src/boragefold/entry/engine_owner.py
+++ b/src/boragefold/entry/engine_owner.py
@@ -32,7 +32,7 @@
 # An instance that gave up an engine leaves it to others for this time.
 AVOID_SECONDS = 8.0
 # Smaller differences change no choice but would be sent with each message.
-TOLD_STEP_SECONDS = 0.02
+STATUS_STEP_SECONDS = 0.02
 
 
 class EngineOwner:
@@ -95,10 +95,10 @@
         # must detect that others gave it orders in the meantime.
         self._turns: dict[str, order_turns.OrderTurns] = {}
         self._avoided_until_seconds: dict[str, float] = {}
-        self._due: timing.Subscription | None = None
-        link.subscribe(messages.EngineAsk, self._take_ask)
-        link.subscribe(messages.RunStarted, self._take_started)
-        link.subscribe(messages.RunEnded, self._take_ended)
+        self._next_run: timing.Subscription | None = None
+        link.subscribe(messages.EngineAsk, self._on_ask)
+        link.subscribe(messages.RunStarted, self._on_started)
+        link.subscribe(messages.RunEnded, self._on_ended)
 
     def hold(self, records: Iterable[deployment.EndpointRecord]) -> None:
         """Schedule exactly these engines from now on.
@@ -115,7 +115,7 @@
         for name, record in wanted.items():
             owned = self._owned.get(name)
             if owned is None:
-                self._take_up(record)
+                self._start_owning(record)
             elif owned.record != record:
                 owned.renew(record)
         self.run()
@@ -168,28 +168,28 @@
                 lambda ask: ask.sender == peer, now_seconds=now_seconds
             )
             if withdrawn:
-                self._run_one(name)
+                self._run_engine(name)
 
     def run(self) -> None:
         """Carry out the current decisions of all schedules."""
         for name in list(self._owned):
             self._advance(name)
-        self._set_due()
+        self._schedule_run()
 
-    def _run_one(self, name: str) -> None:
+    def _run_engine(self, name: str) -> None:
         # Only one engine is advanced: if each message advanced all engines,
         # an instance that owns all of them because the others stopped would
         # do nothing else, and its callers would leave before their requests
         # are read.
         self._advance(name)
-        self._set_due()
+        self._schedule_run()
 
     def _advance(self, name: str) -> None:
         engine = self._owned.get(name)
         if engine is None:
             return
         for action in engine.advance():
-            self._answer(name, action)
+            self._reply(name, action)
 
     def _log_given_up(self, record: deployment.EndpointRecord) -> None:
         change = self._owner_change(record)
@@ -215,7 +215,7 @@
             instances_known=change.instances_known,
         )
 
-    def _take_up(self, record: deployment.EndpointRecord) -> None:
+    def _start_owning(self, record: deployment.EndpointRecord) -> None:
         engine = self._fleet.engine_of(record)
         if engine is None:
             return
@@ -231,7 +231,7 @@
         places = engine_places.Places(
             engine=engine,
             newest=self._fleet.versions,
-            loads_elsewhere=lambda: self._loads_beside(record.name),
+            loads_elsewhere=lambda: self._loads_on_other_engines(record.name),
             engines=lambda: self._engines,
             giver=self._giver,
         )
@@ -244,17 +244,17 @@
             lease=self._leases.lease(
                 record.name,
                 record.data_centre,
-                changed=lambda: self._run_one(record.name),
+                changed=lambda: self._run_engine(record.name),
             ),
             dialect=self._dialect,
             client=self._client,
             timers=self._timers,
             counters=self._counters,
             log=self._log,
-            changed=lambda: self._run_one(record.name),
+            changed=lambda: self._run_engine(record.name),
         )
 
-    def _loads_beside(self, name: str) -> int:
+    def _loads_on_other_engines(self, name: str) -> int:
         now_seconds = self._timers.now_seconds()
         own = sum(
             engine.schedule.places.loading(now_seconds=now_seconds)
@@ -263,35 +263,35 @@
         )
         return own + self._loads_elsewhere
 
-    def _take_ask(
+    def _on_ask(
         self, sender: ids.InstanceId, body: messages.EngineAsk
     ) -> None:
-        ask = self._ask(sender, body)
+        ask = self._parse_ask(sender, body)
         if body.unanswered == engine_asker.RECONNECT_UNANSWERED:
             # The reply didn't arrive: the connection only looks open.
             self._link.reconnect(sender)
         owned = self._owned.get(body.engine)
         if owned is None:
-            self._answer(
+            self._reply(
                 body.engine, engine_asks.TurnAway(ask, "not_owner", 0.0)
             )
             return
         granted = owned.schedule.granted(ask.request_id)
         if granted is not None:
             # The request is repeated since the reply was lost.
-            self._answer(body.engine, granted)
+            self._reply(body.engine, granted)
             return
         refusal = owned.schedule.offer(
             ask, now_seconds=self._timers.now_seconds()
         )
         if refusal is not None:
-            self._answer(body.engine, refusal)
+            self._reply(body.engine, refusal)
         elif body.unanswered:
             waits = messages.EngineWaits(ask.request_id, body.engine)
             self._link.send(to=sender, body=waits)
-        self._run_one(body.engine)
+        self._run_engine(body.engine)
 
-    def _take_started(
+    def _on_started(
         self, sender: ids.InstanceId, body: messages.RunStarted
     ) -> None:
         owned = self._owned.get(body.engine)
@@ -299,9 +299,9 @@
             owned.schedule.started(
                 body.request_id, now_seconds=self._timers.now_seconds()
             )
-            self._run_one(body.engine)
+            self._run_engine(body.engine)
 
-    def _take_ended(
+    def _on_ended(
         self, sender: ids.InstanceId, body: messages.RunEnded
     ) -> None:
         owned = self._owned.get(body.engine)
@@ -313,9 +313,9 @@
         )
         if body.not_held and granted is not None:
             owned.refused(granted.ask.needs)
-        self._run_one(body.engine)
+        self._run_engine(body.engine)
 
-    def _answer(self, engine: str, action: engine_asks.Action) -> None:
+    def _reply(self, engine: str, action: engine_asks.Action) -> None:
         if isinstance(action, engine_asks.Grant):
             self._link.send(
                 to=action.ask.sender,
@@ -354,7 +354,7 @@
             **state,
         )
 
-    def _ask(
+    def _parse_ask(
         self, sender: ids.InstanceId, body: messages.EngineAsk
     ) -> engine_asks.Ask:
         now_seconds = self._timers.now_seconds()
@@ -372,18 +372,18 @@
             event_gap_seconds=body.event_gap_seconds,
         )
 
-    def _set_due(self) -> None:
+    def _schedule_run(self) -> None:
         now_seconds = self._timers.now_seconds()
-        dues = (
+        due_times = (
             engine.schedule.next_due_seconds(now_seconds=now_seconds)
             for engine in self._owned.values()
         )
         due_seconds = min(
-            (due for due in dues if due is not None), default=None
+            (due for due in due_times if due is not None), default=None
         )
-        if self._due is not None:
-            self._due.cancel()
-        self._due = (
+        if self._next_run is not None:
+            self._next_run.cancel()
+        self._next_run = (
             None
             if due_seconds is None
             else self._timers.once(
@@ -393,9 +393,9 @@
         )
 
 
-def _stepped(seconds: float) -> float:
-    steps = math.ceil(round(seconds / TOLD_STEP_SECONDS, 6))
-    return round(steps * TOLD_STEP_SECONDS, 3)
+def _round_up(seconds: float) -> float:
+    steps = math.ceil(round(seconds / STATUS_STEP_SECONDS, 6))
+    return round(steps * STATUS_STEP_SECONDS, 3)
 
 
 def _status(
@@ -406,10 +406,10 @@
         name=name,
         models=places.models(),
         adapters=tuple((key.model, key.adapter) for key in places.held()),
-        backlog_seconds=_stepped(schedule.backlog_seconds()),
-        place_wait_seconds=_stepped(schedule.place_wait_seconds()),
+        backlog_seconds=_round_up(schedule.backlog_seconds()),
+        place_wait_seconds=_round_up(schedule.place_wait_seconds()),
         loading=places.loading(now_seconds=now_seconds),
-        orders_in_seconds=_stepped(places.orders_in_seconds),
+        orders_in_seconds=_round_up(places.orders_in_seconds),
         copies=engine_copies.digests(places.copies()),
     )
 
--- a/src/boragefold/entry/engine_views.py
+++ b/src/boragefold/entry/engine_views.py
@@ -10,25 +10,25 @@
 from boragefold.state import deployment
 
 # Sets of adapters change less often than requests arrive.
-REMEMBERED_SETS = 256
-MAX_SEEN = 4_096
+CACHED_SETS = 256
+MAX_CACHED_VIEWS = 4_096
 
 
-class Seen(NamedTuple):
+class CachedView(NamedTuple):
     """A view, and the record or status that it was built from."""
 
     source: messages.EngineStatus | deployment.EndpointRecord
     view: engine_choice.EngineView
 
 
-@functools.lru_cache(maxsize=REMEMBERED_SETS)
+@functools.lru_cache(maxsize=CACHED_SETS)
 def _keys(
     pairs: tuple[tuple[str, str], ...],
 ) -> frozenset[deployment.AdapterKey]:
     return frozenset(deployment.AdapterKey(*pair) for pair in pairs)
 
 
-@functools.lru_cache(maxsize=REMEMBERED_SETS)
+@functools.lru_cache(maxsize=CACHED_SETS)
 def _copies(digests: tuple[int, ...]) -> frozenset[int]:
     return frozenset(digests)
 
@@ -37,7 +37,7 @@
     """Keeps a view of each engine, and rebuilds it when the engine changes."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, Seen] = {}
+        self._cached: dict[str, CachedView] = {}
 
     def see(
         self,
@@ -56,27 +56,27 @@
         :return: what the ranking needs to know of it
         """
         source = record if status is None else status
-        seen = self._seen.get(record.name)
+        cached = self._cached.get(record.name)
         if (
-            seen is not None
-            and seen.source is source
-            and seen.view.near == near
-            and seen.view.health == health
+            cached is not None
+            and cached.source is source
+            and cached.view.near == near
+            and cached.view.health == health
         ):
-            return seen.view
+            return cached.view
         view = (
             _published_view(record, near, health)
             if status is None
-            else _told_view(status, near, health)
+            else _status_view(status, near, health)
         )
-        if len(self._seen) >= MAX_SEEN:
+        if len(self._cached) >= MAX_CACHED_VIEWS:
             # Restarted engines have new names; the old ones are never removed.
-            self._seen.clear()
-        self._seen[record.name] = Seen(source, view)
+            self._cached.clear()
+        self._cached[record.name] = CachedView(source, view)
         return view
 
 
-def _told_view(
+def _status_view(
     status: messages.EngineStatus, near: bool, health: float
 ) -> engine_choice.EngineView:
     return engine_choice.EngineView(
--- a/src/boragefold/entry/load_reports.py
+++ b/src/boragefold/entry/load_reports.py
@@ -19,16 +19,16 @@
 from boragefold.transport import whole_answer
 
 # A report is useful for about a second.
-PERIOD_SECONDS = 0.5
+POLL_PERIOD_SECONDS = 0.5
 # Bounds the CPU time, however many endpoints there are.
-MAX_ASKS_PER_SECOND = 20.0
+MAX_POLLS_PER_SECOND = 20.0
 # A poll without progress for this long has failed: the endpoint is slow.
-SILENCE_SECONDS = 1.0
+POLL_TIMEOUT_SECONDS = 1.0
 STATUS_OK = 200
 # Assumed round-trip times; none are published.
-NEAR_SECONDS = 0.0005
+SAME_DATA_CENTRE_SECONDS = 0.0005
 SAME_REGION_SECONDS = 0.003
-FAR_SECONDS = 0.08
+OTHER_REGION_SECONDS = 0.08
 
 
 class EngineReport(msgspec.Struct):
@@ -46,7 +46,7 @@
 
 # The endpoint, its report, the running requests by adapter, and a time no
 # later than that of the count.
-Sampled = Callable[
+SampleCallback = Callable[
     [str, EngineReport, dict[works.AdapterVersion, int], float], None
 ]
 
@@ -64,7 +64,7 @@
         client: http_client.HttpClient,
         timers: timing.TimerService,
         counters: telemetry.Counters,
-        sampled: Sampled,
+        sampled: SampleCallback,
         changed: Callable[[], None],
     ) -> None:
         self._catalogue = catalogue
@@ -78,11 +78,11 @@
         self._changed = changed
         self._records: dict[str, published.EndpointRecord] = {}
         self._specs: dict[str, endpoint_spec.EndpointSpec] = {}
-        self._turn: list[str] = []
+        self._unpolled: list[str] = []
 
     def start(self) -> None:
         """Start polling."""
-        self._ask_next()
+        self._poll_next()
 
     def address_of(self, endpoint: str) -> str | None:
         """Look up the address of an endpoint.
@@ -138,14 +138,14 @@
             qualified(record): record._replace(name=qualified(record))
             for record in self._catalogue.endpoints
         }
-        before = self._specs
+        old_specs = self._specs
         self._specs = {
             name: self._spec(record) for name, record in self._records.items()
         }
-        for name in before.keys() - self._specs.keys():
+        for name in old_specs.keys() - self._specs.keys():
             self._events.endpoint_gone(name)
         for name, spec in self._specs.items():
-            if before.get(name) != spec:
+            if old_specs.get(name) != spec:
                 self._endpoints.put(spec)
         self._changed()
 
@@ -165,29 +165,29 @@
 
     def _distance_seconds(self, data_centre: str) -> float:
         if data_centre == self._data_centre:
-            return NEAR_SECONDS
+            return SAME_DATA_CENTRE_SECONDS
         known = self._catalogue.data_centres()
         here, there = known.get(self._data_centre), known.get(data_centre)
         if here and there and here["region"] == there["region"]:
             return SAME_REGION_SECONDS
-        return FAR_SECONDS
-
-    def _ask_next(self) -> None:
-        if not self._turn:
-            self._turn = list(self._records)
-        if self._turn:
-            self._ask(self._turn.pop())
-        wait = PERIOD_SECONDS / max(1, len(self._records))
+        return OTHER_REGION_SECONDS
+
+    def _poll_next(self) -> None:
+        if not self._unpolled:
+            self._unpolled = list(self._records)
+        if self._unpolled:
+            self._poll(self._unpolled.pop())
+        wait_seconds = POLL_PERIOD_SECONDS / max(1, len(self._records))
         self._timers.once(
-            delay_seconds=max(wait, 1 / MAX_ASKS_PER_SECOND),
-            callback=self._ask_next,
+            delay_seconds=max(wait_seconds, 1 / MAX_POLLS_PER_SECOND),
+            callback=self._poll_next,
         )
 
-    def _ask(self, name: str) -> None:
+    def _poll(self, name: str) -> None:
         record = self._records.get(name)
         if record is None:
             return
-        asked_at_seconds = self._timers.now_seconds()
+        polled_at_seconds = self._timers.now_seconds()
         call = http_client.Call(
             address=record.address,
             method="GET",
@@ -195,20 +195,20 @@
             headers=[],
             body=b"",
             fresh=False,
-            progress_seconds=SILENCE_SECONDS,
+            progress_seconds=POLL_TIMEOUT_SECONDS,
         )
 
         def done(
             answer: whole_answer.WholeAnswer | http_client.Failure,
         ) -> None:
-            self._answered(record, asked_at_seconds, answer)
+            self._on_response(record, polled_at_seconds, answer)
 
         self._client.send(call, whole_answer.WholeAnswerSink(done=done))
 
-    def _answered(
+    def _on_response(
         self,
         record: published.EndpointRecord,
-        asked_at_seconds: float,
+        polled_at_seconds: float,
         answer: whole_answer.WholeAnswer | http_client.Failure,
     ) -> None:
         if isinstance(answer, http_client.Failure):
@@ -223,7 +223,7 @@
             works.AdapterVersion(record.model, adapter, version): count
             for adapter, version, count in report.resident
         }
-        self._sampled(record.name, report, running, asked_at_seconds)
+        self._sampled(record.name, report, running, polled_at_seconds)
         self._events.report(
             endpoint_spec.LoadReport(
                 endpoint=record.name,
@@ -232,7 +232,7 @@
                 waiting=report.waiting,
                 # It was measured after the request was sent. Requests of this
                 # instance may be counted twice, which overestimates the load.
-                measured_at_seconds=asked_at_seconds,
+                measured_at_seconds=polled_at_seconds,
                 resident=tuple(running),
             )
         )
--- a/src/boragefold/entry/owned_engine.py
+++ b/src/boragefold/entry/owned_engine.py
@@ -19,20 +19,20 @@
 from boragefold.transport import http_client
 from boragefold.transport import whole_answer
 
-# Pause before the next request for a report after a failed one.
-REPORT_PAUSE_SECONDS = 0.25
+# Interval of report requests after a failure, or while the count is unsettled.
+REPORT_INTERVAL_SECONDS = 0.25
 # A report is about this old when it arrives, so asking sooner yields nothing
 # new. Without a limit, an overdue load would request one on each event.
-REPORT_SPACING_SECONDS = 0.1
+MIN_REPORT_INTERVAL_SECONDS = 0.1
 # Unresolved orders named in one log line.
 MAX_LOGGED_DOUBTS = 3
 # Orders without the lease need this time of ownership first.
-WATCH_SECONDS = 2.0
+MIN_OWNED_SECONDS = 2.0
 # Outcome of an order without a response, which may have arrived.
 UNKNOWN = "unknown"
 
 
-class GivenOrder(NamedTuple):
+class SentOrder(NamedTuple):
     """An order in flight, and the state that it was based on."""
 
     order: engine_asks.Order
@@ -42,7 +42,7 @@
     report_age_seconds: float
     in_doubt: int
     leased: bool
-    given_at_seconds: float
+    order_sent_at_seconds: float
 
 
 class OwnedEngine:
@@ -66,25 +66,25 @@
         self.schedule = schedule
         self._turns = turns
         self._lease = lease
-        self._ordering = False
+        self._order_pending = False
         self._dialect = dialect
         self._client = client
         self._timers = timers
         self._counters = counters
         self._log = log
         self._changed = changed
-        self._asking = False
+        self._report_pending = False
         self._asked_report_at_seconds = -math.inf
         # When the newest known report was requested.
-        self._told_as_of_seconds = -math.inf
+        self._reported_as_of_seconds = -math.inf
         self._next_report: timing.Subscription | None = None
         self._next_report_at_seconds = math.inf
         self._stopped = False
         # Whether the last request for a report succeeded. An owner that is
         # cut off believes that it owns engines which it can't reach.
         self.answers = False
-        self._taken_up_at_seconds = timers.now_seconds()
-        self._silent_since_seconds = self._taken_up_at_seconds
+        self._owned_since_seconds = timers.now_seconds()
+        self._unreachable_since_seconds = self._owned_since_seconds
         turns.begin()
         self.ask_report()
 
@@ -95,12 +95,12 @@
         """
         if self.answers:
             return 0.0
-        return self._timers.now_seconds() - self._silent_since_seconds
+        return self._timers.now_seconds() - self._unreachable_since_seconds
 
     def stop(self) -> None:
         """Stop giving orders: another instance owns the engine now."""
         self._stopped = True
-        if not self._ordering:
+        if not self._order_pending:
             self._lease.end()
 
     def renew(self, record: deployment.EndpointRecord) -> None:
@@ -108,9 +108,9 @@
 
         :param record: the record
         """
-        reborn = record.born_milliseconds != self.record.born_milliseconds
+        restarted = record.born_milliseconds != self.record.born_milliseconds
         self.record = record
-        if reborn:
+        if restarted:
             # The restarted engine may be loading its model already. A load
             # that is ordered again before a report shows it isn't counted.
             self.schedule.places.learn(
@@ -132,7 +132,7 @@
             now_seconds=now_seconds
         )
         may_order = (
-            self._has_right(now_seconds)
+            self._has_order_permission(now_seconds)
             and self._turns.may_order(now_seconds=now_seconds)
             and not self._stopped
             and not self.record.leaving
@@ -143,30 +143,30 @@
             self._turns.orders_in_seconds(now_seconds=now_seconds),
             self._lease.wait_seconds(now_seconds=now_seconds),
         )
-        fresh_seconds = now_seconds - self._asked_report_at_seconds
-        if fresh_seconds >= REPORT_SPACING_SECONDS and (
+        elapsed_seconds = now_seconds - self._asked_report_at_seconds
+        if elapsed_seconds >= MIN_REPORT_INTERVAL_SECONDS and (
             self.schedule.places.overdue(now_seconds=now_seconds)
             or (may_order and not confirmed and wants_order)
-            or self._has_to_listen(fresh_seconds)
+            or self._needs_report(elapsed_seconds)
         ):
             self.ask_report()
         actions = self.schedule.advance(now_seconds=now_seconds)
         for action in actions:
             if isinstance(action, engine_asks.Load | engine_asks.Unload):
-                self._give(action)
+                self._send_order(action)
         return actions
 
-    def _has_right(self, now_seconds: float) -> bool:
+    def _has_order_permission(self, now_seconds: float) -> bool:
         if self._lease.held(now_seconds=now_seconds):
             return True
-        owned_seconds = now_seconds - self._taken_up_at_seconds
-        return owned_seconds >= WATCH_SECONDS and self._lease.alone()
+        owned_seconds = now_seconds - self._owned_since_seconds
+        return owned_seconds >= MIN_OWNED_SECONDS and self._lease.alone()
 
-    def _has_to_listen(self, fresh_seconds: float) -> bool:
+    def _needs_report(self, elapsed_seconds: float) -> bool:
         # A turn that is starting requests reports until it has started. If it
         # starts anew after a pause, nothing else requests one.
-        pauses = fresh_seconds / REPORT_PAUSE_SECONDS
-        return pauses >= 2 and not self._turns.begun
+        intervals = elapsed_seconds / REPORT_INTERVAL_SECONDS
+        return intervals >= 2 and not self._turns.begun
 
     def refused(self, key: deployment.AdapterKey) -> None:
         """Record that the engine rejected a request for a missing adapter.
@@ -179,19 +179,19 @@
 
     def ask_report(self) -> None:
         """Request the engine's report of loaded adapters and order count."""
-        self._drop_next_report()
-        if self._asking or self._stopped:
+        self._cancel_next_report()
+        if self._report_pending or self._stopped:
             return
-        self._asking = True
+        self._report_pending = True
         self._asked_report_at_seconds = self._timers.now_seconds()
         self._counters.add("engine_reports", "asked")
-        sink = whole_answer.WholeAnswerSink(done=self._take_report)
+        sink = whole_answer.WholeAnswerSink(done=self._on_report)
         self._client.send(self._dialect.report_call(self.record), sink)
 
-    def _take_report(
+    def _on_report(
         self, answer: whole_answer.WholeAnswer | http_client.Failure
     ) -> None:
-        self._asking = False
+        self._report_pending = False
         report = (
             None
             if isinstance(answer, http_client.Failure)
@@ -199,23 +199,23 @@
         )
         self.answers = report is not None
         if self.answers:
-            self._silent_since_seconds = self._timers.now_seconds()
+            self._unreachable_since_seconds = self._timers.now_seconds()
         if report is None:
             self._counters.add("engine_reports", "failed")
-            self._ask_later(REPORT_PAUSE_SECONDS)
+            self._schedule_report(REPORT_INTERVAL_SECONDS)
             return
         now_seconds = self._timers.now_seconds()
         age_seconds = now_seconds - self._asked_report_at_seconds
-        self._told_as_of_seconds = self._asked_report_at_seconds
+        self._reported_as_of_seconds = self._asked_report_at_seconds
         believed = self._turns.expected
         in_doubt = self._turns.in_doubt_count
-        foreign = self._turns.reported(
+        other_giver_seen = self._turns.reported(
             report.counted,
             busy=report.busy,
             age_seconds=age_seconds,
             now_seconds=now_seconds,
         )
-        self._learn(report, now_seconds)
+        self._apply_report(report, now_seconds)
         self._log.write(
             "engine_report",
             engine=self.record.name,
@@ -226,20 +226,20 @@
             adapters=len(self.schedule.places.held()),
             coming=len(report.coming),
             busy=report.busy,
-            other_giver=foreign,
+            other_giver=other_giver_seen,
             certain=self._turns.certain,
             in_doubt=in_doubt,
-            explained_by=_doubts_told(self._turns.explained, now_seconds),
+            explained_by=_describe_doubts(self._turns.explained, now_seconds),
         )
         if self._turns.expected < believed:
             self._counters.add("engine_orders", "not_counted")
-        if foreign:
+        if other_giver_seen:
             self._counters.add("engine_orders", "other_giver_seen")
-        if self._has_to_watch(now_seconds):
-            self._ask_later(REPORT_PAUSE_SECONDS)
+        if self._needs_next_report(now_seconds):
+            self._schedule_report(REPORT_INTERVAL_SECONDS)
         self._changed()
 
-    def _learn(
+    def _apply_report(
         self, report: dialects.EngineReport, now_seconds: float
     ) -> None:
         places = self.schedule.places
@@ -253,7 +253,7 @@
             busy=report.busy,
         )
 
-    def _has_to_watch(self, now_seconds: float) -> bool:
+    def _needs_next_report(self, now_seconds: float) -> bool:
         # Reports are needed until the count is known and no longer changes,
         # and until an accepted order has been carried out.
         turns = self._turns
@@ -264,48 +264,48 @@
             or turns.waits(now_seconds=now_seconds)
         )
 
-    def _ask_later(self, delay_seconds: float) -> None:
+    def _schedule_report(self, delay_seconds: float) -> None:
         # Each report may schedule the next one. Keeping one timer prevents
         # two series of reports from running side by side forever.
         at_seconds = self._timers.now_seconds() + delay_seconds
         if at_seconds >= self._next_report_at_seconds:
             return
-        self._drop_next_report()
+        self._cancel_next_report()
         self._next_report_at_seconds = at_seconds
         self._next_report = self._timers.once(
             delay_seconds=delay_seconds, callback=self.ask_report
         )
 
-    def _drop_next_report(self) -> None:
+    def _cancel_next_report(self) -> None:
         if self._next_report is not None:
             self._next_report.cancel()
         self._next_report = None
         self._next_report_at_seconds = math.inf
 
-    def _give(self, order: engine_asks.Order) -> None:
+    def _send_order(self, order: engine_asks.Order) -> None:
         now_seconds = self._timers.now_seconds()
-        given = GivenOrder(
+        sent = SentOrder(
             order=order,
             expected=self._turns.expected,
             fence=self._turns.fence(),
             count_age_seconds=self._turns.count_age_seconds(
                 now_seconds=now_seconds
             ),
-            report_age_seconds=now_seconds - self._told_as_of_seconds,
+            report_age_seconds=now_seconds - self._reported_as_of_seconds,
             in_doubt=self._turns.in_doubt_count,
             leased=self._lease.held(now_seconds=now_seconds),
-            given_at_seconds=now_seconds,
+            order_sent_at_seconds=now_seconds,
         )
         call = self._dialect.order_call(
-            self.record, order, expected=given.expected, fence=given.fence
+            self.record, order, expected=sent.expected, fence=sent.fence
         )
         # Checked again right before the first byte, on a clock that counts
         # suspension: a process that was frozen since must not order.
         call = call._replace(may_send=lambda: self._still_fresh(now_seconds))
         self._turns.sending()
-        self._ordering = True
+        self._order_pending = True
         sink = whole_answer.WholeAnswerSink(
-            done=lambda answer: self._take_order_answer(given, answer)
+            done=lambda answer: self._on_order_response(sent, answer)
         )
         self._client.send(call, sink)
 
@@ -313,17 +313,17 @@
         now_seconds = self._timers.now_seconds()
         age_seconds = now_seconds - asked_at_seconds
         fresh = age_seconds < order_turns.ORDER_FRESH_SECONDS
-        allowed = self._has_right(now_seconds)
+        allowed = self._has_order_permission(now_seconds)
         return not self._stopped and fresh and allowed
 
-    def _take_order_answer(
+    def _on_order_response(
         self,
-        given: GivenOrder,
+        sent: SentOrder,
         answer: whole_answer.WholeAnswer | http_client.Failure,
     ) -> None:
-        self._ordering = False
+        self._order_pending = False
         now_seconds = self._timers.now_seconds()
-        order = given.order
+        order = sent.order
         outcome = self._outcome(order, answer)
         self._counters.add("engine_orders", outcome)
         self._log.write(
@@ -332,46 +332,46 @@
             order=type(order).__name__.lower(),
             model=order.key.model,
             adapter=order.key.adapter,
-            count=given.expected,
-            count_age_seconds=round(given.count_age_seconds, 3),
-            report_age_seconds=round(given.report_age_seconds, 3),
-            in_doubt=given.in_doubt,
-            fence=given.fence,
-            leased=given.leased,
-            took_seconds=round(now_seconds - given.given_at_seconds, 3),
+            count=sent.expected,
+            count_age_seconds=round(sent.count_age_seconds, 3),
+            report_age_seconds=round(sent.report_age_seconds, 3),
+            in_doubt=sent.in_doubt,
+            fence=sent.fence,
+            leased=sent.leased,
+            took_seconds=round(now_seconds - sent.order_sent_at_seconds, 3),
             places=self.schedule.places.summary(),
             status=_status_of(answer),
             outcome=outcome,
         )
         done = outcome == dialects.OrderAnswer.DONE.value
         if done or outcome == dialects.OrderAnswer.ACCEPTED.value:
-            leaves = isinstance(order, engine_asks.Unload) and not done
+            unloading = isinstance(order, engine_asks.Unload) and not done
             self._turns.accepted(
-                busy=leaves,
-                age_seconds=now_seconds - given.given_at_seconds,
+                busy=unloading,
+                age_seconds=now_seconds - sent.order_sent_at_seconds,
                 now_seconds=now_seconds,
             )
             self.schedule.places.ordered(
                 order,
                 done=done,
                 now_seconds=now_seconds,
-                count=given.expected + 1,
+                count=sent.expected + 1,
             )
-            if leaves:
-                self._ask_later(REPORT_PAUSE_SECONDS)
+            if unloading:
+                self._schedule_report(REPORT_INTERVAL_SECONDS)
         else:
-            self._order_failed(given, outcome, now_seconds)
+            self._order_failed(sent, outcome, now_seconds)
         if self._stopped and outcome != UNKNOWN:
             self._lease.end()
         self._changed()
 
     def _order_failed(
-        self, given: GivenOrder, outcome: str, now_seconds: float
+        self, sent: SentOrder, outcome: str, now_seconds: float
     ) -> None:
         if outcome == UNKNOWN:
             self._turns.in_doubt(
-                order=_order_told(given.order),
-                age_seconds=now_seconds - given.given_at_seconds,
+                order=_describe_order(sent.order),
+                age_seconds=now_seconds - sent.order_sent_at_seconds,
                 now_seconds=now_seconds,
             )
         elif outcome == "not_sent":
@@ -379,7 +379,7 @@
         else:
             self._turns.refused(now_seconds=now_seconds)
         self.schedule.places.order_failed(now_seconds=now_seconds)
-        self._ask_later(order_turns.REPORT_LAG_SECONDS)
+        self._schedule_report(order_turns.REPORT_LAG_SECONDS)
 
     def _outcome(
         self,
@@ -391,12 +391,12 @@
         return self._dialect.read_order_answer(order, answer.status).value
 
 
-def _order_told(order: engine_asks.Order) -> str:
+def _describe_order(order: engine_asks.Order) -> str:
     kind = type(order).__name__.lower()
     return f"{kind} {order.key.adapter or order.key.model}"
 
 
-def _doubts_told(
+def _describe_doubts(
     doubts: tuple[doubted_orders.Doubt, ...], now_seconds: float
 ) -> list[str]:
     return [
--- a/src/boragefold/entry/store_budget.py
+++ b/src/boragefold/entry/store_budget.py
@@ -23,10 +23,10 @@
         :param now_seconds: unused; the budget has the process clock
         :return: whether it was available
         """
-        taken = self._budget.try_take()
-        if not isinstance(taken, load_budget.Load):
+        reservation = self._budget.try_take()
+        if not isinstance(reservation, load_budget.Load):
             return False
-        self._running.append(taken)
+        self._running.append(reservation)
         return True
 
     def ended(self, *, now_seconds: float) -> None:
--- a/src/boragefold/entry/use_gate.py
+++ b/src/boragefold/entry/use_gate.py
@@ -11,18 +11,20 @@
 from boragefold.timing import timers as timing
 
 # Covers the time until a new holder of the endpoint grants leases.
-WAIT_SECONDS = 3.0
+MAX_WAIT_SECONDS = 3.0
 CHECK_SECONDS = 0.25
 # Temporary reasons; after any other the request is sent elsewhere.
-PASSING = frozenset({"asking", "not_ready", "no_holder", "not_holder"})
+TEMPORARY_REASONS = frozenset(
+    {"asking", "not_ready", "no_holder", "not_holder"}
+)
 
 
 @dataclasses.dataclass(eq=False, kw_only=True)
-class Waiting:
+class QueuedUse:
     """A request that waits for its lease."""
 
     target: order_messages.Target
-    until_seconds: float
+    deadline_seconds: float
     granted: Callable[[using.Use], None]
     refused: Callable[[str], None]
 
@@ -38,8 +40,8 @@
     ) -> None:
         self._uses = uses
         self._timers = timers
-        self._waiting: list[Waiting] = []
-        timers.every(period_seconds=CHECK_SECONDS, callback=self._check)
+        self._queue: list[QueuedUse] = []
+        timers.every(period_seconds=CHECK_SECONDS, callback=self._retry_all)
 
     def enter(
         self,
@@ -57,23 +59,23 @@
         :param refused: called later with the reason; nothing may be sent
         """
         weights = order_messages.Weights(*adapter)
-        waiting = Waiting(
+        queued = QueuedUse(
             target=order_messages.Target(endpoint, weights),
-            until_seconds=self._timers.now_seconds() + WAIT_SECONDS,
+            deadline_seconds=self._timers.now_seconds() + MAX_WAIT_SECONDS,
             granted=granted,
             refused=refused,
         )
-        self._waiting.append(waiting)
-        self._try(waiting)
+        self._queue.append(queued)
+        self._try_start(queued)
 
     def lease_came(self, target: order_messages.Target) -> None:
         """Start the uses that waited for a lease.
 
         :param target: the endpoint and adapter of the lease
         """
-        for waiting in list(self._waiting):
-            if waiting.target == target:
-                self._try(waiting)
+        for queued in list(self._queue):
+            if queued.target == target:
+                self._try_start(queued)
 
     def leave(self, use: using.Use) -> None:
         """End a use.
@@ -82,31 +84,31 @@
         """
         self._uses().finish(use)
 
-    def _check(self) -> None:
-        for waiting in list(self._waiting):
-            self._try(waiting)
+    def _retry_all(self) -> None:
+        for queued in list(self._queue):
+            self._try_start(queued)
 
-    def _try(self, waiting: Waiting) -> None:
-        if waiting not in self._waiting:
+    def _try_start(self, queued: QueuedUse) -> None:
+        if queued not in self._queue:
             return
-        use = self._uses().begin(waiting.target)
+        use = self._uses().begin(queued.target)
         if isinstance(use, using.Use):
             # begin() may have started this use through a callback already.
-            if waiting in self._waiting:
-                self._waiting.remove(waiting)
-                waiting.granted(use)
+            if queued in self._queue:
+                self._queue.remove(queued)
+                queued.granted(use)
             else:
                 self._uses().finish(use)
             return
-        late = self._timers.now_seconds() > waiting.until_seconds
-        if use.reason not in PASSING or late:
-            self._refuse(waiting, use.reason)
+        expired = self._timers.now_seconds() > queued.deadline_seconds
+        if use.reason not in TEMPORARY_REASONS or expired:
+            self._refuse(queued, use.reason)
 
-    def _refuse(self, waiting: Waiting, reason: str) -> None:
-        if waiting in self._waiting:
-            self._waiting.remove(waiting)
+    def _refuse(self, queued: QueuedUse, reason: str) -> None:
+        if queued in self._queue:
+            self._queue.remove(queued)
             self._timers.once(
-                delay_seconds=0.0, callback=lambda: waiting.refused(reason)
+                delay_seconds=0.0, callback=lambda: queued.refused(reason)
             )
 
 
--- a/tests/entry/test_engine_orders_walk.py
+++ b/tests/entry/test_engine_orders_walk.py
@@ -12,31 +12,39 @@
 
 SCHEDULES = 40
 STEPS = 250
-GOOD = Travel()
+NO_DELAY = Travel()
 GAP_SECONDS = (0.003, 0.01, 0.03, 0.1)
 RUN_SECONDS = (0.01, 0.02, 0.02, 0.02, 0.1, 0.3)
 PAUSE_SECONDS = (0.1, 0.4, 0.9)
 REPORT_TRAVELS = (
-    *[GOOD] * 3,
+    *[NO_DELAY] * 3,
     Travel(back_seconds=0.2),
     Travel(back_seconds=0.45),
     Travel(there_seconds=0.3),
 )
 ORDER_TRAVELS = (
-    *[GOOD] * 40,
+    *[NO_DELAY] * 40,
     Travel(lost=True),
     Travel(there_seconds=0.1, lost=True),
     Travel(there_seconds=0.2),
     Travel(back_seconds=0.2),
 )
-KINDS = {"ask": 750, "report": 150, "pause": 30, "restart": 3, "wait": 67}
+STEP_WEIGHTS = {
+    "ask": 750,
+    "report": 150,
+    "pause": 30,
+    "restart": 3,
+    "wait": 67,
+}
 
 
-def play(seed: int) -> engine_wire.EngineWire:
+def run_schedule(seed: int) -> engine_wire.EngineWire:
     draws = random.Random(seed)
     wire = engine_wire.EngineWire(seed=seed)
     adapters = "abcdefghi"[: draws.randint(6, 9)]
-    for kind in draws.choices([*KINDS], [*KINDS.values()], k=STEPS):
+    for kind in draws.choices(
+        [*STEP_WEIGHTS], [*STEP_WEIGHTS.values()], k=STEPS
+    ):
         wire.run_for(draws.choice(GAP_SECONDS))
         wire.report_travel = draws.choice(REPORT_TRAVELS)
         wire.order_travel = draws.choice(ORDER_TRAVELS)
@@ -55,4 +63,4 @@
 @pytest.mark.parametrize("seed", range(SCHEDULES))
 def test_no_order_loads_more_than_the_engine_has_room_for(seed) -> None:
     # An engine that is ordered to load too much crashes and restarts empty.
-    assert not play(seed).engine.overfull
+    assert not run_schedule(seed).engine.overfull
--- a/tests/entry/test_owned_engine.py
+++ b/tests/entry/test_owned_engine.py
@@ -65,7 +65,7 @@
             self._client.send(call, sink)
             return
         self._lost = True
-        self._client.send(call, Nobody())
+        self._client.send(call, DiscardingSink())
         failure = http_client.Failure(reason="timeout", may_have_arrived=True)
         self._timers.once(
             delay_seconds=TIMEOUT_SECONDS,
@@ -73,7 +73,7 @@
         )
 
 
-class Nobody:
+class DiscardingSink:
     """Discards a response."""
 
     def head(self, status, headers) -> None:
@@ -118,7 +118,7 @@
     return networks.Network(seed=1)
 
 
-def take_up(node, engine, giver, *, log=None, client=None):
+def start_owning(node, engine, giver, *, log=None, client=None):
     places = engine_places.Places(engine=engine_loads.ENGINE, newest={})
     return owned_engine.OwnedEngine(
         record=gateways.ENGINES[0],
@@ -139,7 +139,7 @@
     )
 
 
-def want(owned, network, *, seconds) -> None:
+def queue_requests(owned, network, *, seconds) -> None:
     """Queue requests for adapters that aren't loaded, and let time pass."""
     now_seconds = owned._timers.now_seconds()
     for step in range(round(seconds / 0.1)):
@@ -165,8 +165,8 @@
 
 def own(network, node, engine, giver, *, seconds) -> None:
     """Own the engine for a while, then give it up."""
-    owned = take_up(node, engine, giver)
-    want(owned, network, seconds=seconds)
+    owned = start_owning(node, engine, giver)
+    queue_requests(owned, network, seconds=seconds)
     owned.stop()
 
 
@@ -202,7 +202,7 @@
     # could run side by side.
     own(network, node, engine, 1, seconds=1.0)
     reports = engine.reports
-    owned = take_up(node, engine, 2)
+    owned = start_owning(node, engine, 2)
     for _ in range(4):
         owned.refused(engine_loads.key("b"))
         network.run_for(0.1)
@@ -221,8 +221,8 @@
     )
     client = Client(engine=engine, timers=node.timers, giver=1)
     losing = LosingClient(client=client, timers=node.timers)
-    owned = take_up(node, engine, 1, log=log, client=losing)
-    want(owned, network, seconds=2.5)
+    owned = start_owning(node, engine, 1, log=log, client=losing)
+    queue_requests(owned, network, seconds=2.5)
     orders = [fields for event, fields in lines if event == "engine_order"]
     (lost,) = [order for order in orders if order["outcome"] == "unknown"]
     assert lost["in_doubt"] == 0
