--- a/src/boragefold/entry/orderer.py
+++ b/src/boragefold/entry/orderer.py
@@ -14,7 +14,7 @@
     def order(self, order: actions.Order) -> None:
         """Load an adapter, evicting another first where one is named.
 
-        :param order: what and where
+        :param order: what to load, and where
         """
 
     @abc.abstractmethod
--- a/tests/entry/test_engine_answer.py
+++ b/tests/entry/test_engine_answer.py
@@ -90,13 +90,13 @@
     assert (reader.ended, len(reader.texts)) == (ended, passed_on)
 
 
-def test_events_may_come_in_any_pieces():
+def test_events_may_be_split_into_any_chunks():
     data = token(0) + token(1) + event(USAGE) + DONE
     reader = read(*(data[n : n + 1] for n in range(len(data))))
     assert (reader.ended, reader.texts) == ("whole", ["0 ", "1 "])
 
 
-def test_a_resumed_answer_goes_on_at_its_token():
+def test_a_resumed_response_continues_at_its_token():
     assert read(token(5), next_token=5).texts == ["5 "]
     assert read(token(0), next_token=5).texts == []
 
--- a/tests/entry/test_engine_owner.py
+++ b/tests/entry/test_engine_owner.py
@@ -90,7 +90,7 @@
     assert len(advances) == 1
 
 
-def test_the_log_says_why_an_engine_changed_hands() -> None:
+def test_the_log_says_why_an_engine_changed_owner() -> None:
     # When two instances own one engine, the log has to show which instances
     # each of them considered gone.
     lines = []
--- a/tests/entry/test_order_walk.py
+++ b/tests/entry/test_order_walk.py
@@ -51,7 +51,7 @@
     assert not broken
 
 
-def test_what_leaves_is_not_dropped_by_the_next_owner() -> None:
+def test_the_next_owner_repeats_no_unload_in_progress() -> None:
     # An adapter is being unloaded while a request of a former owner runs on
     # it. The next owner unloaded it again, which isn't counted, and the third
     # one reused the order count.
@@ -75,7 +75,7 @@
     assert not breaches(steps)
 
 
-def test_an_order_that_comes_late_finds_no_repetition_of_itself() -> None:
+def test_a_late_order_finds_no_repetition_of_itself() -> None:
     # The response to an order is lost and the order is repeated. The first
     # copy arrives after the second, with a fencing number that is too low.
     asked = [
--- a/tests/entry/test_owned_engine.py
+++ b/tests/entry/test_owned_engine.py
@@ -195,9 +195,7 @@
     assert all(given.counted for given in engine.accepted())
 
 
-def test_an_engine_that_is_watched_is_asked_one_report_at_a_time(
-    network, node, engine
-) -> None:
+def test_one_report_is_requested_at_a_time(network, node, engine) -> None:
     # Each report schedules the next one, so that several series of reports
     # could run side by side.
     own(network, node, engine, 1, seconds=1.0)
@@ -210,7 +208,7 @@
     assert engine.reports - reports <= 14
 
 
-def test_the_log_says_what_explained_a_rise_of_the_count(
+def test_the_log_names_the_order_that_explains_a_higher_count(
     network, node, engine
 ) -> None:
     # An order of another owner was mistaken for an unresolved one of this
