--- a/src/boragefold/entry/engine_asker.py
+++ b/src/boragefold/entry/engine_asker.py
@@ -1,8 +1,8 @@
-"""The way of a request to the engine that it runs at.
+"""Requests to run on an engine, sent to the instance that owns it.
 
-A request asks the owner of the engine that it ranks first. The owner answers
-once: run it now, or not here. Until then it waits at the owner, which sees
-everything that waits for that engine.
+A request is sent to the owner of the engine that ranks first. The owner
+replies once: run it now, or not on this engine. Until then the request waits
+in the owner's queue, which holds everything that waits for that engine.
 """
 
 from __future__ import annotations
@@ -24,24 +24,25 @@
 from boragefold.state import fleet as fleets
 from boragefold.timing import timers as timing
 
-# Asks are idempotent: the owner knows them by their id.
-REPEAT_ASK_SECONDS = 0.5
-# A connection that looks open may be dead; both sides then reconnect.
+# Repeating is safe: the owner identifies a request by its id.
+RETRY_SECONDS = 0.5
+# A connection that looks open may be dead; both sides reconnect after this
+# many repetitions without a reply.
 RECONNECT_UNANSWERED = 2
 
 
 class Asker(abc.ABC):
-    """A request that asked to run at an engine."""
+    """Receives the owner's reply for a request."""
 
     @abc.abstractmethod
     def granted(
         self, engine: str, version: int, waits: engine_asks.Waits
     ) -> None:
-        """Run now.
+        """Run the request now.
 
         :param engine: where
         :param version: of the adapter, 0 for any
-        :param waits: what it waited for at the engine's owner
+        :param waits: how long it waited in the owner's queue, by cause
         """
 
     @abc.abstractmethod
@@ -52,18 +53,19 @@
         retry_after_seconds: float,
         wait_seconds: float,
     ) -> None:
-        """Don't run there.
+        """Handle a refusal by the engine's owner.
 
         :param engine: which
-        :param reason: why, one of a small fixed set
-        :param retry_after_seconds: when to come back
-        :param wait_seconds: what an eager request would have had to wait
+        :param reason: one of a small fixed set
+        :param retry_after_seconds: when a retry may succeed
+        :param wait_seconds: estimated time in the queue, for a request that
+            was refused since it asked not to be queued
         """
 
 
 @dataclasses.dataclass(kw_only=True)
-class Asked:
-    """An ask that has no answer yet."""
+class PendingRequest:
+    """A request to an owner that has no reply yet."""
 
     asker: Asker
     ask: engine_asks.Ask
@@ -74,7 +76,7 @@
 
 
 class EngineAsker:
-    """Asks the owners of engines, and tells them how requests went."""
+    """Sends requests to the owners of engines, and reports their progress."""
 
     def __init__(
         self,
@@ -86,14 +88,14 @@
         timers: timing.TimerService,
         health: Callable[[str], float],
     ) -> None:
-        """Begin without asks.
+        """Subscribe to the owners' replies.
 
         :param link: to all instances, this one included
         :param members: the other instances
-        :param ownership: who owns which engine
+        :param ownership: which instance owns which engine
         :param fleet: the published deployment
         :param timers: the process clock
-        :param health: how sound an endpoint is, from 0 to 1
+        :param health: health of an endpoint, from 0 to 1
         """
         self._link = link
         self._members = members
@@ -101,12 +103,12 @@
         self._fleet = fleet
         self._timers = timers
         self._health = health
-        self._asked: dict[str, Asked] = {}
+        self._pending: dict[str, PendingRequest] = {}
         self._granted: dict[str, ids.InstanceId] = {}
         self._engine_views = engine_views.EngineViews()
-        link.subscribe(messages.EngineGrant, self._take_grant)
-        link.subscribe(messages.EngineRefusal, self._take_refusal)
-        link.subscribe(messages.EngineWaits, self._take_waits)
+        link.subscribe(messages.EngineGrant, self._on_grant)
+        link.subscribe(messages.EngineRefusal, self._on_refusal)
+        link.subscribe(messages.EngineWaits, self._on_waits)
 
     def ranked(
         self,
@@ -114,45 +116,45 @@
         key: deployment.AdapterKey,
         own: tuple[messages.EngineStatus, ...],
     ) -> list[engine_choice.EngineView]:
-        """Order the engines of a service for a request.
+        """Rank the engines of a service for a request.
 
         :param service: the service
         :param key: the adapter that the request needs
-        :param own: what this instance's own engines are like
+        :param own: status of the engines that this instance owns
         :return: the best first
         """
         return engine_choice.rank(key, self._views(service, own))
 
     def ask(self, asker: Asker, ask: engine_asks.Ask, engine: str) -> None:
-        """Ask to run a request at an engine.
+        """Ask an engine's owner whether a request may run there.
 
-        :param asker: is told the answer, never inside this call
+        :param asker: receives the reply, never inside this call
         :param ask: the request
         :param engine: where
         """
         owner = self._ownership.owner(engine)
         if owner is None:
-            # Without an owner, what the engine holds can still be used.
+            # Without an owner, loaded adapters can still be used.
             self._timers.once(
                 delay_seconds=0.0,
                 callback=lambda: asker.granted(engine, 0, engine_asks.Waits()),
             )
             return
-        asked = Asked(
+        pending = PendingRequest(
             asker=asker,
             ask=ask,
             engine=engine,
             owner=owner,
             sent_at_seconds=self._timers.now_seconds(),
         )
-        self._asked[ask.request_id] = asked
-        self._send(asked)
+        self._pending[ask.request_id] = pending
+        self._send(pending)
 
     def started(self, request_id: str, engine: str) -> None:
-        """Tell an engine's owner that an answer has begun.
+        """Tell an engine's owner that a response has started.
 
-        :param request_id: whose
-        :param engine: where
+        :param request_id: of the request
+        :param engine: where it runs
         """
         owner = self._granted.get(request_id)
         if owner is not None:
@@ -162,53 +164,54 @@
     def ended(
         self, request_id: str, engine: str, *, not_held: bool = False
     ) -> None:
-        """Tell an engine's owner that a request is over, or given up.
+        """Tell an engine's owner that a request has ended or was cancelled.
 
-        :param request_id: whose
-        :param engine: where it ran, or was asked to run
-        :param not_held: whether the engine refused it for want of its adapter
+        :param request_id: of the request
+        :param engine: where it ran, or was to run
+        :param not_held: whether the engine rejected it since its adapter
+            isn't loaded
         """
-        asked = self._asked.pop(request_id, None)
+        pending = self._pending.pop(request_id, None)
         owner = self._granted.pop(request_id, None)
-        if owner is None and asked is not None:
-            owner = asked.owner
+        if owner is None and pending is not None:
+            owner = pending.owner
         if owner is not None:
             body = messages.RunEnded(request_id, engine, not_held)
             self._link.send(to=owner, body=body)
 
     def look_after(self) -> None:
-        """Repeat asks without an answer, and end those of former owners."""
+        """Repeat unanswered requests, and refuse those of former owners."""
         now_seconds = self._timers.now_seconds()
-        for request_id, asked in list(self._asked.items()):
-            if self._ownership.owner(asked.engine) != asked.owner:
-                del self._asked[request_id]
-                asked.asker.turned_away(
-                    asked.engine, "owner_changed", 0.0, 0.0
+        for request_id, pending in list(self._pending.items()):
+            if self._ownership.owner(pending.engine) != pending.owner:
+                del self._pending[request_id]
+                pending.asker.turned_away(
+                    pending.engine, "owner_changed", 0.0, 0.0
                 )
-            elif now_seconds - asked.sent_at_seconds > REPEAT_ASK_SECONDS:
-                asked.sent_at_seconds = now_seconds
-                asked.unanswered += 1
-                if asked.unanswered == RECONNECT_UNANSWERED:
-                    self._link.reconnect(asked.owner)
-                self._send(asked)
+            elif now_seconds - pending.sent_at_seconds > RETRY_SECONDS:
+                pending.sent_at_seconds = now_seconds
+                pending.unanswered += 1
+                if pending.unanswered == RECONNECT_UNANSWERED:
+                    self._link.reconnect(pending.owner)
+                self._send(pending)
 
     def _views(
         self, service: str, own: tuple[messages.EngineStatus, ...]
     ) -> Iterator[engine_choice.EngineView]:
-        told = self._told()
-        told.update((status.name, status) for status in own)
+        statuses = self._reported_statuses()
+        statuses.update((status.name, status) for status in own)
         data_centre = self._link.self_id.data_centre
         for record in self._fleet.endpoints_of(service):
             near = record.data_centre == data_centre
             health = self._health(record.name)
-            status = told.get(record.name)
+            status = statuses.get(record.name)
             if status is not None and not status.answers:
                 continue
             yield self._engine_views.see(
                 record, status, near=near, health=health
             )
 
-    def _told(self) -> dict[str, messages.EngineStatus]:
+    def _reported_statuses(self) -> dict[str, messages.EngineStatus]:
         return {
             status.name: status
             for member in self._members.reachable()
@@ -217,12 +220,12 @@
             if self._ownership.owner(status.name) == member.instance
         }
 
-    def _send(self, asked: Asked) -> None:
+    def _send(self, pending: PendingRequest) -> None:
         now_seconds = self._timers.now_seconds()
-        ask = asked.ask
+        ask = pending.ask
         body = messages.EngineAsk(
             request_id=ask.request_id,
-            engine=asked.engine,
+            engine=pending.engine,
             model=ask.needs.model,
             adapter=ask.needs.adapter,
             prompt_tokens=ask.prompt_tokens,
@@ -231,19 +234,19 @@
             on_time_in_seconds=ask.on_time_by_seconds - now_seconds,
             give_up_in_seconds=ask.give_up_at_seconds - now_seconds,
             ends_in_seconds=ask.ends_by_seconds - now_seconds,
-            unanswered=asked.unanswered,
+            unanswered=pending.unanswered,
             eager=ask.eager,
             event_gap_seconds=ask.event_gap_seconds,
         )
-        self._link.send(to=asked.owner, body=body)
+        self._link.send(to=pending.owner, body=body)
 
-    def _take_grant(
+    def _on_grant(
         self, sender: ids.InstanceId, body: messages.EngineGrant
     ) -> None:
-        asked = self._answered(sender, body.request_id, body.engine)
-        if asked is None:
+        pending = self._pop_pending(sender, body.request_id, body.engine)
+        if pending is None:
             if body.request_id not in self._granted:
-                # The request gave up meanwhile.
+                # The request was cancelled in the meantime.
                 ended = messages.RunEnded(body.request_id, body.engine, False)
                 self._link.send(to=sender, body=ended)
             return
@@ -253,34 +256,38 @@
             load_seconds=body.load_wait_seconds,
             turn_seconds=body.turn_wait_seconds,
         )
-        asked.asker.granted(body.engine, body.version, waits)
+        pending.asker.granted(body.engine, body.version, waits)
 
-    def _take_refusal(
+    def _on_refusal(
         self, sender: ids.InstanceId, body: messages.EngineRefusal
     ) -> None:
-        asked = self._answered(sender, body.request_id, body.engine)
-        if asked is not None:
-            asked.asker.turned_away(
+        pending = self._pop_pending(sender, body.request_id, body.engine)
+        if pending is not None:
+            pending.asker.turned_away(
                 body.engine,
                 body.reason,
                 body.retry_after_seconds,
                 body.wait_seconds,
             )
 
-    def _take_waits(
+    def _on_waits(
         self, sender: ids.InstanceId, body: messages.EngineWaits
     ) -> None:
-        asked = self._asked.get(body.request_id)
-        if asked is not None and asked.owner == sender:
-            asked.unanswered = 0
+        pending = self._pending.get(body.request_id)
+        if pending is not None and pending.owner == sender:
+            pending.unanswered = 0
 
-    def _answered(
+    def _pop_pending(
         self, sender: ids.InstanceId, request_id: str, engine: str
-    ) -> Asked | None:
-        asked = self._asked.get(request_id)
-        if asked is None or asked.engine != engine or asked.owner != sender:
+    ) -> PendingRequest | None:
+        pending = self._pending.get(request_id)
+        if (
+            pending is None
+            or pending.engine != engine
+            or pending.owner != sender
+        ):
             return None
-        return self._asked.pop(request_id)
+        return self._pending.pop(request_id)
 
 
 __all__ = [
--- a/src/boragefold/entry/engine_orders.py
+++ b/src/boragefold/entry/engine_orders.py
@@ -1,4 +1,4 @@
-"""Sending orders to engines over HTTP."""
+"""Sends orders to engines over HTTP."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 STATUS_OK = 200
 OLD_FENCING = "old_fencing"
-# After this the answer is taken for lost.
-ANSWER_SECONDS = 10.0
+# The response counts as lost after this time.
+RESPONSE_TIMEOUT_SECONDS = 10.0
 
 
 class OrderAnswer(msgspec.Struct):
-    """What an engine answers on ``POST /v1/orders``."""
+    """An engine's response to ``POST /v1/orders``."""
 
     reason: str
     fencing: int
 
 
 class EngineOrders(sending.OrderSender):
-    """Writes orders on connections of their own, and reads the outcome."""
+    """Sends each order on a connection of its own, and parses the outcome."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         still_ours: Callable[[], bool],
         finished: Callable[[sending.Outcome], None],
     ) -> None:
-        """Send an order on a fresh connection.
+        """Send an order on a new connection.
 
         :param order: the order
-        :param still_ours: asked right before the bytes are written
+        :param still_ours: checked right before the request is written
         :param finished: called once with the outcome
         """
         address = self._address_of(order.endpoint)
@@ -66,16 +66,16 @@
             headers=[answers.JSON],
             body=msgspec.json.encode(body),
             fresh=True,
-            progress_seconds=ANSWER_SECONDS,
+            progress_seconds=RESPONSE_TIMEOUT_SECONDS,
             may_send=still_ours,
         )
         sink = whole_answer.WholeAnswerSink(
-            done=lambda answer: finished(_read(answer))
+            done=lambda answer: finished(_parse_outcome(answer))
         )
         self._client.send(call, sink)
 
 
-def _read(
+def _parse_outcome(
     answer: whole_answer.WholeAnswer | http_client.Failure,
 ) -> sending.Outcome:
     if isinstance(answer, http_client.Failure):
@@ -83,14 +83,14 @@
             return sending.NoAnswer(reason=answer.reason)
         return sending.Failed(reason=answer.reason)
     try:
-        said = _DECODER.decode(answer.body)
+        response = _DECODER.decode(answer.body)
     except msgspec.MsgspecError:
         return sending.NoAnswer(reason="malformed_answer")
     if answer.status == STATUS_OK:
         return sending.Done()
-    if said.reason == OLD_FENCING:
-        return sending.Outdated(highest=said.fencing)
-    return sending.Failed(reason=said.reason)
+    if response.reason == OLD_FENCING:
+        return sending.Outdated(highest=response.fencing)
+    return sending.Failed(reason=response.reason)
 
 
 _DECODER = msgspec.json.Decoder(OrderAnswer)
