--- a/src/boragefold/coordination/configuration/distribution.py
+++ b/src/boragefold/coordination/configuration/distribution.py
@@ -1,4 +1,4 @@
-"""Passes news on to the other instances, and compares in the background."""
+"""Pushes configuration changes to the other instances of the system."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 from boragefold.telemetry import counters as telemetry
 from boragefold.timing import timers as timing
 
-# Changes that one watch brought together go out together.
+# Batches the changes that one answer of the platform brought.
 PUSH_DELAY_SECONDS = 0.01
-# The deputy tells versions only, after the steward's values had time to
+# The deputy sends versions only, once the steward's values had time to
 # arrive.
 DEPUTY_DELAY_SECONDS = 0.4
-# Beyond this, versions are told instead of values.
+# Larger changes are announced by version; the receivers request the values.
 PUSH_BYTES = 64 * 1024
-# Data centres that read the platform themselves need no summary by then.
+# Data centres that read the platform themselves have the change by then, so
+# the summaries match.
 RUMOUR_DELAY_SECONDS = 0.7
 RUMOUR_FANOUT = 3
 
 
 class Distribution:
-    """Tells the members of the view, and other data centres, of changes."""
+    """Sends changes to the view's members and to other data centres."""
 
     def __init__(
         self,
@@ -54,7 +55,7 @@
         self._timers = timers
         self._compare = compare
         self._counters = counters
-        # The values before the changes that wait to go out, by path.
+        # Maps the path of each unsent change to the entry before the change.
         self._waiting: dict[str, trees.Entry | None] = {}
         tree.subscribe(self._changed)
         tree.rejections.subscribe(self._rejected)
@@ -68,8 +69,8 @@
         self._waiting.setdefault(change.path, change.before)
 
     def _rejected(self, path: str, rejection: rejecting.Rejection) -> None:
-        # Only those that read the platform meet an invalid value. Operators
-        # and auditors ask any instance.
+        # Only the instances that read the platform receive invalid values,
+        # but operators and auditors may query any instance.
         if self._peers.role not in (peering.Role.STEWARD, peering.Role.DEPUTY):
             return
         body = messages.ConfigurationRejection(
--- a/src/boragefold/coordination/configuration/exchange.py
+++ b/src/boragefold/coordination/configuration/exchange.py
@@ -1,9 +1,10 @@
-"""Compares the tree with that of another instance and hands values over.
+"""Reconciles the configuration tree with that of another instance.
 
-A comparison goes: summary; if it differs, a hash for each bucket; for the
-buckets that differ the versions, both ways; then each side asks for what is
-newer on the other. Every message stands alone, so a lost or doubled one costs
-a round at most, and the next comparison starts afresh.
+A comparison starts with a summary of the tree. If the summaries differ, the
+instances exchange a hash for each bucket, then the versions of the buckets
+that differ, in both directions; then each requests the values that are newer
+on the other. No message depends on an earlier one, so a lost or duplicate
+message costs one round at most, and the next comparison starts from scratch.
 """
 
 from __future__ import annotations
@@ -24,25 +25,25 @@
 from boragefold.state import tree as trees
 from boragefold.telemetry import counters as telemetry
 
-# Bounds a message.
+# Bounds the size of a message.
 VERSIONS_PER_MESSAGE = 200
-# Bounds a sender's queue; the rest is asked for at the next comparison.
+# Bounds the sender's queue; the next comparison requests the remaining values.
 ANSWER_BYTES = 512 * 1024
 
 
-# Comparisons of a fresh instance that are remembered at the same time.
+# Bounds the number of peers whose differing buckets are tracked.
 MAX_OPEN = 16
 
 
 class _Comparison(NamedTuple):
-    """The buckets in which a peer may still hold something newer."""
+    """The buckets in which a peer may still hold newer values."""
 
     buckets: set[int]
     is_ready: bool
 
 
 class Exchange:
-    """Answers other instances, and asks them for what is newer there."""
+    """Answers requests of other instances and requests their newer values."""
 
     def __init__(
         self,
@@ -71,9 +72,9 @@
         link.subscribe(messages.ConfigurationPatch, self._on_patch)
 
     def answer_summary(self, to: ids.InstanceId) -> None:
-        """Go on with a comparison whose summaries differ.
+        """Continue a comparison whose summaries differ by sending hashes.
 
-        :param to: who sent the summary
+        :param to: the instance that sent the summary
         """
         body = messages.ConfigurationBuckets(
             self._fingerprint.hashes(), self._is_ready()
@@ -81,11 +82,11 @@
         self._link.send(to=to, body=body)
 
     def send_value(self, to: ids.InstanceId, path: str) -> int:
-        """Hand over what is in force at a path.
+        """Send the published value at a path.
 
-        :param to: who gets it
-        :param path: the path
-        :return: the bytes sent, zero when nothing was published there
+        :param to: the receiving instance
+        :param path: the configuration path
+        :return: the bytes sent, zero if nothing was published at the path
         """
         entry = self._tree.entry(path)
         if entry is None:
@@ -98,10 +99,10 @@
     def send_versions(
         self, to: ids.InstanceId, versions: Iterable[messages.PathVersion]
     ) -> None:
-        """Tell of new versions, for the receiver to ask for.
+        """Announce new versions, whose values the receiver may request.
 
-        :param to: who is told
-        :param versions: the versions
+        :param to: the receiving instance
+        :param versions: the versions to announce
         """
         for page in _pages(versions):
             body = messages.ConfigurationVersions((), page, True)
@@ -162,7 +163,7 @@
             want = messages.ConfigurationWant(tuple(wanted))
             self._link.send(to=sender, body=want)
         elif body.is_reply and sender in self._open:
-            # The peer's other values are none that we would take.
+            # This instance needs none of the peer's values in these buckets.
             self._open[sender].buckets.difference_update(body.buckets)
             self._report(sender)
         if not body.is_reply:
@@ -212,7 +213,8 @@
             return
         data = self._patched(body)
         if data is None:
-            # A message before this one was lost.
+            # The patch applies to a version that this instance doesn't hold,
+            # because an earlier message was lost.
             self._counters.add("configuration_patches", "other_base")
             want = messages.ConfigurationWant((body.path,))
             self._link.send(to=sender, body=want)
--- a/src/boragefold/coordination/configuration/intake.py
+++ b/src/boragefold/coordination/configuration/intake.py
@@ -1,4 +1,4 @@
-"""Puts what the platform answered into the tree, a slice at a time."""
+"""Applies the platform's answers to the configuration tree in batches."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from boragefold.state import tree as trees
 from boragefold.timing import timers as timing
 
-# Validation blocks the loop, and with it the streams of tokens.
+# Validation blocks the event loop and delays the token streams it serves.
 SLICE_BYTES = 64 * 1024
 PAUSE_SECONDS = 0.01
 
@@ -17,7 +17,7 @@
 
 
 class Intake:
-    """A queue of published changes, in the order of the answers."""
+    """A queue of published changes, in the order of the platform's answers."""
 
     def __init__(
         self, *, tree: trees.Tree, timers: timing.TimerService
@@ -31,10 +31,10 @@
     def take(
         self, changes: tuple[platform_api.PublishedChange, ...], done: Done
     ) -> None:
-        """Queue an answer; the first slice is put into the tree at once.
+        """Queue an answer; if the queue was empty, apply a batch at once.
 
         :param changes: the changes of the answer
-        :param done: called when all of them were taken
+        :param done: called once all of the changes have been applied
         """
         was_idle = not self._queue
         self._queue.extend((*changes, done))
--- a/src/boragefold/coordination/configuration/leaving.py
+++ b/src/boragefold/coordination/configuration/leaving.py
@@ -1,4 +1,4 @@
-"""Tells other instances which endpoints leave by the platform's list."""
+"""Shares which endpoints the platform's list reports as leaving."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from boragefold.state import endpoints
 from boragefold.telemetry import counters as telemetry
 
-# Bounds a message.
+# Bounds the size of a message.
 MARKS_PER_MESSAGE = 400
-# Marks that were undone are passed on too, or a peer would bring them back.
+# Revoked marks are shared too, otherwise a peer would restore them.
 UNDONE_PASSED_ON = 256
 
 
 class LeavingNews:
-    """Spreads marks, because lists lag and two readers see different ones."""
+    """Shares marks, because instances may read lists of different age."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
         link.subscribe(messages.ConfigurationMarks, self._on_marks)
 
     def root(self) -> int:
-        """Hash the marks of the endpoints that leave.
+        """Hash the marks of the endpoints that are leaving.
 
-        :return: the same number on instances that know the same
+        :return: a hash that is equal on instances with the same marks
         """
         leaving = sorted(
             mark.address for mark in self._index.marks() if mark.leaving
@@ -49,9 +49,9 @@
         return xxhash.xxh3_64_intdigest("\0".join(leaving).encode())
 
     def note_listing(self, listing: platform_api.Listing) -> None:
-        """Learn from the platform's list, and tell the view what is new.
+        """Record the marks of the platform's list and send new ones on.
 
-        :param listing: the list
+        :param listing: the platform's list
         """
         marks = listings.marks_of(listing, self._index)
         news = self._index.mark(marks)
@@ -61,10 +61,10 @@
                 self._send(member, news, is_reply=True)
 
     def send_all(self, to: ids.InstanceId, *, is_reply: bool = False) -> None:
-        """Tell another instance what we know.
+        """Send the marks that this instance knows to another instance.
 
-        :param to: which instance
-        :param is_reply: whether it has told us already
+        :param to: the receiving instance
+        :param is_reply: whether the receiver has already sent its marks
         """
         self._send(to, self._marks(), is_reply=is_reply)
 
--- a/src/boragefold/coordination/configuration/listing.py
+++ b/src/boragefold/coordination/configuration/listing.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list, and learns from it which endpoints leave."""
+"""Polls the platform's list of instances and finds leaving endpoints."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from boragefold.telemetry import counters as telemetry
 from boragefold.timing import timers as timing
 
-# All instances together stay below the platform's limit of calls.
+# Keeps the calls of all instances together below the platform's rate limit.
 PERIOD_SECONDS = 1.0
 ANSWER_LIMIT_SECONDS = 5.0
 
 
 class ListPoller:
-    """Reads the list again and again, for everyone in the process."""
+    """Polls the list periodically for all subscribers of the process."""
 
     def __init__(
         self,
@@ -37,16 +37,16 @@
     def subscribe(
         self, callback: Callable[[platform_api.Listing], None]
     ) -> None:
-        """Be told of each list that was read, changed or not.
+        """Call back with each list that was read, changed or not.
 
         :param callback: called with the list
         """
         self._subscribers.append(callback)
 
     def start(self, *, delay_seconds: float = 0.0) -> None:
-        """Begin to read.
+        """Start polling.
 
-        :param delay_seconds: how long to wait before the first call
+        :param delay_seconds: the delay before the first call
         """
         self._timers.every(
             period_seconds=self._period_seconds,
@@ -79,11 +79,11 @@
 def marks_of(
     listing: platform_api.Listing, index: endpoints.EndpointIndex
 ) -> list[messages.LeavingMark]:
-    """Find what a list says of endpoints that leave or have left off leaving.
+    """Find the endpoints of a list that are, or no longer are, leaving.
 
     :param listing: the platform's list
-    :param index: what is known so far
-    :return: marks that may be news
+    :param index: the marks known so far
+    :return: marks, some of which may be known already
     """
     known_leaving = {mark.address for mark in index.marks() if mark.leaving}
     return [
--- a/src/boragefold/coordination/configuration/peers.py
+++ b/src/boragefold/coordination/configuration/peers.py
@@ -1,4 +1,4 @@
-"""Who reads the platform, and whom an instance compares itself with."""
+"""Selects the platform's readers and the peers to compare trees with."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Role(enum.Enum):
-    """What an instance does for the configuration of its data centre."""
+    """The part of an instance in the configuration of its data centre."""
 
     STEWARD = "steward"
     DEPUTY = "deputy"
@@ -26,10 +26,11 @@
 
 
 def readers(view: membership.View) -> tuple[ids.InstanceId, ...]:
-    """Pick the steward of a view, and its deputy if there is a second member.
+    """Select a view's steward, and its deputy if there is a second member.
 
-    Reading is no exclusive right: two stewards for a while cost a few calls
-    and do no harm, because the tree never goes backwards.
+    Reading the platform isn't exclusive: two stewards at a time cost a few
+    more calls and do no harm, because the tree never returns to an older
+    version.
 
     :param view: a view with at least one member
     :return: the steward, then the deputy
@@ -43,7 +44,7 @@
 
 
 class Peers:
-    """The other instances, as far as we know them."""
+    """The other instances that this instance knows of."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
 
     @property
     def role(self) -> Role:
-        """Tell what we do at this moment.
+        """Return the current role of this instance.
 
         :return: the role; ``ALONE`` without a valid view
         """
@@ -73,16 +74,16 @@
         return Role.STEWARD if chosen[0] == self._own else Role.DEPUTY
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Be told when the role may have changed.
+        """Call back when the role may have changed.
 
         :param callback: called without arguments
         """
         self._rights.subscribe(lambda _: callback())
 
     def note_listing(self, listing: platform_api.Listing) -> None:
-        """Learn addresses from the platform's list.
+        """Record the addresses of the platform's list.
 
-        :param listing: the list
+        :param listing: the platform's list
         """
         self._listed = tuple(
             ids.InstanceId(instance.data_centre, instance.address, "")
@@ -91,7 +92,7 @@
         )
 
     def members(self) -> tuple[ids.InstanceId, ...]:
-        """Read who else is in our valid view.
+        """Return the other members of the valid view of this instance.
 
         :return: the members, none without a valid view
         """
@@ -99,9 +100,9 @@
         return () if view is None else self._without_us(view.members)
 
     def local(self) -> ids.InstanceId | None:
-        """Draw an instance of our data centre.
+        """Choose a random instance of the data centre of this instance.
 
-        :return: a member of the view; failing that one that we know of
+        :return: a member of the view, otherwise any known instance, or None
         """
         members = self.members()
         if not members:
@@ -111,11 +112,11 @@
         return self._draw(members)
 
     def remote(self) -> ids.InstanceId | None:
-        """Draw an instance of another data centre.
+        """Choose a random instance of another data centre.
 
-        The readers of a data centre hear news first, so they are drawn most
-        often; now and then any member is, lest outdated knowledge of a view
-        hide a data centre for ever.
+        A data centre's steward and deputy receive changes first, so they are
+        chosen most often. Any other member is chosen at times, because with
+        an outdated view a data centre might otherwise never be reached.
 
         :return: an instance, or None
         """
@@ -134,9 +135,9 @@
         return self._draw(candidates)
 
     def any(self) -> ids.InstanceId | None:
-        """Draw an instance, more often one of our own data centre.
+        """Choose a random instance, more often from the same data centre.
 
-        :return: an instance, or None when we know of none
+        :return: an instance, or None if none is known
         """
         first, second = (
             (self.remote, self.local)
--- a/src/boragefold/coordination/configuration/reader.py
+++ b/src/boragefold/coordination/configuration/reader.py
@@ -1,4 +1,4 @@
-"""What the configuration needs of the platform's service."""
+"""The interface to the platform's service that the configuration uses."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
     [platform_api.Listing | platform_api.PlatformFailed], None
 ]
 
-# Long poll: below the idle timeout that middleboxes commonly have.
+# A long poll must end before the idle timeout that middleboxes commonly have.
 WATCH_SECONDS = 20.0
 
 
 class PlatformReader(abc.ABC):
-    """Reads the platform's service; each call is answered at most once.
+    """Reads the platform's service; calls back at most once for each call.
 
-    A call whose connection goes silent may never be answered. Who calls
-    keeps a time limit of his own.
+    A call on a stalled connection may never be answered, so the caller needs
+    a timeout of its own.
     """
 
     @abc.abstractmethod
     def watch(self, *, after_revision: int, callback: WatchCallback) -> None:
-        """Ask for changes, and wait up to ``WATCH_SECONDS`` for some.
+        """Request changes, and wait up to ``WATCH_SECONDS`` for some.
 
-        :param after_revision: zero for the whole tree
+        :param after_revision: the last revision seen, zero for the whole tree
         :param callback: called with the changes or the failure
         """
 
     @abc.abstractmethod
     def read_list(self, *, callback: ListCallback) -> None:
-        """Ask for the list of instances.
+        """Request the list of instances.
 
         :param callback: called with the list or the failure
         """
--- a/src/boragefold/coordination/configuration/readiness.py
+++ b/src/boragefold/coordination/configuration/readiness.py
@@ -1,4 +1,4 @@
-"""Decides when an instance knows enough to answer callers."""
+"""Decides when an instance's configuration suffices to answer callers."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from boragefold.state import tree as trees
 from boragefold.timing import timers as timing
 
-# How long a fresh instance that has read the platform waits for a peer with
-# newer values.
+# How long a starting instance that has read the platform waits for a peer
+# with newer values.
 ALONE_SECONDS = 3.0
-# How long a ready peer that still differs is waited for: enough to be handed
-# the whole tree.
+# How long it waits for a ready peer whose tree still differs: enough to
+# transfer the whole tree.
 DIFFERING_SECONDS = 10.0
-# Peers of the own data centre are heard by then.
+# Peers of the same data centre have answered by then.
 REMOTE_AFTER_SECONDS = 2.0
-# After this there is nobody to ask.
+# After this time without an answer no source is reachable.
 NO_SOURCE_SECONDS = 5.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Ready:
-    """The configuration is whole, as far as anyone we reach can tell.
+    """The configuration is complete as far as reachable sources show.
 
     ``source`` is ``peer`` or ``platform``.
     """
@@ -50,7 +50,7 @@
 
 
 class ReadinessJudge:
-    """Watches a fresh instance until it is ready, which it then stays."""
+    """Decides when a starting instance is ready, which is final."""
 
     def __init__(
         self,
@@ -71,21 +71,21 @@
         self._subscribers: list[Callable[[Ready], None]] = []
 
     def subscribe(self, callback: Callable[[Ready], None]) -> None:
-        """Be told when the instance has become ready.
+        """Call back when the instance becomes ready.
 
         :param callback: called once
         """
         self._subscribers.append(callback)
 
     def readiness(self) -> Readiness:
-        """Judge.
+        """Return whether the instance is ready, with the reason if not.
 
         :return: ready, or why not
         """
         return self._ready or self._reason()
 
     def is_ready(self) -> bool:
-        """Judge.
+        """Return whether the instance is ready.
 
         :return: whether the instance is ready
         """
@@ -94,11 +94,11 @@
     def note_peer(
         self, peer: ids.InstanceId, differing: int, is_ready: bool
     ) -> None:
-        """Take in how a comparison with another instance went.
+        """Record the result of a comparison with another instance.
 
-        :param peer: which instance
-        :param differing: how many buckets hold something newer there
-        :param is_ready: whether it is ready itself
+        :param peer: the other instance
+        :param differing: the number of buckets with newer values there
+        :param is_ready: whether the other instance is ready itself
         """
         if not is_ready:
             return
@@ -118,8 +118,8 @@
             return
         now_seconds = self._timers.now_seconds()
         waited_seconds = now_seconds - whole_read_seconds
-        # A lagging copy of the platform may still have a key that was
-        # withdrawn.
+        # A replica of the platform that lags may still hold an API key that
+        # has been revoked, so a peer with newer values is waited for.
         peer_seconds = self._ready_peer_seconds
         limit_seconds = (
             ALONE_SECONDS if peer_seconds is None else DIFFERING_SECONDS
@@ -141,13 +141,13 @@
             if not len(self._tree):
                 return NotReady(
                     reason="nothing_published",
-                    remedy="publish the tree; the platform's is empty",
+                    remedy="publish a configuration; the platform has none",
                 )
         elif self._ready_peer_seconds is None and self._is_overdue():
             return NotReady(
                 reason="no_source",
-                remedy="bring back the platform's configuration service, or"
-                " an instance that is ready and can be reached from here",
+                remedy="restore the platform's configuration service, or the"
+                " connection to an instance that is ready",
             )
         return NotReady(
             reason="asking",
--- a/src/boragefold/coordination/configuration/service.py
+++ b/src/boragefold/coordination/configuration/service.py
@@ -1,4 +1,4 @@
-"""The published configuration of one instance, put together."""
+"""Assembles the parts that keep an instance's configuration up to date."""
 
 from __future__ import annotations
 
@@ -30,23 +30,24 @@
 from boragefold.telemetry import counters as telemetry
 from boragefold.timing import timers as timing
 
-# How soon a lost message is noticed.
+# Bounds how long a lost message goes unnoticed.
 COMPARE_PERIOD_SECONDS = 1.0
-# A fresh instance serves nobody until it is ready.
+# Shorter, because a starting instance serves nobody until it is ready.
 FRESH_PERIOD_SECONDS = 0.5
-# The readers of a data centre compare themselves with another one this often.
+# How often a data centre's steward and deputy compare with another one.
 REMOTE_EVERY_TICKS = 2
-# An older mark may have come from a peer meanwhile.
+# An unchanged list is processed again after this, because a peer may have
+# sent an older mark in the meantime.
 SAME_LIST_SECONDS = 5.0
-# Fresh instances without a view spread their first calls over this.
+# Spreads the first calls of starting instances that have no view.
 ALONE_SPREAD_SECONDS = 4.0
 
 
 class Status(NamedTuple):
-    """What an operator asks first.
+    """The state of the configuration, for operators.
 
-    ``heard_seconds_ago`` tells how long ago this instance, or whoever told
-    it, had an answer from the platform; None for never.
+    ``heard_seconds_ago`` is the age of the platform's last answer to this
+    instance or to a peer that reported it; None without any answer.
     """
 
     readiness: judging.Readiness
@@ -59,7 +60,7 @@
 
 
 class Configuration:
-    """Keeps the tree up to date, from the platform or from other instances."""
+    """Keeps the tree up to date from the platform and from peers."""
 
     def __init__(
         self,
@@ -128,15 +129,15 @@
         self._judge.subscribe(_log_ready)
 
     def start(self) -> None:
-        """Begin to read and to compare."""
+        """Start reading the platform and comparing with peers."""
         self._peers.subscribe(self._take_role)
         self._take_role()
         self._tick()
 
     def note_listing(self, listing: platform_api.Listing) -> None:
-        """Learn from the platform's list; subscribe this to its poller.
+        """Process the platform's list; to be subscribed to its poller.
 
-        :param listing: the list
+        :param listing: the platform's list
         """
         now_seconds = self._timers.now_seconds()
         seen_revision, seen_seconds = self._listing_seen
@@ -150,7 +151,7 @@
         self._leaving.note_listing(listing)
 
     def readiness(self) -> judging.Readiness:
-        """Tell whether callers can be answered from this configuration.
+        """Return whether callers can be answered from this configuration.
 
         :return: ready, or why not and what to do
         """
@@ -159,14 +160,14 @@
     def subscribe_ready(
         self, callback: Callable[[judging.Ready], None]
     ) -> None:
-        """Be told when the instance has become ready.
+        """Call back when the instance becomes ready.
 
         :param callback: called once
         """
         self._judge.subscribe(callback)
 
     def status(self) -> Status:
-        """Sum up for an operator.
+        """Summarize the configuration for an operator.
 
         :return: the status
         """
@@ -203,7 +204,7 @@
         else:
             self._compare(self._peers.any())
             period_seconds = FRESH_PERIOD_SECONDS
-        # Jitter: instances started together don't stay in step.
+        # Jitter: instances that start together must not compare in lockstep.
         delay_seconds = period_seconds * self._random.uniform(0.8, 1.2)
         self._timers.once(delay_seconds=delay_seconds, callback=self._tick)
 
@@ -255,7 +256,7 @@
 
 def _log_rejection(path: str, rejection: rejecting.Rejection) -> None:
     logging.warning(
-        "revision %d of %s was not put into force: %s; %s",
+        "rejected revision %d of %s: %s; %s",
         rejection.revision,
         path,
         rejection.rejected.reason,
@@ -264,7 +265,7 @@
 
 
 def _log_ready(ready: judging.Ready) -> None:
-    logging.info("the configuration is ready, from the %s", ready.source)
+    logging.info("the configuration is ready (source: %s)", ready.source)
 
 
 __all__ = [
--- a/src/boragefold/coordination/configuration/transfer.py
+++ b/src/boragefold/coordination/configuration/transfer.py
@@ -1,4 +1,4 @@
-"""Values in pieces that fit a message."""
+"""Splits configuration values into messages and reassembles them."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from boragefold.protocol import ids
 from boragefold.state import tree as trees
 
-# Small enough not to hold heartbeats up.
+# Small enough not to delay heartbeats.
 CHUNK_BYTES = 32 * 1024
-# The largest value, and what packing may add.
+# The size limit of a value, plus the overhead that packing may add.
 MAX_PACKED_BYTES = (1 << 20) + (1 << 12)
-# Bounds the memory.
+# Bounds the memory for incomplete values.
 MAX_UNFINISHED = 8
 
 
 class Assembled(NamedTuple):
-    """A whole value: JSON, or None after a deletion."""
+    """A complete value: JSON, or None after a deletion."""
 
     path: str
     revision: int
@@ -30,12 +30,12 @@
 def split(
     path: str, entry: trees.Entry, since_seconds: float
 ) -> Iterator[messages.ConfigurationValue]:
-    """Cut a value into pieces.
+    """Split a value into chunks, each in a message of its own.
 
-    :param path: where it stands
-    :param entry: what is in force there
-    :param since_seconds: when it came into force first, by the calendar
-    :return: one piece at least
+    :param path: the configuration path
+    :param entry: the published value of the path
+    :param since_seconds: when it first came into force, in calendar time
+    :return: at least one message
     """
     packed = entry.packed
     whole = messages.ConfigurationValue(
@@ -65,7 +65,7 @@
 
 
 class Assembler:
-    """Puts pieces together again, in any order and doubled or not."""
+    """Reassembles chunks, which may be out of order or duplicated."""
 
     def __init__(self) -> None:
         self._unfinished: collections.OrderedDict[_Key, _Unfinished] = (
@@ -75,14 +75,14 @@
     def add(
         self, sender: ids.InstanceId, value: messages.ConfigurationValue
     ) -> Assembled | None:
-        """Take a piece.
+        """Add a chunk.
 
-        A lost piece leaves the value unfinished; the next comparison asks
-        for the whole value again, and the pieces kept here still count.
+        A lost chunk leaves the value incomplete. The next comparison requests
+        the whole value again, and the chunks already received are reused.
 
-        :param sender: who sent it
-        :param value: the piece
-        :return: the value when this piece completed it
+        :param sender: the instance that sent the chunk
+        :param value: the message with the chunk
+        :return: the value if this chunk completed it
         """
         if value.chunk is None:
             return _assembled(value, None)
--- a/src/boragefold/coordination/configuration/watching.py
+++ b/src/boragefold/coordination/configuration/watching.py
@@ -1,4 +1,4 @@
-"""Follows the platform's tree."""
+"""Watches the platform's configuration tree for changes."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from boragefold.telemetry import counters as telemetry
 from boragefold.timing import timers as timing
 
-# Joins the changes of a burst, within the platform's limit of calls.
+# Batches bursts of changes and respects the platform's rate limit.
 MIN_GAP_SECONDS = 0.25
-# Instances without a view all read, so each reads less often.
+# Without a view every instance reads, so each one reads less often.
 ALONE_GAP_SECONDS = 2.0
-# A connection may go silent for good.
+# Times out a watch whose connection has stalled.
 ANSWER_LIMIT_SECONDS = readers.WATCH_SECONDS + 5.0
 FIRST_RETRY_SECONDS = 0.5
 LONGEST_RETRY_SECONDS = 8.0
-# A platform that was away may have been restored from a backup, and hand out
-# revisions again that our cursor has passed.
+# After an outage the platform may have been restored from a backup and may
+# reuse revisions that the cursor has already passed.
 REREAD_AFTER_SECONDS = 5.0
 
 WHOLE_TREE = 0
 
-# Takes the changes of an answer, and a callback for when that is done.
+# Applies the changes of an answer, then calls the given callback.
 Take = Callable[
     [tuple[platform_api.PublishedChange, ...], Callable[[], None]], None
 ]
 
 
 class TreeWatcher:
-    """Keeps one watch waiting at the platform while it is active."""
+    """Keeps one long-poll request open at the platform while active."""
 
     def __init__(
         self,
@@ -59,28 +59,28 @@
 
     @property
     def active(self) -> bool:
-        """Tell whether a watch is kept waiting.
+        """Return whether a long-poll request is kept open.
 
-        :return: whether it is
+        :return: whether the watcher is active
         """
         return self._active
 
     @property
     def failing(self) -> bool:
-        """Tell whether the last call failed.
+        """Return whether the last call failed.
 
-        :return: whether it did
+        :return: whether it failed
         """
         return self._failing_since_seconds is not None
 
     def start(self, *, gap_seconds: float, delay_seconds: float = 0.0) -> None:
-        """Begin to follow, with the whole tree first.
+        """Start watching, with a read of the whole tree first.
 
-        What we hold came from peers, path by path, so no single revision
-        tells what we have not seen.
+        Peers sent the values held so far path by path, so no single revision
+        describes which changes are missing.
 
-        :param gap_seconds: the shortest time between two calls
-        :param delay_seconds: how long to wait before the first call
+        :param gap_seconds: the minimum time between two calls
+        :param delay_seconds: the delay before the first call
         """
         self._gap_seconds = gap_seconds
         if self._active:
@@ -90,7 +90,7 @@
         self._schedule(delay_seconds)
 
     def stop(self) -> None:
-        """Follow no longer; an answer that is still due will be taken."""
+        """Stop watching; a pending answer is still applied."""
         self._active = False
         self._cancel()
 
@@ -132,7 +132,7 @@
                 self._fail(answer.reason)
             return
         self.heard_seconds = self._timers.now_seconds()
-        # A late answer is safe: the tree takes only what is newer.
+        # A late answer is safe: the tree ignores values that aren't newer.
         self._take(
             answer.changes, lambda: self._taken(number, after_revision, answer)
         )
@@ -153,8 +153,8 @@
         self, answer: platform_api.WatchResult, now_seconds: float
     ) -> None:
         if answer.revision < self._after_revision:
-            # A cursor ahead of another copy, or of a restored one, would hide
-            # its changes.
+            # A cursor ahead of another or a restored replica of the platform
+            # would hide that replica's changes.
             self._counters.add("platform_went_back")
         self._after_revision = answer.revision
         since_seconds = self._failing_since_seconds
--- a/src/boragefold/coordination/once/asking.py
+++ b/src/boragefold/coordination/once/asking.py
@@ -1,4 +1,4 @@
-"""One attempt, or one question, on its way through a ticket's registers."""
+"""One run-once attempt, or status query, at the registers of its ticket."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Asking:
-    """Which register is asked now, and what the others have granted.
+    """The register that is queried now, and those that granted the attempt.
 
-    ``sealing`` tells that the registers are asked never to grant the ticket,
-    rather than to grant it to this attempt.
+    ``sealing`` tells that the registers are asked to refuse the ticket from
+    now on, rather than to grant it to this attempt.
     """
 
     def __init__(
@@ -39,15 +39,15 @@
         self.timer: timing.Subscription | None = None
 
     def move_to(self, register: ids.InstanceId) -> None:
-        """Ask another register from now on.
+        """Query another register from now on.
 
-        :param register: which
+        :param register: the instance that holds the register
         """
         self.register = register
         self.asks_left = ASKS_PER_REGISTER
 
     def message(self) -> once_messages.Claim | once_messages.Seal:
-        """Write the question to the register.
+        """Build the message to the register.
 
         :return: the message
         """
--- a/src/boragefold/coordination/once/attempt_handler.py
+++ b/src/boragefold/coordination/once/attempt_handler.py
@@ -1,4 +1,4 @@
-"""What an attempt to run a ticket is told of its permission."""
+"""Callbacks for the decision whether an attempt may run its ticket."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class AttemptHandler(abc.ABC):
-    """Learns, exactly once, what became of an attempt's permission."""
+    """Receives exactly one decision for each attempt."""
 
     @abc.abstractmethod
     def go(self, attempt: once_messages.Attempt) -> None:
-        """Send now; both registers have recorded the attempt.
+        """Send the request now; every register has recorded the attempt.
 
         :param attempt: to be given to ``finished`` or ``release`` later
         """
 
     @abc.abstractmethod
     def replay(self, answer: once_messages.StoredAnswer) -> None:
-        """Pass on the answer of an earlier attempt; nothing runs.
+        """Return the answer of an earlier attempt without running again.
 
-        :param answer: what the endpoint answered then
+        :param answer: the endpoint's answer to the earlier attempt
         """
 
     @abc.abstractmethod
--- a/src/boragefold/coordination/once/reach.py
+++ b/src/boragefold/coordination/once/reach.py
@@ -1,20 +1,20 @@
-"""Which data centres answered lately, for choosing second registers."""
+"""Tracks unresponsive data centres for the choice of second registers."""
 
 from __future__ import annotations
 
 from boragefold.protocol import ids
 from boragefold.timing import timers as timing
 
-# A silent data centre is tried again after this.
+# An unresponsive data centre is tried again after this time.
 SUSPECT_SECONDS = 10.0
 
 
 class Reach:
-    """Remembers silence, by data centre.
+    """Remembers which data centres didn't answer lately.
 
-    The views of a data centre that is cut off stay in the directory. Tickets
-    that name a register there can't run, so without this every payout would
-    be refused for as long as the cut lasts.
+    The directory keeps the views of a data centre that is partitioned off.
+    Tickets that name a register there can't run, so without this class every
+    run-once request would be refused for as long as the partition lasts.
     """
 
     def __init__(self, *, timers: timing.TimerService) -> None:
@@ -22,25 +22,25 @@
         self._silent_at_seconds: dict[str, float] = {}
 
     def note_silent(self, instance: ids.InstanceId) -> None:
-        """Note that an instance gave no answer.
+        """Record that an instance didn't answer.
 
-        :param instance: which
+        :param instance: the instance
         """
         now_seconds = self._timers.now_seconds()
         self._silent_at_seconds[instance.data_centre] = now_seconds
 
     def note_heard(self, instance: ids.InstanceId) -> None:
-        """Note that an instance answered.
+        """Record that an instance answered.
 
-        :param instance: which
+        :param instance: the instance
         """
         self._silent_at_seconds.pop(instance.data_centre, None)
 
     def is_suspect(self, instance: ids.InstanceId) -> bool:
-        """Tell whether an instance's data centre was silent lately.
+        """Return whether an instance's data centre didn't answer lately.
 
-        :param instance: which
-        :return: whether to choose another
+        :param instance: the instance
+        :return: whether to prefer an instance of another data centre
         """
         at_seconds = self._silent_at_seconds.get(instance.data_centre)
         if at_seconds is None:
--- a/src/boragefold/coordination/once/register.py
+++ b/src/boragefold/coordination/once/register.py
@@ -1,4 +1,4 @@
-"""The register: records one attempt per ticket, ever."""
+"""The register, which records at most one attempt for each ticket."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from boragefold.telemetry import counters as telemetry
 from boragefold.timing import timers as timing
 
-# No record is forgotten while its ticket could still be granted.
+# A record outlives the time in which its ticket could still be granted.
 RETENTION_SECONDS = 3 * tickets.TICKET_LIFETIME_SECONDS
-# Bounds the memory.
+# Bounds the memory, like the byte limits below.
 MAX_RECORDS = 30_000
 MAX_ANSWER_BYTES = 16_384
 MAX_ALL_ANSWERS_BYTES = 8_388_608
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Record:
-    """What is known of one ticket; a sealed one has no attempt."""
+    """The state of one ticket; a sealed ticket has no attempt."""
 
     attempt: once_messages.Attempt | None
     digest: str
@@ -32,7 +32,7 @@
 
 
 class Register:
-    """The records of the tickets that name this incarnation."""
+    """The records of the tickets that name this process as a register."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         return len(self._records)
 
     def claim(self, claim: once_messages.Claim) -> once_messages.ClaimReply:
-        """Record an attempt, or say why not.
+        """Record an attempt, or return why it is refused.
 
         :param claim: the attempt
         :return: ``granted`` only for the first attempt of a ticket
@@ -72,7 +72,7 @@
         return self._reply(claim, verdict, record)
 
     def seal(self, seal: once_messages.Seal) -> once_messages.ClaimReply:
-        """Refuse every later claim of a ticket, unless one was granted.
+        """Refuse all later claims of a ticket, unless one was granted.
 
         :param seal: the ticket
         :return: ``sealed``, or ``taken`` by an earlier attempt
@@ -88,7 +88,7 @@
         return self._reply(seal, verdict, record)
 
     def release(self, release: once_messages.Release) -> None:
-        """Forget an attempt that sent nothing and never will.
+        """Delete the record of an attempt that sent nothing and never will.
 
         :param release: the attempt
         """
@@ -97,7 +97,7 @@
             self._drop(release.serial)
 
     def store(self, store: once_messages.Store) -> None:
-        """Keep the answer of a recorded attempt.
+        """Store the answer of a recorded attempt.
 
         :param store: the answer
         """
@@ -129,11 +129,11 @@
             return "sealed"
         if record.digest != claim.digest:
             return "mismatch"
-        # Idempotent for a repeated message of the same attempt.
+        # A repeated message of the recorded attempt gets the same verdict.
         return "granted" if record.attempt == claim.attempt else "taken"
 
     def _names_us(self, ticket: once_messages.Ticket) -> bool:
-        # A restarted process has our address and none of our records.
+        # A restarted process has the same address but none of the records.
         self_id = self._link.self_id
         if ticket.first == self_id:
             return self._office.minted(ticket)
--- a/src/boragefold/coordination/once/runner.py
+++ b/src/boragefold/coordination/once/runner.py
@@ -1,4 +1,4 @@
-"""The runner: takes an attempt through both registers of its ticket."""
+"""Takes each attempt to run a ticket through the ticket's registers."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from boragefold.telemetry import counters as telemetry
 from boragefold.timing import timers as timing
 
-# A round trip between data centres, with a busy peer.
+# Covers a round trip between data centres to a busy peer.
 ASK_TIMEOUT_SECONDS = 0.4
-# Why a ticket hasn't run, by a register's verdict.
+# Maps a register's verdict to the reason why the ticket hasn't run.
 NOT_RUN_REASONS = {
     "sealed": "ticket_sealed",
     "foreign": "ticket_foreign",
@@ -28,7 +28,7 @@
 
 
 class Runner:
-    """Runs attempts of this instance, one number each."""
+    """Runs the attempts of this instance, each with a number of its own."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
     def open_attempts(self) -> int:
         """Count the attempts whose outcome isn't known yet.
 
-        :return: attempts on their way to a register or an endpoint
+        :return: attempts that wait for a register or an endpoint
         """
         return len(self._asking) + len(self._tickets)
 
@@ -71,9 +71,9 @@
         """Try to run a ticket.
 
         :param ticket: as the caller sent it
-        :param digest: of the request, so that a ticket runs only one
-        :param give_up_at_seconds: the clock reading after which not to send
-        :param handler: learns the decision
+        :param digest: of the request, so that a ticket runs one request only
+        :param give_up_at_seconds: the clock time after which not to send
+        :param handler: receives the decision
         """
         self._start(ticket, digest, give_up_at_seconds, handler, sealing=False)
 
@@ -84,14 +84,14 @@
         give_up_at_seconds: float,
         handler: attempt_handler.AttemptHandler,
     ) -> None:
-        """Find out what became of a ticket, without running it.
+        """Find out the outcome of a ticket without running it.
 
-        A ticket that was never claimed is sealed, so that "not run" stays
-        true however late a delayed attempt arrives.
+        A ticket that was never claimed is sealed, so that "not run" remains
+        true even if a delayed attempt arrives later.
 
         :param ticket: as the caller sent it
-        :param give_up_at_seconds: the clock reading after which to stop
-        :param handler: learns the outcome; never told to go
+        :param give_up_at_seconds: the clock time after which to stop
+        :param handler: receives the outcome; its ``go`` is never called
         """
         self._start(ticket, "", give_up_at_seconds, handler, sealing=True)
 
@@ -100,10 +100,10 @@
         attempt: once_messages.Attempt,
         answer: once_messages.StoredAnswer,
     ) -> None:
-        """Keep the answer of an attempt at its registers.
+        """Store the answer of an attempt at its registers.
 
         :param attempt: from ``go``
-        :param answer: the whole answer of the endpoint
+        :param answer: the complete answer of the endpoint
         """
         ticket = self._tickets.pop(attempt)
         store = once_messages.Store(ticket.serial, attempt, answer)
@@ -111,9 +111,9 @@
             self._teller.tell(register, store)
 
     def release(self, attempt: once_messages.Attempt) -> None:
-        """Give an attempt up that sent no byte.
+        """Release an attempt of which no byte was sent.
 
-        The attempt is forgotten here first: from then on nothing can send it.
+        This instance forgets the attempt first, so nothing can send it later.
 
         :param attempt: from ``go``
         """
@@ -123,7 +123,7 @@
             self._teller.tell(register, release)
 
     def lost(self, attempt: once_messages.Attempt) -> None:
-        """Leave an attempt recorded whose outcome nobody knows.
+        """Keep the record of an attempt whose outcome can't be determined.
 
         :param attempt: from ``go``
         """
@@ -196,7 +196,8 @@
             return
         del self._asking[asking.attempt]
         self._tickets[asking.attempt] = asking.ticket
-        # The process may have slept, and the caller been told something else.
+        # The process may have been suspended until after the deadline, when
+        # the caller has already had another outcome.
         if self._timers.now_seconds() > asking.give_up_at_seconds:
             self.release(asking.attempt)
             self._end_not_run(asking, "deadline")
@@ -235,8 +236,8 @@
             del self._asking[asking.attempt]
             self._end_unknown(asking, "registers_unreachable")
             return
-        # Nothing can run without the second register, so sealing there makes
-        # "not run" true.
+        # Nothing can run without the second register, so sealing the ticket
+        # there guarantees that it won't run.
         asking.sealing = True
         asking.move_to(second)
         self._ask_register(asking)
@@ -250,8 +251,8 @@
             self._end_unknown(asking, "registers_unreachable")
 
     def _give_back(self, asking: askings.Asking) -> None:
-        # Released even where the reply was lost, so that a repeat isn't
-        # refused.
+        # The second register is released too, because it may have granted the
+        # attempt in a reply that was lost, and would then refuse a repeat.
         if not asking.claimed_at:
             return
         release = once_messages.Release(asking.ticket.serial, asking.attempt)
--- a/src/boragefold/coordination/once/telling.py
+++ b/src/boragefold/coordination/once/telling.py
@@ -1,4 +1,4 @@
-"""Telling registers what became of an attempt, until they acknowledge."""
+"""Sends the outcome of attempts to registers until they acknowledge it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from boragefold.protocol import once_messages
 from boragefold.timing import timers as timing
 
-# Repeated until acknowledged, for longer than most partitions last.
+# Retries until acknowledged, for longer than most partitions last.
 RETELL_SECONDS = 2.0
 RETELLS = 15
 
@@ -16,7 +16,7 @@
 
 
 class Teller:
-    """Repeats releases and answers; both may arrive twice."""
+    """Retries release and store messages, which are both idempotent."""
 
     def __init__(
         self,
@@ -35,10 +35,10 @@
         link.subscribe(once_messages.Stored, self._on_told)
 
     def tell(self, register: ids.InstanceId, told: Told) -> None:
-        """Begin to tell a register.
+        """Start sending an outcome to a register.
 
-        :param register: which, perhaps our own
-        :param told: what became of an attempt
+        :param register: the instance that holds it, possibly this one
+        :param told: the outcome of an attempt
         """
         if register == self._link.self_id:
             self._tell_ourselves(told)
--- a/src/boragefold/coordination/once/tickets.py
+++ b/src/boragefold/coordination/once/tickets.py
@@ -1,4 +1,4 @@
-"""Minting, writing and reading tickets."""
+"""Issues, encodes and decodes the tickets of run-once requests."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 PREFIX = "bf1."
 SERIAL_BYTES = 16
 SEAL_BYTES = 16
-# Covers a caller that restarts.
+# Long enough for a caller to restart and repeat its request.
 TICKET_LIFETIME_SECONDS = 600.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unreadable:
-    """A text that is no ticket of ours."""
+    """The text isn't a ticket that this system issues."""
 
     remedy: str = "fetch a ticket with POST /v1/tickets and send it unchanged"
 
 
 class TicketOffice:
-    """Mints the tickets whose first register is this instance."""
+    """Issues the tickets whose first register is this instance."""
 
     def __init__(
         self,
@@ -51,14 +51,14 @@
         self._others = others
         self._reach = reach or reaches.Reach(timers=timers)
         self._new_serial = new_serial
-        # New in each process: no ticket of a predecessor is taken for ours.
+        # New in each process, so tickets of an earlier process aren't valid.
         self._secret = secrets.token_bytes(SEAL_BYTES)
 
     def mint(self, workspace: str) -> once_messages.Ticket:
-        """Make a ticket.
+        """Issue a ticket.
 
         :param workspace: the only workspace that may use it
-        :return: a ticket that names this instance and one more
+        :return: a ticket that names this instance and one other, if any
         """
         serial = self._new_serial()
         ticket = once_messages.Ticket(
@@ -72,18 +72,18 @@
         return ticket._replace(seal=self._seal(ticket))
 
     def minted(self, ticket: once_messages.Ticket) -> bool:
-        """Tell whether this process minted a ticket.
+        """Return whether this process issued a ticket.
 
-        :param ticket: as it came back
-        :return: whether it is ours and unchanged
+        :param ticket: as the caller sent it
+        :return: whether this process issued it and it is unchanged
         """
         expected = self._seal(ticket._replace(seal=b""))
         return hmac.compare_digest(expected, ticket.seal)
 
     def expired(self, ticket: once_messages.Ticket) -> bool:
-        """Tell whether one of our tickets is too old to be run.
+        """Return whether a ticket of this process is too old to run.
 
-        :param ticket: a ticket that we minted
+        :param ticket: a ticket that this process issued
         :return: whether its lifetime is over
         """
         age_seconds = self._timers.now_seconds() - ticket.issued_at_seconds
@@ -95,7 +95,7 @@
         answering = [
             other for other in others if not self._reach.is_suspect(other)
         ]
-        # Both registers must not be lost with one data centre.
+        # The loss of one data centre must not take both registers.
         elsewhere = [each for each in answering if each.data_centre != here]
         candidates = elsewhere or answering or others
         return max(
@@ -115,7 +115,7 @@
 
 
 def write(ticket: once_messages.Ticket) -> str:
-    """Write a ticket as callers see it.
+    """Encode a ticket for callers.
 
     :param ticket: the ticket
     :return: an opaque text that fits in a header
@@ -125,10 +125,10 @@
 
 
 def read(text: str) -> once_messages.Ticket | Unreadable:
-    """Read a ticket that a caller sent.
+    """Decode a ticket that a caller sent.
 
     :param text: the value of ``Idempotency-Key``
-    :return: the ticket, unverified, or that the text is none
+    :return: the unverified ticket, or ``Unreadable`` if the text is none
     """
     if not text.startswith(PREFIX):
         return Unreadable()
--- a/tests/coordination/configuration/test_distribution.py
+++ b/tests/coordination/configuration/test_distribution.py
@@ -14,8 +14,8 @@
 
 
 def test_a_withdrawn_key_stops_working_everywhere_at_once() -> None:
-    # A key leaks and is withdrawn. A caller that holds it may come in
-    # through any instance; the brief allows seconds.
+    # A leaked key is revoked. A caller that has it may use any instance, and
+    # the requirement is that all of them refuse it within seconds.
     scene = scenes.Scene()
     digest = example_tree.digest(scene.example.keys["quadro/workspace-0"])
     told: list[str] = []
@@ -35,9 +35,9 @@
     "network", [{"loss": 0.2}, {"doubling": 0.5}, {"loss": 0.1, "doubling": 1}]
 )
 def test_lost_and_doubled_messages_delay_a_change_by_little(network) -> None:
-    # A switch drops one message in five, or doubles them. The steward's
-    # push is not repeated; without the deputy and the comparisons an
-    # instance would go on with the old value until the next change.
+    # The network drops one message in five, or duplicates messages. The
+    # steward's push is not retried; without the deputy and the comparisons an
+    # instance would keep the old value until the next change.
     scene = scenes.Scene(**network)
     for round_number in range(10, 20):
         revision = scene.put_store(round_number)
@@ -48,8 +48,8 @@
 
 @pytest.mark.parametrize("role", [peers.Role.STEWARD, peers.Role.DEPUTY])
 def test_a_killed_reader_holds_up_no_change(role: peers.Role) -> None:
-    # The instance that reads the platform dies, and the view goes on with
-    # it for three seconds. A change comes in just then.
+    # The instance that reads the platform fails, and the view still lists it
+    # for three seconds, during which a change is published.
     scene = scenes.Scene()
     for data_centre in DATA_CENTRES:
         scene.fleet.kill(scene.reader(data_centre, role))
@@ -60,18 +60,18 @@
 
 
 def test_the_deputy_alone_brings_a_change_to_a_large_data_centre() -> None:
-    # Fifteen instances, and the one that passes changes on has just died.
-    # Comparing with one other instance a second takes four seconds to reach
-    # all; a withdrawn key may not work for that long.
+    # The steward of fifteen instances has just failed. One comparison a
+    # second with one peer takes four seconds to reach all of them, which is
+    # too long for a revoked key.
     scene = scenes.Scene(data_centres=("east",), instances=15)
     scene.fleet.kill(scene.reader("east", peers.Role.STEWARD))
     assert scene.settle_on(scene.put_store(9)) < 1.0
 
 
 def test_an_invalid_subtree_stays_out_while_the_others_go_on() -> None:
-    # An operator publishes a store without limits and a good data centre
-    # document. The first must not come into force on any instance, nor keep
-    # the second from it, and the operator must be able to see why.
+    # An operator publishes an invalid store document and a valid data centre
+    # document. Every instance must reject the first, apply the second and
+    # show the operator the reason.
     scene = scenes.Scene()
     before = scene.loads_in_flight()
     bad = scene.platform.put(STORE, {"loads_per_second": 0})
@@ -99,10 +99,10 @@
 def test_a_platform_back_with_an_older_copy_undoes_nothing(
     down_seconds: float, changes_while_down: int
 ) -> None:
-    # The platform is restored from a backup of ten minutes ago and shows the
-    # former limit again. Its next changes use revisions that were used
-    # before, and may have passed the readers' place in the sequence before
-    # these see it again. They have to come into force all the same.
+    # The platform is restored from a backup that is ten minutes old and
+    # returns the previous limit. Its next changes reuse revisions, and may
+    # exceed the readers' cursor before they read again. These changes must
+    # come into force nevertheless.
     scene = scenes.Scene()
     backup = scene.platform.snapshot()
     newest = max(scene.put_store(limit) for limit in (9, 10, 11))
@@ -129,9 +129,9 @@
 
 
 def test_readers_of_a_lagging_copy_do_not_go_back() -> None:
-    # The service answers from several copies; one data centre's readers are
-    # moved to a copy that is a minute behind. Its instances had the newest
-    # value already, and must keep it and go on to get the next.
+    # The platform has several replicas, and the readers of one data centre
+    # switch to one that lags by a minute. Its instances must keep the newest
+    # value, which they already have, and still receive the next one.
     scene = scenes.Scene()
     scene.settle_on(scene.put_store(9))
     for instance in scene.fleet.of("west"):
@@ -145,8 +145,8 @@
 
 
 def test_news_travels_over_peers_where_the_platform_cannot_be_seen() -> None:
-    # Two data centres lose the platform; the third still sees it. A change
-    # has to reach them over their peers.
+    # Two data centres lose the platform while the third can still read it. A
+    # change must reach them through their peers.
     scene = scenes.Scene()
     scene.cut_from_platform("west", "south")
     scene.network.run_for(30.0)
@@ -154,8 +154,8 @@
 
 
 def test_news_spreads_over_many_data_centres_in_few_rounds() -> None:
-    # One data centre of sixteen sees the platform. Each comparing with one
-    # other each two seconds takes long to reach the last.
+    # Only one data centre of sixteen can read the platform. If each one
+    # compares with one other every two seconds, the last one waits too long.
     names = [f"dc{number}" for number in range(16)]
     scene = scenes.Scene(data_centres=names, instances=2)
     scene.cut_from_platform(*names[1:])
@@ -167,9 +167,9 @@
 
 
 def test_news_of_the_time_of_a_cut_is_made_up_for_without_the_platform():
-    # A data centre is cut off while a change is made. The cut between the
-    # data centres heals, that from the platform doesn't, and nothing new is
-    # published that could bring the change along.
+    # A data centre is partitioned off while a change is made. It reaches the
+    # other data centres again but not the platform, and no later change is
+    # published that would trigger another push.
     scene = scenes.Scene()
     scene.cut("west")
     scene.cut_from_platform("west")
@@ -180,9 +180,9 @@
 
 
 def test_a_data_centre_cut_off_from_all_keeps_what_it_had() -> None:
-    # A data centre loses the platform and the other data centres. It goes on
-    # with the last good configuration, tells how old its knowledge is, and
-    # catches up when the cut heals.
+    # A data centre loses the platform and the other data centres. It keeps
+    # the last valid configuration, reports the age of its data and catches up
+    # when the partition ends.
     scene = scenes.Scene()
     scene.settle_on(scene.put_store(9))
     scene.cut("west")
@@ -199,8 +199,8 @@
 
 
 def test_a_silent_watch_is_given_up_and_repeated() -> None:
-    # Something between a reader and the platform loses track of the open
-    # connection. The watch is never answered, and nothing says so.
+    # A device between a reader and the platform drops the state of the open
+    # connection, so the long poll is never answered and no error is seen.
     scene = scenes.Scene()
     scene.platform.faults.silent = True
     revision = scene.put_store(9)
--- a/tests/coordination/configuration/test_leaving.py
+++ b/tests/coordination/configuration/test_leaving.py
@@ -9,7 +9,7 @@
 
 
 class Scene(scenes.Scene):
-    """A scene with one endpoint, in the tree and in the list."""
+    """A scene with one endpoint in both the tree and the platform's list."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,9 +47,9 @@
 
 
 def test_a_list_that_only_one_instance_saw_is_passed_on() -> None:
-    # An endpoint is about to go. One instance has read the list that says
-    # so; the copies that the others read lag by a minute. They would send it
-    # work that is then cut off.
+    # One instance has read that an endpoint is leaving; the replicas that the
+    # others read lag by a minute. Those would route requests to the endpoint
+    # that are then interrupted.
     scene = Scene()
     scene.let_lists_lag_but("west-1")
     scene.list_endpoint("leaving")
@@ -60,8 +60,8 @@
 
 
 def test_an_endpoint_that_stays_after_all_is_live_again_everywhere() -> None:
-    # The operator takes the mark back, which one instance reads. Peers that
-    # still know the older mark must not bring it back, round after round.
+    # The operator revokes the mark, which one instance reads. Peers that
+    # still hold the older mark must not restore it at each comparison.
     scene = Scene()
     scene.let_lists_lag_but("west-1")
     scene.list_endpoint("leaving")
@@ -74,7 +74,7 @@
 
 
 def test_the_list_speaks_where_the_tree_is_silent_and_the_other_way() -> None:
-    # The list is down; the tree says that the endpoint is leaving.
+    # The list is unavailable, and the tree marks the endpoint as leaving.
     scene = Scene()
     path = "endpoints/east"
     endpoints = scene.platform.documents()[path]
--- a/tests/coordination/configuration/test_readiness.py
+++ b/tests/coordination/configuration/test_readiness.py
@@ -9,8 +9,8 @@
 
 
 def test_without_platform_and_peers_an_instance_says_it_is_not_ready() -> None:
-    # Everything is restarted while the platform is down. Answering callers
-    # from an empty catalogue would refuse every key as unknown.
+    # All instances restart while the platform is down. With an empty
+    # catalogue they would refuse every key as unknown.
     scene = scenes.Scene(ready=False)
     scene.platform.faults.down = True
     scene.fleet.start_all(scenes.DATA_CENTRES, 2)
@@ -25,7 +25,7 @@
 
 
 def test_with_the_platform_down_an_instance_starts_from_a_peer() -> None:
-    # The platform is down for an hour and instances are replaced meanwhile.
+    # Instances are replaced during a long outage of the platform.
     scene = scenes.Scene()
     scene.settle_on(scene.put_store(9))
     scene.platform.faults.down = True
@@ -36,8 +36,8 @@
 
 
 def test_a_rolling_restart_with_the_platform_down_loses_nothing() -> None:
-    # Every instance is replaced, one after the other, during an outage of
-    # the platform; in the end no process is left that ever read it.
+    # Every instance is replaced in turn during an outage of the platform, so
+    # in the end no process remains that has read the platform.
     scene = scenes.Scene()
     revision = scene.put_store(9)
     scene.settle_on(revision)
@@ -59,10 +59,10 @@
 
 
 def test_a_start_from_a_lagging_copy_waits_for_a_peer(monkeypatch) -> None:
-    # A key is withdrawn; a minute later an instance is replaced, and its
-    # calls reach a copy of the platform that is two minutes behind, while
-    # its peers are far away. Ready on that copy alone, it would let the key
-    # in again.
+    # A key is revoked. A minute later an instance is replaced, and reads a
+    # replica of the platform that lags by two minutes, while its peers answer
+    # slowly. If it became ready from that replica alone, it would accept the
+    # revoked key.
     monkeypatch.setattr(service, "ALONE_SPREAD_SECONDS", 0.0)
     scene = scenes.Scene(delay_seconds=(0.4, 0.5))
     scene.network.run_for(200.0)
@@ -91,9 +91,9 @@
 def test_a_value_that_this_release_rejects_does_not_keep_it_from_ready(
     monkeypatch,
 ) -> None:
-    # During a roll to a release that knows a new field, the older release
-    # takes no value with it. A fresh instance of the older release must
-    # still start from a peer, without the subtree it can't read.
+    # During a rollout of a release with a new field, the older release rejects
+    # values with that field. A starting instance of the older release must
+    # still become ready from a peer, without the subtree that it rejects.
     scene = scenes.Scene()
     scene.platform.faults.down = True
     scene.network.run_for(1.0)
--- a/tests/coordination/configuration/test_transfer.py
+++ b/tests/coordination/configuration/test_transfer.py
@@ -46,8 +46,8 @@
 
 
 def test_a_value_that_unpacks_to_gigabytes_is_dropped() -> None:
-    # A damaged or hostile message claims a small value that unpacks to more
-    # memory than the instance has.
+    # A corrupt or malicious message declares a small value that decompresses
+    # to more memory than the instance has.
     packed = zlib.compress(bytes(64 << 20))
     entry = trees.Entry(1, b"digest", packed)
     assembler = transfer.Assembler()
@@ -56,7 +56,7 @@
 
 
 def test_unfinished_values_take_bounded_memory() -> None:
-    # A peer dies after the first piece, again and again.
+    # A peer fails after the first chunk, repeatedly.
     assembler = transfer.Assembler()
     first = pieces()[0]
     for revision in range(100):
--- a/tests/coordination/configuration/test_walk.py
+++ b/tests/coordination/configuration/test_walk.py
@@ -30,7 +30,7 @@
 
 
 class Walk:
-    """Random faults and changes, and what must hold through all of them."""
+    """Applies random faults and changes and checks the invariants."""
 
     def __init__(self, seed: int) -> None:
         self.draw = random.Random(seed)
@@ -68,13 +68,13 @@
         )
 
     def check_start(self, fresh: fleets.FleetInstance) -> None:
-        """Compare a fresh instance with the ready ones beside it."""
+        """Compare a starting instance with the ready ones beside it."""
         others = [
             other
             for other in self.fleet.of(fresh.self_id.data_centre)
             if other.ready and other is not fresh
         ]
-        # What came into force just now may still be on its way.
+        # A change of the last second may not have reached all instances.
         settled_seconds = fleets.EPOCH_SECONDS - 1.0
         settled_seconds += self.scene.network.clock.now_seconds()
         held = [
@@ -118,7 +118,7 @@
         self.scene.cut_from_platform(self.draw.choice(scenes.DATA_CENTRES))
 
     def restore(self) -> None:
-        """Go back to a state of some changes ago, on the same counter."""
+        """Undo the last change and keep counting revisions from there."""
         backup = self.platform.snapshot()
         self.publish()
         self.platform.restore(backup)
@@ -134,14 +134,14 @@
         self.scene.network.run_for(40.0)
 
     def check_end(self) -> None:
-        """All agree, and hold what the platform shows wherever it's newer."""
+        """Check that all agree and hold no older value than the platform."""
         instances = list(self.fleet.instances.values())
         assert all(instance.ready for instance in instances)
         roots = {i.configuration.status().root for i in instances}
         assert len(roots) == 1
         shown: platform_api.WatchResult = self.platform.peek(0)
         for change in shown.changes:
-            # Only those that read the platform meet an invalid value.
+            # Only the instances that read the platform get invalid values.
             rejected = [
                 rejection.revision
                 for instance in instances
@@ -153,11 +153,11 @@
 
 @pytest.mark.parametrize("seed", range(16))
 def test_no_instance_goes_back_and_all_agree_in_the_end(seed: int) -> None:
-    # For two minutes things go wrong at random: the platform goes down,
-    # lags, comes back older; data centres are cut off; readers die; fresh
-    # instances start from lagging copies; changes, some invalid, go on. A
-    # value that was in force must not give way to an older one, on no
-    # instance and on no fresh one beside others that know better.
+    # Random faults for one to two minutes: the platform fails, lags or is
+    # restored from a backup, data centres are partitioned, readers fail, and
+    # instances start from lagging replicas, while changes, some of them
+    # invalid, continue. No instance may replace a value by an older one, and
+    # no starting instance may become ready with older values than its peers.
     walk = Walk(seed)
     walk.run()
     walk.check_end()
--- a/tests/coordination/once/test_runner.py
+++ b/tests/coordination/once/test_runner.py
@@ -1,4 +1,4 @@
-"""Tickets under kills, pauses, cuts, loss, delay and doubling."""
+"""Run-once tickets under kills, pauses, partitions and message faults."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Entry:
-    """One instance; it sends at once when told to go, and keeps a log."""
+    """One instance; it sends as soon as it may, and records each run."""
 
     def __init__(self, net, data_centre, address, runs):
         self.node = net.start(data_centre, address)
@@ -95,7 +95,7 @@
         self.outcome = "replayed"
 
     def not_run(self, reason):
-        # "request_differs" speaks of another request than the one that ran.
+        # "request_differs" refers to another request than the one that ran.
         ran = self.ticket.serial in self.entry.runs
         assert not ran or reason == "request_differs"
         self.outcome = f"not_run:{reason}"
@@ -122,8 +122,8 @@
 
 
 def test_a_repeat_through_another_instance_gets_the_first_answer(fleet):
-    # A caller sends a payout, loses its connection and repeats it; the
-    # balancer picks another instance, which has never heard of the call.
+    # A caller sends a payment, loses its connection and repeats the request,
+    # which the load balancer routes to an instance that has no state of it.
     net, entries, runs = fleet
     ticket = entries[0].office.mint("rights")
     first = entries[1].begin(ticket)
@@ -136,8 +136,8 @@
 
 @pytest.mark.parametrize("killed", ["first", "second", "runner"])
 def test_after_one_death_the_outcome_is_still_known(fleet, killed):
-    # A payout ran. Then one of the instances that took part is killed and
-    # the caller repeats the call: it must neither run again nor be refused.
+    # After a payment ran, one of the instances involved is killed and the
+    # caller repeats the request: it must neither run again nor be refused.
     net, entries, runs = fleet
     ticket = entries[0].office.mint("rights")
     runner = (
@@ -161,15 +161,15 @@
 
 
 def test_an_unused_ticket_of_a_dead_instance_is_not_run_for_good(fleet):
-    # An instance mints a ticket and is killed before its use. The caller is
-    # told "not run"; a delayed first attempt must not make that a lie.
+    # An instance issues a ticket and is killed before its use. The caller is
+    # told "not run", so a delayed first attempt must not run afterwards.
     net, entries, runs = fleet
     ticket = entries[0].office.mint("rights")
     second = by_id(entries, ticket.second)
     late = next(e for e in entries[1:] if e is not second)
     net.pause(late.node)
     late_handler = late.begin(ticket)
-    net.run_for(0.1)  # The first register granted; the runner sleeps.
+    net.run_for(0.1)  # The first register grants; the runner is suspended.
     net.kill(entries[0].node)
     other = next(e for e in entries[1:] if e not in (second, late))
     refused = other.begin(ticket)
@@ -182,8 +182,8 @@
 
 
 def test_a_runner_that_slept_past_its_deadline_does_not_send(fleet):
-    # The runner's loop stops between the registers' answers and the send.
-    # Its caller gave up long ago and may have paid in another way.
+    # The runner is suspended between the registers' replies and the send. Its
+    # caller has given up since and may have paid in another way.
     net, entries, runs = fleet
     ticket = entries[0].office.mint("rights")
     handler = entries[0].begin(ticket, give_up_seconds=10.0)
@@ -196,8 +196,8 @@
 
 
 def test_a_cut_between_data_centres_never_runs_twice(fleet):
-    # Two data centres lose each other. The caller repeats its call on both
-    # sides: one side can't reach both registers and must not run it.
+    # Two data centres are partitioned and the caller repeats its request on
+    # both sides. A side that can't reach both registers must not run it.
     net, entries, runs = fleet
     ticket = entries[0].office.mint("rights")
     net.is_cut = lambda a, b: a.data_centre != b.data_centre
@@ -213,9 +213,9 @@
 
 
 def test_a_data_centre_that_is_cut_off_goes_on_paying(fleet):
-    # A data centre loses all others for minutes. Its first payout names a
-    # register over there and is refused; were the next tickets made in the
-    # same way, it could pay nobody until the cut heals.
+    # A data centre is partitioned off for minutes. Its first payment names a
+    # register elsewhere and is refused; if later tickets did the same, every
+    # payment would be refused until the partition ends.
     net, entries, runs = fleet
     net.is_cut = lambda a, b: (
         "a" in (a.data_centre, b.data_centre)
@@ -257,8 +257,8 @@
 
 
 def test_a_restarted_register_vouches_for_nothing(fleet):
-    # The first register is replaced by a new process at the same address.
-    # It has no records; if it answered, the payout would run again.
+    # A new process replaces the first register at the same address. It has no
+    # records, so a grant from it would run the payment again.
     net, entries, runs = fleet
     ticket = entries[0].office.mint("rights")
     entries[2].begin(ticket)
@@ -277,10 +277,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_random_walk_runs_no_ticket_twice_and_tells_no_lie(seed):
-    # Callers repeat tickets through any instance while messages are lost,
-    # doubled and delayed, data centres are cut, and instances are paused,
-    # woken and killed. Nothing may run twice, and a ticket that ran must
-    # never have been reported as not run by a sealed register.
+    # Callers repeat tickets through random instances while messages are lost,
+    # duplicated and delayed, data centres are partitioned, and instances are
+    # suspended, resumed and killed. No ticket may run twice, and none that ran
+    # may have been reported as not run by a sealed register.
     walk = Walk(seed)
     for _ in range(WALK_STEPS):
         walk.step()
