--- a/src/boragefold/coordination/configuration/distribution.py
+++ b/src/boragefold/coordination/configuration/distribution.py
@@ -28,8 +28,8 @@
 PUSH_BYTES = 64 * 1024
 # Data centres that read the platform themselves have the change by then, so
 # the summaries match.
-RUMOUR_DELAY_SECONDS = 0.7
-RUMOUR_FANOUT = 3
+REMOTE_COMPARE_DELAY_SECONDS = 0.7
+REMOTE_COMPARE_FANOUT = 3
 
 
 class Distribution:
@@ -56,17 +56,17 @@
         self._compare = compare
         self._counters = counters
         # Maps the path of each unsent change to the entry before the change.
-        self._waiting: dict[str, trees.Entry | None] = {}
+        self._unsent: dict[str, trees.Entry | None] = {}
         tree.subscribe(self._changed)
         tree.rejections.subscribe(self._rejected)
         link.subscribe(messages.ConfigurationRejection, self._on_rejection)
 
     def _changed(self, change: trees.Change) -> None:
-        if not self._waiting:
+        if not self._unsent:
             self._timers.once(
                 delay_seconds=PUSH_DELAY_SECONDS, callback=self._flush
             )
-        self._waiting.setdefault(change.path, change.before)
+        self._unsent.setdefault(change.path, change.before)
 
     def _rejected(self, path: str, rejection: rejecting.Rejection) -> None:
         # Only the instances that read the platform receive invalid values,
@@ -96,29 +96,30 @@
         self._tree.rejections.add_told(body.path, rejection)
 
     def _flush(self) -> None:
-        waiting, self._waiting = self._waiting, {}
+        unsent, self._unsent = self._unsent, {}
         role = self._peers.role
         if role is peering.Role.STEWARD:
-            self._push(waiting)
+            self._push(unsent)
         elif role is peering.Role.DEPUTY:
             self._timers.once(
                 delay_seconds=DEPUTY_DELAY_SECONDS,
-                callback=lambda: self._tell(waiting),
+                callback=lambda: self._push_versions(unsent),
             )
         if role in (peering.Role.STEWARD, peering.Role.DEPUTY):
             self._timers.once(
-                delay_seconds=RUMOUR_DELAY_SECONDS, callback=self._spread
+                delay_seconds=REMOTE_COMPARE_DELAY_SECONDS,
+                callback=self._compare_remotely,
             )
 
-    def _push(self, waiting: dict[str, trees.Entry | None]) -> None:
+    def _push(self, unsent: dict[str, trees.Entry | None]) -> None:
         bodies = [
             body
-            for path, before in waiting.items()
+            for path, before in unsent.items()
             if (body := self._patch(path, before)) is not None
         ]
         size_bytes = sum(len(body.entries) for body in bodies)
-        if len(bodies) < len(waiting) or size_bytes > PUSH_BYTES:
-            self._push_values(waiting)
+        if len(bodies) < len(unsent) or size_bytes > PUSH_BYTES:
+            self._push_values(unsent)
             return
         for member in self._peers.members():
             for body in bodies:
@@ -131,7 +132,7 @@
             len(entry.packed or b"") for entry in entries if entry is not None
         )
         if size_bytes > PUSH_BYTES:
-            self._tell(paths)
+            self._push_versions(paths)
             return
         for member in self._peers.members():
             for path in paths:
@@ -163,7 +164,7 @@
             removed=patch.removed,
         )
 
-    def _tell(self, paths: Iterable[str]) -> None:
+    def _push_versions(self, paths: Iterable[str]) -> None:
         versions = [
             messages.PathVersion(
                 path, entry.revision, fingerprints.prefix(entry.digest)
@@ -175,8 +176,8 @@
             self._exchange.send_versions(member, versions)
         self._counters.add("configuration_pushes", "versions")
 
-    def _spread(self) -> None:
-        for _ in range(RUMOUR_FANOUT):
+    def _compare_remotely(self) -> None:
+        for _ in range(REMOTE_COMPARE_FANOUT):
             peer = self._peers.remote()
             if peer is not None:
                 self._compare(peer)
--- a/src/boragefold/coordination/configuration/exchange.py
+++ b/src/boragefold/coordination/configuration/exchange.py
@@ -28,11 +28,11 @@
 # Bounds the size of a message.
 VERSIONS_PER_MESSAGE = 200
 # Bounds the sender's queue; the next comparison requests the remaining values.
-ANSWER_BYTES = 512 * 1024
+MAX_ANSWER_BYTES = 512 * 1024
 
 
 # Bounds the number of peers whose differing buckets are tracked.
-MAX_OPEN = 16
+MAX_COMPARISONS = 16
 
 
 class _Comparison(NamedTuple):
@@ -64,7 +64,7 @@
         self._is_ready = is_ready
         self._reconciled = reconciled
         self._assembler = transfer.Assembler()
-        self._open: dict[ids.InstanceId, _Comparison] = {}
+        self._comparisons: dict[ids.InstanceId, _Comparison] = {}
         link.subscribe(messages.ConfigurationBuckets, self._on_buckets)
         link.subscribe(messages.ConfigurationVersions, self._on_versions)
         link.subscribe(messages.ConfigurationWant, self._on_want)
@@ -112,17 +112,17 @@
         self, sender: ids.InstanceId, body: messages.ConfigurationBuckets
     ) -> None:
         differing = self._fingerprint.differing(body.hashes)
-        self._open[sender] = _Comparison(set(differing), body.ready)
-        if len(self._open) > MAX_OPEN:
-            del self._open[next(iter(self._open))]
+        self._comparisons[sender] = _Comparison(set(differing), body.ready)
+        if len(self._comparisons) > MAX_COMPARISONS:
+            del self._comparisons[next(iter(self._comparisons))]
         self._report(sender)
         self._send_buckets(sender, differing, is_reply=False)
 
     def _report(self, peer: ids.InstanceId) -> None:
-        comparison = self._open[peer]
+        comparison = self._comparisons[peer]
         remaining = len(comparison.buckets)
         if not remaining:
-            del self._open[peer]
+            del self._comparisons[peer]
         self._reconciled(peer, remaining, comparison.is_ready)
 
     def _send_buckets(
@@ -162,9 +162,9 @@
         if wanted:
             want = messages.ConfigurationWant(tuple(wanted))
             self._link.send(to=sender, body=want)
-        elif body.is_reply and sender in self._open:
+        elif body.is_reply and sender in self._comparisons:
             # This instance needs none of the peer's values in these buckets.
-            self._open[sender].buckets.difference_update(body.buckets)
+            self._comparisons[sender].buckets.difference_update(body.buckets)
             self._report(sender)
         if not body.is_reply:
             known = [
@@ -190,7 +190,7 @@
     def _on_want(
         self, sender: ids.InstanceId, body: messages.ConfigurationWant
     ) -> None:
-        budget_bytes = ANSWER_BYTES
+        budget_bytes = MAX_ANSWER_BYTES
         for path in body.paths:
             if budget_bytes <= 0:
                 return
@@ -211,7 +211,7 @@
         )
         if not self._is_wanted(version):
             return
-        data = self._patched(body)
+        data = self._apply_patch(body)
         if data is None:
             # The patch applies to a version that this instance doesn't hold,
             # because an earlier message was lost.
@@ -222,7 +222,7 @@
         self._counters.add("configuration_patches", "applied")
         self._apply(body.path, body.revision, data, body.since_seconds)
 
-    def _patched(self, body: messages.ConfigurationPatch) -> bytes | None:
+    def _apply_patch(self, body: messages.ConfigurationPatch) -> bytes | None:
         entry = self._tree.entry(body.path)
         before = self._tree.data(body.path)
         if entry is None or before is None:
--- a/src/boragefold/coordination/configuration/intake.py
+++ b/src/boragefold/coordination/configuration/intake.py
@@ -10,7 +10,7 @@
 from boragefold.timing import timers as timing
 
 # Validation blocks the event loop and delays the token streams it serves.
-SLICE_BYTES = 64 * 1024
+BATCH_BYTES = 64 * 1024
 PAUSE_SECONDS = 0.01
 
 Done = Callable[[], None]
@@ -39,21 +39,21 @@
         was_idle = not self._queue
         self._queue.extend((*changes, done))
         if was_idle:
-            self._take_slice()
+            self._apply_batch()
 
-    def _take_slice(self) -> None:
-        taken_bytes = 0
-        while self._queue and taken_bytes < SLICE_BYTES:
+    def _apply_batch(self) -> None:
+        applied_bytes = 0
+        while self._queue and applied_bytes < BATCH_BYTES:
             item = self._queue.popleft()
             if isinstance(item, platform_api.PublishedChange):
                 path, revision, data = item
                 self._tree.apply(path=path, revision=revision, data=data)
-                taken_bytes += len(data or b"")
+                applied_bytes += len(data or b"")
             else:
                 item()
         if self._queue:
             self._timers.once(
-                delay_seconds=PAUSE_SECONDS, callback=self._take_slice
+                delay_seconds=PAUSE_SECONDS, callback=self._apply_batch
             )
 
 
--- a/src/boragefold/coordination/configuration/leaving.py
+++ b/src/boragefold/coordination/configuration/leaving.py
@@ -18,7 +18,7 @@
 # Bounds the size of a message.
 MARKS_PER_MESSAGE = 400
 # Revoked marks are shared too, otherwise a peer would restore them.
-UNDONE_PASSED_ON = 256
+MAX_REVOKED_SENT = 256
 
 
 class LeavingNews:
@@ -70,9 +70,9 @@
 
     def _marks(self) -> list[messages.LeavingMark]:
         marks = self._index.marks()
-        undone = [mark for mark in marks if not mark.leaving]
+        revoked = [mark for mark in marks if not mark.leaving]
         leaving = [mark for mark in marks if mark.leaving]
-        return leaving + undone[-UNDONE_PASSED_ON:]
+        return leaving + revoked[-MAX_REVOKED_SENT:]
 
     def _send(
         self,
--- a/src/boragefold/coordination/configuration/peers.py
+++ b/src/boragefold/coordination/configuration/peers.py
@@ -57,7 +57,7 @@
         self._seeds = tuple(seeds)
         self._random = random
         self._listed: tuple[ids.InstanceId, ...] = ()
-        self._own = rights.self_id
+        self._self_id = rights.self_id
 
     @property
     def role(self) -> Role:
@@ -69,9 +69,9 @@
         if view is None:
             return Role.ALONE
         chosen = readers(view)
-        if self._own not in chosen:
+        if self._self_id not in chosen:
             return Role.MEMBER
-        return Role.STEWARD if chosen[0] == self._own else Role.DEPUTY
+        return Role.STEWARD if chosen[0] == self._self_id else Role.DEPUTY
 
     def subscribe(self, callback: Callable[[], None]) -> None:
         """Call back when the role may have changed.
@@ -97,7 +97,7 @@
         :return: the members, none without a valid view
         """
         view = self._rights.valid_view()
-        return () if view is None else self._without_us(view.members)
+        return () if view is None else self._without_self(view.members)
 
     def local(self) -> ids.InstanceId | None:
         """Choose a random instance of the data centre of this instance.
@@ -107,9 +107,9 @@
         members = self.members()
         if not members:
             members = self._known_in(
-                lambda name: name == self._own.data_centre
+                lambda name: name == self._self_id.data_centre
             )
-        return self._draw(members)
+        return self._choose(members)
 
     def remote(self) -> ids.InstanceId | None:
         """Choose a random instance of another data centre.
@@ -123,16 +123,16 @@
         views = {
             name: view
             for name, view in self._rights.directory().items()
-            if name != self._own.data_centre and view.members
+            if name != self._self_id.data_centre and view.members
         }
         if not views:
             foreign = self._known_in(
-                lambda name: name != self._own.data_centre
+                lambda name: name != self._self_id.data_centre
             )
-            return self._draw(foreign)
+            return self._choose(foreign)
         view = views[self._random.choice(sorted(views))]
         candidates = (*readers(view), self._random.choice(view.members))
-        return self._draw(candidates)
+        return self._choose(candidates)
 
     def any(self) -> ids.InstanceId | None:
         """Choose a random instance, more often from the same data centre.
@@ -153,18 +153,18 @@
             view.members for view in self._rights.directory().values()
         )
         known = itertools.chain(viewed, self._listed, self._seeds)
-        return self._without_us(
+        return self._without_self(
             tuple(peer for peer in known if wanted(peer.data_centre))
         )
 
-    def _without_us(
+    def _without_self(
         self, peers: tuple[ids.InstanceId, ...]
     ) -> tuple[ids.InstanceId, ...]:
         return tuple(
-            peer for peer in peers if peer.address != self._own.address
+            peer for peer in peers if peer.address != self._self_id.address
         )
 
-    def _draw(
+    def _choose(
         self, peers: tuple[ids.InstanceId, ...]
     ) -> ids.InstanceId | None:
         return self._random.choice(peers) if peers else None
--- a/src/boragefold/coordination/configuration/readiness.py
+++ b/src/boragefold/coordination/configuration/readiness.py
@@ -12,14 +12,14 @@
 
 # How long a starting instance that has read the platform waits for a peer
 # with newer values.
-ALONE_SECONDS = 3.0
+NO_PEER_SECONDS = 3.0
 # How long it waits for a ready peer whose tree still differs: enough to
 # transfer the whole tree.
-DIFFERING_SECONDS = 10.0
+DIFFERING_PEER_SECONDS = 10.0
 # Peers of the same data centre have answered by then.
 REMOTE_AFTER_SECONDS = 2.0
 # After this time without an answer no source is reachable.
-NO_SOURCE_SECONDS = 5.0
+NO_SOURCE_AFTER_SECONDS = 5.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -108,7 +108,7 @@
         self._heard_local = self._heard_local or is_local
         if differing or not len(self._tree):
             return
-        if is_local or self._may_follow_remote():
+        if is_local or self._may_rely_on_remote():
             self._become_ready("peer")
 
     def check(self) -> None:
@@ -122,7 +122,7 @@
         # has been revoked, so a peer with newer values is waited for.
         peer_seconds = self._ready_peer_seconds
         limit_seconds = (
-            ALONE_SECONDS if peer_seconds is None else DIFFERING_SECONDS
+            NO_PEER_SECONDS if peer_seconds is None else DIFFERING_PEER_SECONDS
         )
         if waited_seconds >= limit_seconds:
             self._become_ready("platform")
@@ -154,13 +154,13 @@
             remedy="wait; the configuration is being fetched",
         )
 
-    def _may_follow_remote(self) -> bool:
+    def _may_rely_on_remote(self) -> bool:
         waited_seconds = self._timers.now_seconds() - self._started_seconds
         return not self._heard_local and waited_seconds >= REMOTE_AFTER_SECONDS
 
     def _is_overdue(self) -> bool:
         waited_seconds = self._timers.now_seconds() - self._started_seconds
-        return waited_seconds >= NO_SOURCE_SECONDS
+        return waited_seconds >= NO_SOURCE_AFTER_SECONDS
 
 
 __all__ = [
--- a/src/boragefold/coordination/configuration/service.py
+++ b/src/boragefold/coordination/configuration/service.py
@@ -130,8 +130,8 @@
 
     def start(self) -> None:
         """Start reading the platform and comparing with peers."""
-        self._peers.subscribe(self._take_role)
-        self._take_role()
+        self._peers.subscribe(self._apply_role)
+        self._apply_role()
         self._tick()
 
     def note_listing(self, listing: platform_api.Listing) -> None:
@@ -181,7 +181,7 @@
             rejections=self._tree.rejections.newest(),
         )
 
-    def _take_role(self) -> None:
+    def _apply_role(self) -> None:
         role = self._peers.role
         if role is peering.Role.MEMBER:
             self._watcher.stop()
@@ -196,7 +196,7 @@
 
     def _tick(self) -> None:
         self._ticks += 1
-        self._take_role()
+        self._apply_role()
         self._judge.check()
         if self._judge.is_ready():
             self._compare_in_turn()
--- a/src/boragefold/coordination/configuration/transfer.py
+++ b/src/boragefold/coordination/configuration/transfer.py
@@ -90,9 +90,9 @@
             return None
         if len(value.chunk) == value.total_bytes:
             return _unpacked(value, value.chunk)
-        return self._add_piece(sender, value, value.chunk)
+        return self._add_chunk(sender, value, value.chunk)
 
-    def _add_piece(
+    def _add_chunk(
         self,
         sender: ids.InstanceId,
         value: messages.ConfigurationValue,
--- a/src/boragefold/coordination/configuration/watching.py
+++ b/src/boragefold/coordination/configuration/watching.py
@@ -97,7 +97,7 @@
     def _schedule(self, delay_seconds: float) -> None:
         self._cancel()
         self._pending = self._timers.once(
-            delay_seconds=delay_seconds, callback=self._call
+            delay_seconds=delay_seconds, callback=self._send_watch
         )
 
     def _cancel(self) -> None:
@@ -105,7 +105,7 @@
             self._pending.cancel()
             self._pending = None
 
-    def _call(self) -> None:
+    def _send_watch(self) -> None:
         self._call_number += 1
         number = self._call_number
         after_revision = self._after_revision
@@ -134,10 +134,11 @@
         self.heard_seconds = self._timers.now_seconds()
         # A late answer is safe: the tree ignores values that aren't newer.
         self._take(
-            answer.changes, lambda: self._taken(number, after_revision, answer)
+            answer.changes,
+            lambda: self._on_applied(number, after_revision, answer),
         )
 
-    def _taken(
+    def _on_applied(
         self,
         number: int,
         after_revision: int,
--- a/src/boragefold/coordination/once/register.py
+++ b/src/boragefold/coordination/once/register.py
@@ -79,7 +79,7 @@
         """
         ticket = seal.ticket
         record = self._records.get(ticket.serial)
-        if not self._names_us(ticket):
+        if not self._names_this_process(ticket):
             return self._reply(seal, "foreign", None)
         if record is None:
             self._record(ticket.serial, None, seal.digest)
@@ -105,14 +105,14 @@
         if record is None or record.attempt != store.attempt:
             return
         if record.answer is None:
-            record.answer = self._fitting(store.answer)
+            record.answer = self._within_limits(store.answer)
             self._answer_bytes += len(record.answer.body or b"")
 
     def _claim_verdict(
         self, claim: once_messages.Claim, record: Record | None
     ) -> str:
         ticket = claim.ticket
-        if not self._names_us(ticket):
+        if not self._names_this_process(ticket):
             return "foreign"
         if record is not None:
             return self._repeat_verdict(claim, record)
@@ -132,7 +132,7 @@
         # A repeated message of the recorded attempt gets the same verdict.
         return "granted" if record.attempt == claim.attempt else "taken"
 
-    def _names_us(self, ticket: once_messages.Ticket) -> bool:
+    def _names_this_process(self, ticket: once_messages.Ticket) -> bool:
         # A restarted process has the same address but none of the records.
         self_id = self._link.self_id
         if ticket.first == self_id:
@@ -165,7 +165,7 @@
             answer=None if record is None else record.answer,
         )
 
-    def _fitting(
+    def _within_limits(
         self, answer: once_messages.StoredAnswer
     ) -> once_messages.StoredAnswer:
         size_bytes = len(answer.body or b"")
--- a/src/boragefold/coordination/once/runner.py
+++ b/src/boragefold/coordination/once/runner.py
@@ -156,15 +156,15 @@
         asking.asks_left -= 1
         message = asking.message()
         if asking.register == self._link.self_id:
-            self._ask_ourselves(message)
+            self._ask_own_register(message)
             return
         asking.timer = self._timers.once(
             delay_seconds=ASK_TIMEOUT_SECONDS,
-            callback=lambda: self._on_silence(asking),
+            callback=lambda: self._on_timeout(asking),
         )
         self._link.send(to=asking.register, body=message)
 
-    def _ask_ourselves(
+    def _ask_own_register(
         self, message: once_messages.Claim | once_messages.Seal
     ) -> None:
         if isinstance(message, once_messages.Seal):
@@ -207,7 +207,7 @@
     def _refused(
         self, asking: askings.Asking, reply: once_messages.ClaimReply
     ) -> None:
-        self._give_back(asking)
+        self._release_claims(asking)
         del self._asking[asking.attempt]
         if reply.answer is not None and reply.verdict != "mismatch":
             self._counters.add("once_outcomes", "replayed")
@@ -217,7 +217,7 @@
         else:
             self._end_not_run(asking, NOT_RUN_REASONS[reply.verdict])
 
-    def _on_silence(self, asking: askings.Asking) -> None:
+    def _on_timeout(self, asking: askings.Asking) -> None:
         if asking.attempt not in self._asking:
             return
         if asking.asks_left > 0:
@@ -226,11 +226,11 @@
             return
         self._reach.note_silent(asking.register)
         if asking.register == asking.ticket.first:
-            self._first_is_silent(asking)
+            self._first_timed_out(asking)
         else:
-            self._second_is_silent(asking)
+            self._second_timed_out(asking)
 
-    def _first_is_silent(self, asking: askings.Asking) -> None:
+    def _first_timed_out(self, asking: askings.Asking) -> None:
         second = asking.ticket.second
         if second is None:
             del self._asking[asking.attempt]
@@ -242,15 +242,15 @@
         asking.move_to(second)
         self._ask_register(asking)
 
-    def _second_is_silent(self, asking: askings.Asking) -> None:
+    def _second_timed_out(self, asking: askings.Asking) -> None:
         del self._asking[asking.attempt]
         if asking.claimed_at:
-            self._give_back(asking)
+            self._release_claims(asking)
             self._end_not_run(asking, "register_unreachable")
         else:
             self._end_unknown(asking, "registers_unreachable")
 
-    def _give_back(self, asking: askings.Asking) -> None:
+    def _release_claims(self, asking: askings.Asking) -> None:
         # The second register is released too, because it may have granted the
         # attempt in a reply that was lost, and would then refuse a repeat.
         if not asking.claimed_at:
--- a/src/boragefold/coordination/once/telling.py
+++ b/src/boragefold/coordination/once/telling.py
@@ -9,10 +9,10 @@
 from boragefold.timing import timers as timing
 
 # Retries until acknowledged, for longer than most partitions last.
-RETELL_SECONDS = 2.0
-RETELLS = 15
+RETRY_SECONDS = 2.0
+MAX_RETRIES = 15
 
-Told = once_messages.Release | once_messages.Store
+OutcomeMessage = once_messages.Release | once_messages.Store
 
 
 class Teller:
@@ -28,54 +28,60 @@
         self._link = link
         self._timers = timers
         self._register = register
-        self._telling: dict[
-            tuple[ids.InstanceId, once_messages.Attempt], Told
+        self._unacknowledged: dict[
+            tuple[ids.InstanceId, once_messages.Attempt], OutcomeMessage
         ] = {}
-        link.subscribe(once_messages.Released, self._on_told)
-        link.subscribe(once_messages.Stored, self._on_told)
+        link.subscribe(once_messages.Released, self._on_acknowledged)
+        link.subscribe(once_messages.Stored, self._on_acknowledged)
 
-    def tell(self, register: ids.InstanceId, told: Told) -> None:
+    def tell(self, register: ids.InstanceId, message: OutcomeMessage) -> None:
         """Start sending an outcome to a register.
 
         :param register: the instance that holds it, possibly this one
-        :param told: the outcome of an attempt
+        :param message: the outcome of an attempt
         """
         if register == self._link.self_id:
-            self._tell_ourselves(told)
+            self._apply_locally(message)
         else:
-            self._telling[(register, told.attempt)] = told
-            self._send(register, told, RETELLS)
+            self._unacknowledged[(register, message.attempt)] = message
+            self._send(register, message, MAX_RETRIES)
 
     def _send(
-        self, register: ids.InstanceId, told: Told, retells_left: int
+        self,
+        register: ids.InstanceId,
+        message: OutcomeMessage,
+        retries_left: int,
     ) -> None:
-        self._link.send(to=register, body=told)
-        if retells_left > 0:
+        self._link.send(to=register, body=message)
+        if retries_left > 0:
             self._timers.once(
-                delay_seconds=RETELL_SECONDS,
-                callback=lambda: self._resend(register, told, retells_left),
+                delay_seconds=RETRY_SECONDS,
+                callback=lambda: self._resend(register, message, retries_left),
             )
         else:
-            del self._telling[(register, told.attempt)]
+            del self._unacknowledged[(register, message.attempt)]
 
     def _resend(
-        self, register: ids.InstanceId, told: Told, retells_left: int
+        self,
+        register: ids.InstanceId,
+        message: OutcomeMessage,
+        retries_left: int,
     ) -> None:
-        if self._telling.get((register, told.attempt)) is told:
-            self._send(register, told, retells_left - 1)
+        if self._unacknowledged.get((register, message.attempt)) is message:
+            self._send(register, message, retries_left - 1)
 
-    def _tell_ourselves(self, told: Told) -> None:
-        if isinstance(told, once_messages.Store):
-            self._register.store(told)
+    def _apply_locally(self, message: OutcomeMessage) -> None:
+        if isinstance(message, once_messages.Store):
+            self._register.store(message)
         else:
-            self._register.release(told)
+            self._register.release(message)
 
-    def _on_told(
+    def _on_acknowledged(
         self,
         sender: ids.InstanceId,
-        told: once_messages.Released | once_messages.Stored,
+        message: once_messages.Released | once_messages.Stored,
     ) -> None:
-        self._telling.pop((sender, told.attempt), None)
+        self._unacknowledged.pop((sender, message.attempt), None)
 
 
 __all__ = [
--- a/src/boragefold/coordination/once/tickets.py
+++ b/src/boragefold/coordination/once/tickets.py
@@ -65,7 +65,7 @@
             serial=serial,
             workspace=workspace,
             first=self._self_id,
-            second=self._pick_second(serial),
+            second=self._choose_second(serial),
             issued_at_seconds=self._timers.now_seconds(),
             seal=b"",
         )
@@ -89,7 +89,7 @@
         age_seconds = self._timers.now_seconds() - ticket.issued_at_seconds
         return age_seconds > TICKET_LIFETIME_SECONDS
 
-    def _pick_second(self, serial: str) -> ids.InstanceId | None:
+    def _choose_second(self, serial: str) -> ids.InstanceId | None:
         here = self._self_id.data_centre
         others = self._others()
         answering = [
--- a/tests/coordination/configuration/test_walk.py
+++ b/tests/coordination/configuration/test_walk.py
@@ -33,7 +33,7 @@
     """Applies random faults and changes and checks the invariants."""
 
     def __init__(self, seed: int) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.scene = scenes.Scene(loss=0.05, doubling=0.05)
         self.fleet = self.scene.fleet
         self.platform = self.scene.platform
@@ -87,14 +87,14 @@
             assert fresh.revision(path) >= oldest
 
     def publish(self) -> None:
-        path = self.draw.choice(PATHS)
+        path = self.rng.choice(PATHS)
         self.platform.put(path, document(path, next(self.numbers)))
 
     def delete(self) -> None:
         self.platform.delete("teams/quadro/workspaces")
 
     def kill_and_start(self) -> fleets.FleetInstance:
-        address = self.draw.choice(list(self.fleet.instances))
+        address = self.rng.choice(list(self.fleet.instances))
         data_centre = self.fleet.instances[address].self_id.data_centre
         self.fleet.kill(address)
         fresh = self.fleet.start(data_centre, f"n{next(self.addresses)}")
@@ -108,14 +108,14 @@
         self.platform.faults.down = not self.platform.faults.down
 
     def cut(self) -> None:
-        self.scene.cut(self.draw.choice(scenes.DATA_CENTRES))
+        self.scene.cut(self.rng.choice(scenes.DATA_CENTRES))
 
     def heal(self) -> None:
         self.scene.network.is_cut = lambda one, other: False
         self.scene.cut_from_platform()
 
     def cut_reader(self) -> None:
-        self.scene.cut_from_platform(self.draw.choice(scenes.DATA_CENTRES))
+        self.scene.cut_from_platform(self.rng.choice(scenes.DATA_CENTRES))
 
     def restore(self) -> None:
         """Undo the last change and keep counting revisions from there."""
@@ -125,8 +125,8 @@
 
     def run(self) -> None:
         for _ in range(STEPS):
-            self.draw.choice(self.actions)()
-            self.scene.network.run_for(self.draw.uniform(0.0, 3.0))
+            self.rng.choice(self.actions)()
+            self.scene.network.run_for(self.rng.uniform(0.0, 3.0))
         self.heal()
         self.platform.faults = platforms.Faults()
         for instance in self.fleet.instances.values():
--- a/tests/coordination/once/test_runner.py
+++ b/tests/coordination/once/test_runner.py
@@ -265,10 +265,10 @@
     net.run_for(1)
     net.kill(entries[0].node)
     net.kill(by_id(entries, ticket.second).node)
-    reborn = Entry(net, "a", "a-0", runs)
+    restarted = Entry(net, "a", "a-0", runs)
     survivor = next(e for e in entries if not e.node.dead)
     repeat = survivor.begin(ticket)
-    own = reborn.begin(ticket)
+    own = restarted.begin(ticket)
     net.run_for(5)
     assert repeat.outcome == "unknown:registers_unreachable"
     assert own.outcome.startswith("unknown")
