--- a/src/boragefold/coordination/configuration/exchange.py
+++ b/src/boragefold/coordination/configuration/exchange.py
@@ -1,9 +1,10 @@
-"""Compares the tree with that of another instance and hands values over.
+"""Reconciles the configuration tree with that of another instance.
 
-A comparison goes: summary; if it differs, a hash for each bucket; for the
-buckets that differ the versions, both ways; then each side asks for what is
-newer on the other. Every message stands alone, so a lost or doubled one costs
-a round at most, and the next comparison starts afresh.
+A comparison starts with a summary of the tree. If the summaries differ, the
+instances exchange a hash for each bucket, then the versions of the buckets
+that differ, in both directions; then each requests the values that are newer
+on the other. No message depends on an earlier one, so a lost or duplicate
+message costs one round at most, and the next comparison starts from scratch.
 """
 
 from __future__ import annotations
@@ -24,25 +25,25 @@
 from boragefold.state import tree as trees
 from boragefold.telemetry import counters as telemetry
 
-# Bounds a message.
+# Bounds the size of a message.
 VERSIONS_PER_MESSAGE = 200
-# Bounds a sender's queue; the rest is asked for at the next comparison.
-ANSWER_BYTES = 512 * 1024
+# Bounds the sender's queue; the next comparison requests the remaining values.
+MAX_ANSWER_BYTES = 512 * 1024
 
 
-# Comparisons of a fresh instance that are remembered at the same time.
-MAX_OPEN = 16
+# Bounds the number of peers whose differing buckets are tracked.
+MAX_COMPARISONS = 16
 
 
 class _Comparison(NamedTuple):
-    """The buckets in which a peer may still hold something newer."""
+    """The buckets in which a peer may still hold newer values."""
 
     buckets: set[int]
     is_ready: bool
 
 
 class Exchange:
-    """Answers other instances, and asks them for what is newer there."""
+    """Answers requests of other instances and requests their newer values."""
 
     def __init__(
         self,
@@ -63,7 +64,7 @@
         self._is_ready = is_ready
         self._reconciled = reconciled
         self._assembler = transfer.Assembler()
-        self._open: dict[ids.InstanceId, _Comparison] = {}
+        self._comparisons: dict[ids.InstanceId, _Comparison] = {}
         link.subscribe(messages.ConfigurationBuckets, self._on_buckets)
         link.subscribe(messages.ConfigurationVersions, self._on_versions)
         link.subscribe(messages.ConfigurationWant, self._on_want)
@@ -71,9 +72,9 @@
         link.subscribe(messages.ConfigurationPatch, self._on_patch)
 
     def answer_summary(self, to: ids.InstanceId) -> None:
-        """Go on with a comparison whose summaries differ.
+        """Continue a comparison whose summaries differ by sending hashes.
 
-        :param to: who sent the summary
+        :param to: the instance that sent the summary
         """
         body = messages.ConfigurationBuckets(
             self._fingerprint.hashes(), self._is_ready()
@@ -81,11 +82,11 @@
         self._link.send(to=to, body=body)
 
     def send_value(self, to: ids.InstanceId, path: str) -> int:
-        """Hand over what is in force at a path.
+        """Send the published value at a path.
 
-        :param to: who gets it
-        :param path: the path
-        :return: the bytes sent, zero when nothing was published there
+        :param to: the receiving instance
+        :param path: the configuration path
+        :return: the bytes sent, zero if nothing was published at the path
         """
         entry = self._tree.entry(path)
         if entry is None:
@@ -98,10 +99,10 @@
     def send_versions(
         self, to: ids.InstanceId, versions: Iterable[messages.PathVersion]
     ) -> None:
-        """Tell of new versions, for the receiver to ask for.
+        """Announce new versions, whose values the receiver may request.
 
-        :param to: who is told
-        :param versions: the versions
+        :param to: the receiving instance
+        :param versions: the versions to announce
         """
         for page in _pages(versions):
             body = messages.ConfigurationVersions((), page, True)
@@ -111,17 +112,17 @@
         self, sender: ids.InstanceId, body: messages.ConfigurationBuckets
     ) -> None:
         differing = self._fingerprint.differing(body.hashes)
-        self._open[sender] = _Comparison(set(differing), body.ready)
-        if len(self._open) > MAX_OPEN:
-            del self._open[next(iter(self._open))]
+        self._comparisons[sender] = _Comparison(set(differing), body.ready)
+        if len(self._comparisons) > MAX_COMPARISONS:
+            del self._comparisons[next(iter(self._comparisons))]
         self._report(sender)
         self._send_buckets(sender, differing, is_reply=False)
 
     def _report(self, peer: ids.InstanceId) -> None:
-        comparison = self._open[peer]
+        comparison = self._comparisons[peer]
         remaining = len(comparison.buckets)
         if not remaining:
-            del self._open[peer]
+            del self._comparisons[peer]
         self._reconciled(peer, remaining, comparison.is_ready)
 
     def _send_buckets(
@@ -161,9 +162,9 @@
         if wanted:
             want = messages.ConfigurationWant(tuple(wanted))
             self._link.send(to=sender, body=want)
-        elif body.is_reply and sender in self._open:
-            # The peer's other values are none that we would take.
-            self._open[sender].buckets.difference_update(body.buckets)
+        elif body.is_reply and sender in self._comparisons:
+            # This instance needs none of the peer's values in these buckets.
+            self._comparisons[sender].buckets.difference_update(body.buckets)
             self._report(sender)
         if not body.is_reply:
             known = [
@@ -189,7 +190,7 @@
     def _on_want(
         self, sender: ids.InstanceId, body: messages.ConfigurationWant
     ) -> None:
-        budget_bytes = ANSWER_BYTES
+        budget_bytes = MAX_ANSWER_BYTES
         for path in body.paths:
             if budget_bytes <= 0:
                 return
@@ -210,9 +211,10 @@
         )
         if not self._is_wanted(version):
             return
-        data = self._patched(body)
+        data = self._apply_patch(body)
         if data is None:
-            # A message before this one was lost.
+            # The patch applies to a version that this instance doesn't hold,
+            # because an earlier message was lost.
             self._counters.add("configuration_patches", "other_base")
             want = messages.ConfigurationWant((body.path,))
             self._link.send(to=sender, body=want)
@@ -220,7 +222,7 @@
         self._counters.add("configuration_patches", "applied")
         self._apply(body.path, body.revision, data, body.since_seconds)
 
-    def _patched(self, body: messages.ConfigurationPatch) -> bytes | None:
+    def _apply_patch(self, body: messages.ConfigurationPatch) -> bytes | None:
         entry = self._tree.entry(body.path)
         before = self._tree.data(body.path)
         if entry is None or before is None:
--- a/src/boragefold/coordination/configuration/intake.py
+++ b/src/boragefold/coordination/configuration/intake.py
@@ -1,4 +1,4 @@
-"""Puts what the platform answered into the tree, a slice at a time."""
+"""Applies the platform's answers to the configuration tree in batches."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from boragefold.state import tree as trees
 from boragefold.timing import timers as timing
 
-# Validation blocks the loop, and with it the streams of tokens.
-SLICE_BYTES = 64 * 1024
+# Validation blocks the event loop and delays the token streams it serves.
+BATCH_BYTES = 64 * 1024
 PAUSE_SECONDS = 0.01
 
 Done = Callable[[], None]
 
 
 class Intake:
-    """A queue of published changes, in the order of the answers."""
+    """A queue of published changes, in the order of the platform's answers."""
 
     def __init__(
         self, *, tree: trees.Tree, timers: timing.TimerService
@@ -31,29 +31,29 @@
     def take(
         self, changes: tuple[platform_api.PublishedChange, ...], done: Done
     ) -> None:
-        """Queue an answer; the first slice is put into the tree at once.
+        """Queue an answer; if the queue was empty, apply a batch at once.
 
         :param changes: the changes of the answer
-        :param done: called when all of them were taken
+        :param done: called once all of the changes have been applied
         """
         was_idle = not self._queue
         self._queue.extend((*changes, done))
         if was_idle:
-            self._take_slice()
+            self._apply_batch()
 
-    def _take_slice(self) -> None:
-        taken_bytes = 0
-        while self._queue and taken_bytes < SLICE_BYTES:
+    def _apply_batch(self) -> None:
+        applied_bytes = 0
+        while self._queue and applied_bytes < BATCH_BYTES:
             item = self._queue.popleft()
             if isinstance(item, platform_api.PublishedChange):
                 path, revision, data = item
                 self._tree.apply(path=path, revision=revision, data=data)
-                taken_bytes += len(data or b"")
+                applied_bytes += len(data or b"")
             else:
                 item()
         if self._queue:
             self._timers.once(
-                delay_seconds=PAUSE_SECONDS, callback=self._take_slice
+                delay_seconds=PAUSE_SECONDS, callback=self._apply_batch
             )
 
 
