--- a/src/boragefold/entry/engine_asker.py
+++ b/src/boragefold/entry/engine_asker.py
@@ -16,8 +16,8 @@
 from boragefold.coordination.fleet import ownership as ownerships
 import boragefold.coordination.link as links
 from boragefold.entry import engine_views
-from boragefold.policy import engine_asks
-from boragefold.policy import engine_choice
+from boragefold.policy import engine_decisions
+from boragefold.policy import engine_ranking
 from boragefold.protocol import ids
 from boragefold.protocol import peer_messages as messages
 from boragefold.state import deployment
@@ -36,7 +36,7 @@
 
     @abc.abstractmethod
     def granted(
-        self, engine: str, version: int, waits: engine_asks.Waits
+        self, engine: str, version: int, waits: engine_decisions.QueueTimes
     ) -> None:
         """Run the request now.
 
@@ -68,7 +68,7 @@
     """A request to an owner that has no reply yet."""
 
     asker: Asker
-    ask: engine_asks.Ask
+    ask: engine_decisions.EngineRequest
     engine: str
     owner: ids.InstanceId
     sent_at_seconds: float
@@ -115,7 +115,7 @@
         service: str,
         key: deployment.AdapterKey,
         own: tuple[messages.EngineStatus, ...],
-    ) -> list[engine_choice.EngineView]:
+    ) -> list[engine_ranking.EngineView]:
         """Rank the engines of a service for a request.
 
         :param service: the service
@@ -123,9 +123,11 @@
         :param own: status of the engines that this instance owns
         :return: the best first
         """
-        return engine_choice.rank(key, self._views(service, own))
+        return engine_ranking.rank(key, self._views(service, own))
 
-    def ask(self, asker: Asker, ask: engine_asks.Ask, engine: str) -> None:
+    def ask(
+        self, asker: Asker, ask: engine_decisions.EngineRequest, engine: str
+    ) -> None:
         """Ask an engine's owner whether a request may run there.
 
         :param asker: receives the reply, never inside this call
@@ -137,7 +139,9 @@
             # Without an owner, loaded adapters can still be used.
             self._timers.once(
                 delay_seconds=0.0,
-                callback=lambda: asker.granted(engine, 0, engine_asks.Waits()),
+                callback=lambda: asker.granted(
+                    engine, 0, engine_decisions.QueueTimes()
+                ),
             )
             return
         pending = PendingRequest(
@@ -197,7 +201,7 @@
 
     def _views(
         self, service: str, own: tuple[messages.EngineStatus, ...]
-    ) -> Iterator[engine_choice.EngineView]:
+    ) -> Iterator[engine_ranking.EngineView]:
         statuses = self._reported_statuses()
         statuses.update((status.name, status) for status in own)
         data_centre = self._link.self_id.data_centre
@@ -251,7 +255,7 @@
                 self._link.send(to=sender, body=ended)
             return
         self._granted[body.request_id] = sender
-        waits = engine_asks.Waits(
+        waits = engine_decisions.QueueTimes(
             place_seconds=body.place_wait_seconds,
             load_seconds=body.load_wait_seconds,
             turn_seconds=body.turn_wait_seconds,
--- a/src/boragefold/entry/engine_dialect.py
+++ b/src/boragefold/entry/engine_dialect.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from boragefold.coordination.fleet import fencing_numbers
-from boragefold.policy import engine_asks
+from boragefold.policy import engine_decisions
 from boragefold.state import deployment
 from boragefold.transport import http_client
 
@@ -61,7 +61,7 @@
     def order_call(
         self,
         record: deployment.EndpointRecord,
-        order: engine_asks.Order,
+        order: engine_decisions.Order,
         *,
         expected: int,
         fence: int,
@@ -77,7 +77,7 @@
 
     @abc.abstractmethod
     def read_order_answer(
-        self, order: engine_asks.Order, status: int
+        self, order: engine_decisions.Order, status: int
     ) -> OrderAnswer:
         """Parse the response to an order.
 
--- a/src/boragefold/entry/engine_forwarding.py
+++ b/src/boragefold/entry/engine_forwarding.py
@@ -11,7 +11,7 @@
 from boragefold.entry import forwarding
 from boragefold.entry import refusals
 from boragefold.entry import serving
-from boragefold.policy import engine_asks
+from boragefold.policy import engine_decisions
 from boragefold.policy import engine_schedule
 from boragefold.protocol import ids
 from boragefold.state import deployment
@@ -56,7 +56,7 @@
         self._queue_seconds: dict[str, float] = {}
         self._not_loaded_count = 0
         self._engine = ""
-        self._queue_times = engine_asks.Waits()
+        self._queue_times = engine_decisions.QueueTimes()
         self._retry_after_seconds = forwarding.RETRY_AFTER_SECONDS
         self._refusal_reason = "no_engine"
 
@@ -97,7 +97,7 @@
         return len(set(self._sent_to)) < route.max_attempts
 
     def granted(
-        self, engine: str, version: int, waits: engine_asks.Waits
+        self, engine: str, version: int, waits: engine_decisions.QueueTimes
     ) -> None:
         """Send the request, unless the engine is being removed by now.
 
@@ -226,13 +226,13 @@
             self.shared.timers.now_seconds() < self._start_deadline_seconds()
         )
 
-    def _make_request(self, eager: bool) -> engine_asks.Ask:
+    def _make_request(self, eager: bool) -> engine_decisions.EngineRequest:
         admitted = self.admitted
         workspace = admitted.workspace
         priority = admitted.route.priority
         if workspace is not None and workspace.priority is not None:
             priority = workspace.priority
-        return engine_asks.Ask(
+        return engine_decisions.EngineRequest(
             request_id=admitted.request.request_id,
             sender=self._self_id,
             needs=self._needs,
--- a/src/boragefold/entry/engine_owner.py
+++ b/src/boragefold/entry/engine_owner.py
@@ -13,10 +13,10 @@
 from boragefold.entry import engine_asker
 from boragefold.entry import engine_dialect as dialects
 from boragefold.entry import owned_engine
-from boragefold.policy import engine_asks
-from boragefold.policy import engine_copies
-from boragefold.policy import engine_places
+from boragefold.policy import adapter_digests
+from boragefold.policy import engine_decisions
 from boragefold.policy import engine_schedule
+from boragefold.policy import engine_slots
 from boragefold.protocol import ids
 from boragefold.protocol import peer_messages as messages
 from boragefold.state import deployment
@@ -228,7 +228,7 @@
                 started_at_seconds=self._started_at_seconds,
             ),
         )
-        places = engine_places.Places(
+        places = engine_slots.EngineSlots(
             engine=engine,
             newest=self._fleet.versions,
             loads_elsewhere=lambda: self._loads_on_other_engines(record.name),
@@ -273,7 +273,7 @@
         owned = self._owned.get(body.engine)
         if owned is None:
             self._reply(
-                body.engine, engine_asks.TurnAway(ask, "not_owner", 0.0)
+                body.engine, engine_decisions.Refusal(ask, "not_owner", 0.0)
             )
             return
         granted = owned.schedule.granted(ask.request_id)
@@ -315,8 +315,8 @@
             owned.refused(granted.ask.needs)
         self._run_engine(body.engine)
 
-    def _reply(self, engine: str, action: engine_asks.Action) -> None:
-        if isinstance(action, engine_asks.Grant):
+    def _reply(self, engine: str, action: engine_decisions.Action) -> None:
+        if isinstance(action, engine_decisions.Grant):
             self._link.send(
                 to=action.ask.sender,
                 body=messages.EngineGrant(
@@ -326,7 +326,7 @@
                     *action.waits,
                 ),
             )
-        elif isinstance(action, engine_asks.TurnAway):
+        elif isinstance(action, engine_decisions.Refusal):
             self._counters.add("engine_asks_refused", action.reason)
             if action.reason != engine_schedule.BUSY:
                 # The requesting instance logs where the request went instead.
@@ -342,7 +342,9 @@
                 ),
             )
 
-    def _log_refusal(self, engine: str, action: engine_asks.TurnAway) -> None:
+    def _log_refusal(
+        self, engine: str, action: engine_decisions.Refusal
+    ) -> None:
         owned = self._owned.get(engine)
         state = {} if owned is None else owned.schedule.summary()
         self._log.write(
@@ -356,9 +358,9 @@
 
     def _parse_ask(
         self, sender: ids.InstanceId, body: messages.EngineAsk
-    ) -> engine_asks.Ask:
+    ) -> engine_decisions.EngineRequest:
         now_seconds = self._timers.now_seconds()
-        return engine_asks.Ask(
+        return engine_decisions.EngineRequest(
             request_id=body.request_id,
             sender=sender,
             needs=deployment.AdapterKey(body.model, body.adapter),
@@ -410,7 +412,7 @@
         place_wait_seconds=_round_up(schedule.place_wait_seconds()),
         loading=places.loading(now_seconds=now_seconds),
         orders_in_seconds=_round_up(places.orders_in_seconds),
-        copies=engine_copies.digests(places.copies()),
+        copies=adapter_digests.digests(places.copies()),
     )
 
 
--- a/src/boragefold/entry/engine_views.py
+++ b/src/boragefold/entry/engine_views.py
@@ -5,7 +5,7 @@
 import functools
 from typing import NamedTuple
 
-from boragefold.policy import engine_choice
+from boragefold.policy import engine_ranking
 from boragefold.protocol import peer_messages as messages
 from boragefold.state import deployment
 
@@ -18,7 +18,7 @@
     """A view, and the record or status that it was built from."""
 
     source: messages.EngineStatus | deployment.EndpointRecord
-    view: engine_choice.EngineView
+    view: engine_ranking.EngineView
 
 
 @functools.lru_cache(maxsize=CACHED_SETS)
@@ -46,7 +46,7 @@
         *,
         near: bool,
         health: float,
-    ) -> engine_choice.EngineView:
+    ) -> engine_ranking.EngineView:
         """Return the current view of an engine.
 
         :param record: its published record
@@ -78,8 +78,8 @@
 
 def _status_view(
     status: messages.EngineStatus, near: bool, health: float
-) -> engine_choice.EngineView:
-    return engine_choice.EngineView(
+) -> engine_ranking.EngineView:
+    return engine_ranking.EngineView(
         name=status.name,
         near=near,
         held=_keys(status.adapters),
@@ -94,8 +94,8 @@
 
 def _published_view(
     record: deployment.EndpointRecord, near: bool, health: float
-) -> engine_choice.EngineView:
-    return engine_choice.EngineView(
+) -> engine_ranking.EngineView:
+    return engine_ranking.EngineView(
         name=record.name,
         near=near,
         held=frozenset(
--- a/src/boragefold/entry/owned_engine.py
+++ b/src/boragefold/entry/owned_engine.py
@@ -10,7 +10,7 @@
 from boragefold.coordination.fleet import order_lease
 from boragefold.coordination.fleet import order_turns
 from boragefold.entry import engine_dialect as dialects
-from boragefold.policy import engine_asks
+from boragefold.policy import engine_decisions
 from boragefold.policy import engine_schedule
 from boragefold.state import deployment
 from boragefold.telemetry import counters as telemetry
@@ -35,7 +35,7 @@
 class SentOrder(NamedTuple):
     """An order in flight, and the state that it was based on."""
 
-    order: engine_asks.Order
+    order: engine_decisions.Order
     expected: int
     fence: int
     count_age_seconds: float
@@ -118,7 +118,7 @@
             )
             self.ask_report()
 
-    def advance(self) -> list[engine_asks.Action]:
+    def advance(self) -> list[engine_decisions.Action]:
         """Decide what to do now, and give the order that is due.
 
         :return: grants and refusals for requests
@@ -152,7 +152,9 @@
             self.ask_report()
         actions = self.schedule.advance(now_seconds=now_seconds)
         for action in actions:
-            if isinstance(action, engine_asks.Load | engine_asks.Unload):
+            if isinstance(
+                action, engine_decisions.Load | engine_decisions.Unload
+            ):
                 self._send_order(action)
         return actions
 
@@ -282,7 +284,7 @@
         self._next_report = None
         self._next_report_at_seconds = math.inf
 
-    def _send_order(self, order: engine_asks.Order) -> None:
+    def _send_order(self, order: engine_decisions.Order) -> None:
         now_seconds = self._timers.now_seconds()
         sent = SentOrder(
             order=order,
@@ -345,7 +347,7 @@
         )
         done = outcome == dialects.OrderAnswer.DONE.value
         if done or outcome == dialects.OrderAnswer.ACCEPTED.value:
-            unloading = isinstance(order, engine_asks.Unload) and not done
+            unloading = isinstance(order, engine_decisions.Unload) and not done
             self._turns.accepted(
                 busy=unloading,
                 age_seconds=now_seconds - sent.order_sent_at_seconds,
@@ -383,7 +385,7 @@
 
     def _outcome(
         self,
-        order: engine_asks.Order,
+        order: engine_decisions.Order,
         answer: whole_answer.WholeAnswer | http_client.Failure,
     ) -> str:
         if isinstance(answer, http_client.Failure):
@@ -391,7 +393,7 @@
         return self._dialect.read_order_answer(order, answer.status).value
 
 
-def _describe_order(order: engine_asks.Order) -> str:
+def _describe_order(order: engine_decisions.Order) -> str:
     kind = type(order).__name__.lower()
     return f"{kind} {order.key.adapter or order.key.model}"
 
--- a/src/boragefold/policy/adapter_places.py
+++ b/src/boragefold/policy/adapter_slots.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Place:
+class AdapterSlot:
     """An adapter slot of an engine and the adapter version in it.
 
     ``confirmed`` is set once a report or an answer showed the adapter in the
@@ -32,12 +32,12 @@
 
 
 def learned(
-    before: Mapping[AdapterKey, Place],
+    before: Mapping[AdapterKey, AdapterSlot],
     held: Mapping[str, Mapping[str, int]],
     coming: Mapping[AdapterKey, int],
     *,
     now_seconds: float,
-) -> dict[AdapterKey, Place]:
+) -> dict[AdapterKey, AdapterSlot]:
     """Build the slots from a report.
 
     :param before: the slots as known before the report
@@ -47,41 +47,41 @@
     :return: the slots by adapter
     """
     present = _flatten(held)
-    places = {}
+    slots = {}
     for key, version in {**present, **coming}.items():
-        place = before.get(key)
-        if place is None or place.version not in (0, version):
-            place = _new_place(place, version, now_seconds)
-        place.confirmed = key not in coming
-        place.replaces = key in coming and key in present
-        places[key] = place
-    return places
+        slot = before.get(key)
+        if slot is None or slot.version not in (0, version):
+            slot = _new_slot(slot, version, now_seconds)
+        slot.confirmed = key not in coming
+        slot.replaces = key in coming and key in present
+        slots[key] = slot
+    return slots
 
 
 def confirm_former(
-    places: Mapping[AdapterKey, Place],
+    slots: Mapping[AdapterKey, AdapterSlot],
     held: Mapping[str, Mapping[str, int]],
     *,
     count: int,
 ) -> None:
     """Confirm adapters from a report that predates the latest orders.
 
-    :param places: the known slots, changed in place
+    :param slots: the known slots, changed in place
     :param held: versions by adapter by model
     :param count: how many orders the engine had accepted
     """
     present = _flatten(held)
-    for key, place in places.items():
-        seen = place.version in (0, present.get(key, -1))
-        if place.count <= count and key in present and seen:
-            place.confirmed = True
-            place.replaces = False
+    for key, slot in slots.items():
+        seen = slot.version in (0, present.get(key, -1))
+        if slot.count <= count and key in present and seen:
+            slot.confirmed = True
+            slot.replaces = False
 
 
-def _new_place(
-    before: Place | None, version: int, ready_at_seconds: float
-) -> Place:
-    return Place(
+def _new_slot(
+    before: AdapterSlot | None, version: int, ready_at_seconds: float
+) -> AdapterSlot:
+    return AdapterSlot(
         version=version,
         ready_at_seconds=ready_at_seconds,
         running=0 if before is None else before.running,
@@ -99,7 +99,7 @@
 
 
 __all__ = [
-    "Place",
+    "AdapterSlot",
     "confirm_former",
     "learned",
 ]
--- a/src/boragefold/policy/recent_sums.py
+++ b/src/boragefold/policy/announced_sums.py
@@ -8,7 +8,7 @@
 TELL_SECONDS = 4.0
 
 
-class RecentSums:
+class AnnouncedSums:
     """Amounts per workspace, summed up since the process started."""
 
     def __init__(self) -> None:
@@ -57,6 +57,6 @@
 
 
 __all__ = [
-    "RecentSums",
+    "AnnouncedSums",
     "TELL_SECONDS",
 ]
--- a/src/boragefold/policy/assembly.py
+++ b/src/boragefold/policy/assembly.py
@@ -12,10 +12,10 @@
 from boragefold.policy import fair_queue
 from boragefold.policy import fair_share
 from boragefold.policy import fleet_events
+from boragefold.policy import fleet_placement
 from boragefold.policy import homes
 from boragefold.policy import overload
 from boragefold.policy import placement
-from boragefold.policy import placing
 from boragefold.policy import retry_budget
 from boragefold.policy import sending
 from boragefold.policy import stock as stocks
@@ -57,7 +57,7 @@
         overload=overload.Overload(counters=counters),
         share=fair_share.FairShare(),
     )
-    fleet_placement = placing.Placing(
+    shared_placement = fleet_placement.FleetPlacement(
         placement=placement.Placement(
             endpoints=endpoints,
             budget=load_budget,
@@ -76,7 +76,7 @@
             queue=queue,
             sending=sender,
             endpoints=endpoints,
-            placing=fleet_placement,
+            placement=shared_placement,
         ),
         retry_budget=retry_budget.RetryBudget(counters=counters),
         stock=stock,
--- a/src/boragefold/policy/choice.py
+++ b/src/boragefold/policy/choice.py
@@ -15,7 +15,7 @@
 import random
 
 from boragefold.policy import endpoints as fleet
-from boragefold.policy import prefixes
+from boragefold.policy import prefix_affinity
 from boragefold.policy import work as works
 from boragefold.telemetry import counters as telemetry
 
@@ -80,7 +80,7 @@
         self._rng = rng
         self._counters = counters
         self._instances = instances
-        self._prefixes = prefixes.Prefixes()
+        self._prefixes = prefix_affinity.PrefixAffinity()
 
     def choose(
         self,
--- a/src/boragefold/policy/drains.py
+++ b/src/boragefold/policy/drains.py
@@ -11,9 +11,9 @@
 from collections.abc import Sequence
 
 from boragefold.policy import endpoints as fleet
-from boragefold.policy import load_wants
+from boragefold.policy import load_candidates
 from boragefold.policy import loads as loads_module
-from boragefold.policy import places as places_module
+from boragefold.policy import slot_search
 from boragefold.telemetry import counters as telemetry
 
 
@@ -25,44 +25,44 @@
         *,
         endpoints: fleet.Endpoints,
         loads: loads_module.Loads,
-        places: places_module.Places,
+        slot_search: slot_search.SlotSearch,
         counters: telemetry.Counters,
     ) -> None:
         self._endpoints = endpoints
         self._loads = loads
-        self._places = places
+        self._slot_search = slot_search
         self._counters = counters
 
     def find(
         self,
-        want: load_wants.Want,
-        wants: Sequence[load_wants.Want],
+        candidate: load_candidates.LoadCandidate,
+        candidates: Sequence[load_candidates.LoadCandidate],
         states: Sequence[fleet.EndpointState],
         *,
         now_seconds: float,
     ) -> Iterator[loads_module.Drain]:
         """Drain one slot for an adapter that has waited too long for one.
 
-        :param want: the adapter without a slot
-        :param wants: all adapters to load; at most as many slots are drained
-            as there are starving adapters
+        :param candidate: the adapter without a slot
+        :param candidates: all adapters to load; at most as many slots are
+            drained as there are starving adapters
         :param states: endpoints that may be sent orders
         :param now_seconds: reading of the process clock
         :return: at most one drain
         """
-        starving = sum(each.is_starving(now_seconds) for each in wants)
+        starving = sum(each.is_starving(now_seconds) for each in candidates)
         draining = sum(len(self._loads.unclaimed(state)) for state in states)
-        if not want.is_starving(now_seconds) or draining >= starving:
+        if not candidate.is_starving(now_seconds) or draining >= starving:
             return
-        place = self._places.to_drain(
-            want.adapter, states, now_seconds=now_seconds
+        target = self._slot_search.to_drain(
+            candidate.adapter, states, now_seconds=now_seconds
         )
-        if place is None or place.evict is None:
+        if target is None or target.evict is None:
             return
-        name = place.endpoint.spec.name
-        self._endpoints.evicted(name, place.evict, now_seconds=now_seconds)
+        name = target.endpoint.spec.name
+        self._endpoints.evicted(name, target.evict, now_seconds=now_seconds)
         self._counters.add("adapters_drained", "slot_needed")
-        yield loads_module.Drain(name, place.evict, want.workspace)
+        yield loads_module.Drain(name, target.evict, candidate.workspace)
 
 
 __all__ = [
--- a/src/boragefold/policy/engine_asks.py
+++ b/src/boragefold/policy/engine_decisions.py
@@ -11,7 +11,7 @@
 from boragefold.state import deployment
 
 
-class Ask(NamedTuple):
+class EngineRequest(NamedTuple):
     """A request that is to run on an engine.
 
     Times are readings of the process clock: the response is on time if it
@@ -45,7 +45,7 @@
         return self.prompt_tokens + self.output_tokens
 
 
-class Waits(NamedTuple):
+class QueueTimes(NamedTuple):
     """Times that a request spent in the queue of an engine, in this order.
 
     ``place_seconds`` until the load of its adapter was ordered,
@@ -61,18 +61,18 @@
 class Grant(NamedTuple):
     """The request may be sent now, with this version of its adapter."""
 
-    ask: Ask
+    ask: EngineRequest
     version: int
-    waits: Waits = Waits()
+    waits: QueueTimes = QueueTimes()
 
 
-class TurnAway(NamedTuple):
+class Refusal(NamedTuple):
     """The request is refused by this engine's schedule.
 
     ``wait_seconds`` is the estimated wait of an eager request here.
     """
 
-    ask: Ask
+    ask: EngineRequest
     reason: str
     retry_after_seconds: float
     wait_seconds: float = 0.0
@@ -92,16 +92,16 @@
 
 
 Order = Load | Unload
-Action = Grant | TurnAway | Load | Unload
+Action = Grant | Refusal | Load | Unload
 
 
 __all__ = [
     "Action",
-    "Ask",
+    "EngineRequest",
     "Grant",
     "Load",
     "Order",
-    "TurnAway",
+    "Refusal",
     "Unload",
-    "Waits",
+    "QueueTimes",
 ]
--- a/src/boragefold/policy/engine_choice.py
+++ b/src/boragefold/policy/engine_ranking.py
@@ -17,7 +17,7 @@
 
 import xxhash
 
-from boragefold.policy import engine_copies
+from boragefold.policy import adapter_digests
 from boragefold.policy import load_times
 from boragefold.state import deployment
 
@@ -92,7 +92,7 @@
     # One expression over unpacked fields: it is evaluated for each engine on
     # each ranking.
     model = key.model
-    digest = engine_copies.digest(key)
+    digest = adapter_digests.digest(key)
     needs_adapter = bool(key.adapter)
     position_costs = _position_costs(len(ordered), needs_adapter)
     return [
--- a/src/boragefold/policy/engine_schedule.py
+++ b/src/boragefold/policy/engine_schedule.py
@@ -18,18 +18,18 @@
 from collections.abc import Iterator
 import itertools
 
-from boragefold.policy import engine_asks
-from boragefold.policy import engine_pace
-from boragefold.policy import engine_places
-from boragefold.policy import engine_requests
-from boragefold.policy import engine_runs
+from boragefold.policy import engine_decisions
+from boragefold.policy import engine_slots
+from boragefold.policy import engine_speed
+from boragefold.policy import request_states
+from boragefold.policy import running_requests
 from boragefold.state import deployment
 
 AdapterKey = deployment.AdapterKey
-Ask = engine_asks.Ask
-Action = engine_asks.Action
-Prompts = engine_requests.Prompts
-Waiting = engine_requests.Waiting
+EngineRequest = engine_decisions.EngineRequest
+Action = engine_decisions.Action
+PromptTotals = request_states.PromptTotals
+QueuedRequest = request_states.QueuedRequest
 
 # Part of the time until a request gives up that it may spend in the queue; the
 # rest is for the response.
@@ -49,16 +49,18 @@
     """The queue, the running requests and the adapters of one engine."""
 
     def __init__(
-        self, *, engine: deployment.Engine, places: engine_places.Places
+        self, *, engine: deployment.Engine, places: engine_slots.EngineSlots
     ) -> None:
         self.engine = engine
         self.places = places
         # How long a request is queued before a load is ordered for it.
         self.order_delay_seconds = 0.0
-        self._queue: dict[str, Waiting] = {}
+        self._queue: dict[str, QueuedRequest] = {}
         self._arrivals = itertools.count()
-        self._pace = engine_pace.EnginePace()
-        self._runs = engine_runs.EngineRuns(engine=engine, pace=self._pace)
+        self._speed = engine_speed.EngineSpeed()
+        self._runs = running_requests.RunningRequests(
+            engine=engine, speed=self._speed
+        )
 
     @property
     def running(self) -> int:
@@ -85,8 +87,8 @@
             "queued": len(self._queue),
             "running": len(self._runs),
             "unstarted_tokens": self._runs.unstarted().tokens,
-            "fixed_seconds": round(self._pace.fixed_seconds, 3),
-            "tokens_per_second": round(self._pace.tokens_per_second),
+            "fixed_seconds": round(self._speed.fixed_seconds, 3),
+            "tokens_per_second": round(self._speed.tokens_per_second),
             "backlog_seconds": round(self.backlog_seconds(), 3),
             "place_wait_seconds": round(self.place_wait_seconds(), 3),
             "orders_in_seconds": round(self.places.orders_in_seconds, 3),
@@ -104,7 +106,7 @@
         soon = self._adapters_with_slots()
         waiting = (ask for ask in self._queued_requests() if ask.needs in soon)
         return self._prefill_seconds(
-            self._runs.unstarted(), engine_requests.prompts_of(waiting)
+            self._runs.unstarted(), request_states.total_prompts(waiting)
         )
 
     def place_wait_seconds(self) -> float:
@@ -115,8 +117,8 @@
         return self._slot_wait_seconds(self._adapters_without_slot())
 
     def offer(
-        self, ask: Ask, *, now_seconds: float
-    ) -> engine_asks.TurnAway | None:
+        self, ask: EngineRequest, *, now_seconds: float
+    ) -> engine_decisions.Refusal | None:
         """Queue a request unless it would start too late.
 
         :param ask: the request
@@ -127,12 +129,12 @@
             # Senders retry in case a message was lost; the request keeps its
             # position in the queue.
             return None
-        waiting = Waiting(
+        waiting = QueuedRequest(
             ask=ask, turn=next(self._arrivals), since_seconds=now_seconds
         )
         if ask.eager and self._would_be_late(waiting, now_seconds):
             wait_seconds = self._wait_seconds(waiting, now_seconds)
-            return engine_asks.TurnAway(
+            return engine_decisions.Refusal(
                 ask=ask,
                 reason=BUSY,
                 retry_after_seconds=0.0,
@@ -144,7 +146,7 @@
         self._queue[ask.request_id] = waiting
         return None
 
-    def granted(self, request_id: str) -> engine_asks.Grant | None:
+    def granted(self, request_id: str) -> engine_decisions.Grant | None:
         """Look up the grant of a running request, to send it again.
 
         :param request_id: id of the request
@@ -154,7 +156,7 @@
         if ask is None:
             return None
         version = self.places.version(ask.needs)
-        return engine_asks.Grant(ask=ask, version=version)
+        return engine_decisions.Grant(ask=ask, version=version)
 
     def withdraw(self, request_id: str, *, now_seconds: float) -> None:
         """Remove a request that has ended or was cancelled.
@@ -168,7 +170,7 @@
             self.places.leave(ask.needs, now_seconds=now_seconds)
 
     def withdraw_where(
-        self, gone: Callable[[Ask], bool], *, now_seconds: float
+        self, gone: Callable[[EngineRequest], bool], *, now_seconds: float
     ) -> int:
         """Remove the requests of an instance that has stopped.
 
@@ -244,8 +246,8 @@
         return min(itertools.chain(expiries, dues))
 
     def _next_order(
-        self, by_urgency: Iterable[Waiting], now_seconds: float
-    ) -> engine_asks.Order | None:
+        self, by_urgency: Iterable[QueuedRequest], now_seconds: float
+    ) -> engine_decisions.Order | None:
         latest_seconds = now_seconds - self.order_delay_seconds
         unplaced = [
             waiting.ask
@@ -261,7 +263,7 @@
             renews=not self.order_delay_seconds,
         )
 
-    def _queued_requests(self) -> Iterator[Ask]:
+    def _queued_requests(self) -> Iterator[EngineRequest]:
         return (waiting.ask for waiting in self._queue.values())
 
     def _record_progress(self, now_seconds: float) -> None:
@@ -273,13 +275,15 @@
                 now_seconds=now_seconds,
             )
 
-    def _by_urgency(self, now_seconds: float) -> list[Waiting]:
+    def _by_urgency(self, now_seconds: float) -> list[QueuedRequest]:
         return sorted(
             self._queue.values(),
             key=lambda waiting: self._urgency(waiting, now_seconds),
         )
 
-    def _still_queued(self, by_urgency: Iterable[Waiting]) -> Iterator[Ask]:
+    def _still_queued(
+        self, by_urgency: Iterable[QueuedRequest]
+    ) -> Iterator[EngineRequest]:
         return (
             waiting.ask
             for waiting in by_urgency
@@ -287,7 +291,7 @@
         )
 
     def _urgency(
-        self, waiting: Waiting, now_seconds: float
+        self, waiting: QueuedRequest, now_seconds: float
     ) -> tuple[bool, int, float, int]:
         # Requests that can start on time go first. In overload the one that
         # waited longest is late already; if it went first, it would make each
@@ -296,7 +300,7 @@
         late = self._is_late(ask, now_seconds)
         return (late, ask.priority, ask.on_time_by_seconds, waiting.turn)
 
-    def _is_late(self, ask: Ask, now_seconds: float) -> bool:
+    def _is_late(self, ask: EngineRequest, now_seconds: float) -> bool:
         # A request whose adapter can't be loaded in time is late too: if it
         # got the next slot, one that could start on time would miss it.
         starts_at_seconds = (
@@ -304,16 +308,18 @@
             + self.places.until_ready_seconds(
                 ask.needs, now_seconds=now_seconds
             )
-            + self._pace.reading_seconds(ask.prompt_tokens)
+            + self._speed.reading_seconds(ask.prompt_tokens)
         )
         return starts_at_seconds > ask.on_time_by_seconds
 
-    def _excess_seconds(self, waiting: Waiting, now_seconds: float) -> float:
+    def _excess_seconds(
+        self, waiting: QueuedRequest, now_seconds: float
+    ) -> float:
         ask = waiting.ask
         wait_seconds = self._wait_seconds(waiting, now_seconds)
         remaining_seconds = ask.give_up_at_seconds - now_seconds
         excess_seconds = wait_seconds - MAX_WAIT_SHARE * remaining_seconds
-        reading_seconds = self._pace.reading_seconds(ask.prompt_tokens)
+        reading_seconds = self._speed.reading_seconds(ask.prompt_tokens)
         starts_at_seconds = now_seconds + wait_seconds + reading_seconds
         if starts_at_seconds <= ask.on_time_by_seconds:
             return excess_seconds
@@ -325,7 +331,9 @@
         )
         return max(excess_seconds, late_seconds)
 
-    def _would_be_late(self, waiting: Waiting, now_seconds: float) -> bool:
+    def _would_be_late(
+        self, waiting: QueuedRequest, now_seconds: float
+    ) -> bool:
         ask = waiting.ask
         # Other instances know the state of this engine as of half a second
         # ago; since then, the idle slot may be taken or a queue have formed.
@@ -337,11 +345,13 @@
         ):
             return True
         wait_seconds = self._wait_seconds(waiting, now_seconds)
-        reading_seconds = self._pace.reading_seconds(ask.prompt_tokens)
+        reading_seconds = self._speed.reading_seconds(ask.prompt_tokens)
         starts_at_seconds = now_seconds + wait_seconds + reading_seconds
         return starts_at_seconds > ask.on_time_by_seconds
 
-    def _wait_seconds(self, waiting: Waiting, now_seconds: float) -> float:
+    def _wait_seconds(
+        self, waiting: QueuedRequest, now_seconds: float
+    ) -> float:
         urgency = self._urgency(waiting, now_seconds)
         soon = self._adapters_with_slots() | {waiting.ask.needs}
         ahead = (
@@ -351,7 +361,7 @@
             and self._urgency(other, now_seconds) < urgency
         )
         wait_seconds = self._prefill_seconds(
-            self._runs.unstarted(), engine_requests.prompts_of(ahead)
+            self._runs.unstarted(), request_states.total_prompts(ahead)
         )
         needs = waiting.ask.needs
         slot_seconds = self.places.until_ready_seconds(
@@ -363,22 +373,22 @@
         return max(wait_seconds, slot_seconds)
 
     def _refusal(
-        self, ask: Ask, excess_seconds: float
-    ) -> engine_asks.TurnAway:
+        self, ask: EngineRequest, excess_seconds: float
+    ) -> engine_decisions.Refusal:
         orders_in_seconds = self.places.orders_in_seconds
         if not orders_in_seconds or self.places.holds(ask.needs):
             return _queue_too_long(ask, excess_seconds)
         # A retry before orders are allowed would be refused again, and most
         # callers retry only once.
-        return engine_asks.TurnAway(
+        return engine_decisions.Refusal(
             ask=ask,
             reason="orders_wait",
             retry_after_seconds=max(excess_seconds, orders_in_seconds),
         )
 
     def _shed(
-        self, by_urgency: Iterable[Waiting], now_seconds: float
-    ) -> Iterator[engine_asks.TurnAway]:
+        self, by_urgency: Iterable[QueuedRequest], now_seconds: float
+    ) -> Iterator[engine_decisions.Refusal]:
         # More urgent requests may have come since. A request that can't start
         # any more before it gives up is refused now, while its caller has time
         # to try another engine.
@@ -389,7 +399,7 @@
             remaining_seconds = ask.give_up_at_seconds - now_seconds
             if self._has_slot(ask):
                 wait_seconds = reading_seconds
-                reading_seconds += self._pace.reading_seconds(
+                reading_seconds += self._speed.reading_seconds(
                     ask.prompt_tokens
                 )
             else:
@@ -406,7 +416,7 @@
         behind = 1 + ahead - self.places.free(self._queued_by_adapter())
         if behind <= 0:
             return 0.0
-        return self._pace.run_seconds * behind / max(1, self.places.capacity)
+        return self._speed.run_seconds * behind / max(1, self.places.capacity)
 
     def _adapters_with_slots(self) -> set[AdapterKey]:
         # The adapters that have a slot, and those that get an idle one now.
@@ -415,18 +425,20 @@
         coming = set(itertools.islice(unplaced, self.places.free(wanted)))
         return coming | {key for key in wanted if self.places.holds(key)}
 
-    def _has_slot(self, ask: Ask) -> bool:
+    def _has_slot(self, ask: EngineRequest) -> bool:
         return self.places.holds(ask.needs)
 
-    def _grant(self, ask: Ask, now_seconds: float) -> engine_asks.Grant:
+    def _grant(
+        self, ask: EngineRequest, now_seconds: float
+    ) -> engine_decisions.Grant:
         waits = self._queue.pop(ask.request_id).waits(now_seconds)
         self._runs.begin(ask, now_seconds=now_seconds)
         self.places.enter(ask.needs, now_seconds=now_seconds)
         version = self.places.version(ask.needs)
-        return engine_asks.Grant(ask=ask, version=version, waits=waits)
+        return engine_decisions.Grant(ask=ask, version=version, waits=waits)
 
-    def _prefill_seconds(self, *parts: Prompts) -> float:
-        return self._pace.reading_seconds(
+    def _prefill_seconds(self, *parts: PromptTotals) -> float:
+        return self._speed.reading_seconds(
             sum(part.tokens for part in parts),
             prompts=sum(part.number for part in parts),
         )
@@ -445,7 +457,9 @@
             ask.needs for ask in self._queued_requests()
         )
 
-    def _expire(self, now_seconds: float) -> Iterator[engine_asks.TurnAway]:
+    def _expire(
+        self, now_seconds: float
+    ) -> Iterator[engine_decisions.Refusal]:
         expired = [
             ask
             for ask in self._queued_requests()
@@ -453,7 +467,7 @@
         ]
         for ask in expired:
             self.withdraw(ask.request_id, now_seconds=now_seconds)
-            yield engine_asks.TurnAway(
+            yield engine_decisions.Refusal(
                 ask=ask,
                 reason="waited_too_long",
                 retry_after_seconds=MIN_RETRY_AFTER_SECONDS,
@@ -467,8 +481,10 @@
             self.withdraw(request_id, now_seconds=now_seconds)
 
 
-def _queue_too_long(ask: Ask, excess_seconds: float) -> engine_asks.TurnAway:
-    return engine_asks.TurnAway(
+def _queue_too_long(
+    ask: EngineRequest, excess_seconds: float
+) -> engine_decisions.Refusal:
+    return engine_decisions.Refusal(
         ask=ask,
         reason="queue_too_long",
         retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, excess_seconds),
--- a/src/boragefold/policy/engine_places.py
+++ b/src/boragefold/policy/engine_slots.py
@@ -17,8 +17,8 @@
 
 import xxhash
 
-from boragefold.policy import adapter_places
-from boragefold.policy import engine_asks
+from boragefold.policy import adapter_slots
+from boragefold.policy import engine_decisions
 from boragefold.policy import load_times
 from boragefold.policy import popularity
 from boragefold.state import deployment
@@ -34,7 +34,7 @@
 ORDER_RETRY_SECONDS = 0.1
 
 
-class Places:
+class EngineSlots:
     """The models and adapters of one engine, and the slots they occupy."""
 
     def __init__(
@@ -63,7 +63,7 @@
         self._engine = engine
         self._newest = newest
         self._models: dict[str, float] = {}
-        self._places: dict[AdapterKey, adapter_places.Place] = {}
+        self._slots: dict[AdapterKey, adapter_slots.AdapterSlot] = {}
         self._popularity = popularity.Popularity()
         self._model_seconds = {
             model.name: model.load_seconds for model in engine.models
@@ -80,7 +80,7 @@
 
         :return: their keys
         """
-        return tuple(self._places)
+        return tuple(self._slots)
 
     def copies(self) -> tuple[AdapterKey, ...]:
         """List the adapters that the engine could load from host memory.
@@ -90,7 +90,7 @@
         return tuple(
             key
             for key in self._load_times.remembered()
-            if key not in self._places
+            if key not in self._slots
         )
 
     def summary(self) -> dict[str, str]:
@@ -101,11 +101,11 @@
         """
         return {
             key.adapter: (
-                f"{place.running}"
-                f"{'' if place.confirmed else '?'}"
-                f"{'-' if place.leaving else ''}"
+                f"{slot.running}"
+                f"{'' if slot.confirmed else '?'}"
+                f"{'-' if slot.leaving else ''}"
             )
-            for key, place in self._places.items()
+            for key, slot in self._slots.items()
         }
 
     def models(self) -> tuple[str, ...]:
@@ -125,11 +125,11 @@
             return False
         if not key.adapter:
             return True
-        place = self._places.get(key)
+        slot = self._slots.get(key)
         return (
-            place is not None
-            and not place.leaving
-            and place.version >= self._newest.get(key, 0)
+            slot is not None
+            and not slot.leaving
+            and slot.version >= self._newest.get(key, 0)
         )
 
     def ready(self, key: AdapterKey, *, now_seconds: float) -> bool:
@@ -141,8 +141,8 @@
         """
         if not self.holds(key) or self._models[key.model] > now_seconds:
             return False
-        place = self._places.get(key)
-        return place is None or place.ready_at_seconds <= now_seconds
+        slot = self._slots.get(key)
+        return slot is None or slot.ready_at_seconds <= now_seconds
 
     def until_ready_seconds(
         self, key: AdapterKey, *, now_seconds: float
@@ -158,8 +158,8 @@
             load_seconds = self._load_times.seconds(key, loading=loading)
             return load_seconds + self.orders_in_seconds
         ready_at_seconds = self._models[key.model]
-        if (place := self._places.get(key)) is not None:
-            ready_at_seconds = max(ready_at_seconds, place.ready_at_seconds)
+        if (slot := self._slots.get(key)) is not None:
+            ready_at_seconds = max(ready_at_seconds, slot.ready_at_seconds)
         return max(0.0, ready_at_seconds - now_seconds)
 
     def version(self, key: AdapterKey) -> int:
@@ -168,8 +168,8 @@
         :param key: the adapter
         :return: its version; 0 for a base model
         """
-        place = self._places.get(key)
-        return 0 if place is None else place.version
+        slot = self._slots.get(key)
+        return 0 if slot is None else slot.version
 
     def enter(self, key: AdapterKey, *, now_seconds: float) -> None:
         """Record that a request of an adapter starts running.
@@ -177,8 +177,8 @@
         :param key: the adapter or model
         :param now_seconds: reading of the process clock
         """
-        if (place := self._places.get(key)) is not None:
-            place.running += 1
+        if (slot := self._slots.get(key)) is not None:
+            slot.running += 1
         if key.adapter:
             self._popularity.note(key, now_seconds=now_seconds)
 
@@ -188,8 +188,8 @@
         :param key: the adapter or model
         :param now_seconds: reading of the process clock
         """
-        if (place := self._places.get(key)) is not None:
-            place.running = max(0, place.running - 1)
+        if (slot := self._slots.get(key)) is not None:
+            slot.running = max(0, slot.running - 1)
 
     def free(self, wanted: Mapping[AdapterKey, int]) -> int:
         """Count the slots that further adapters could have at once.
@@ -220,12 +220,12 @@
 
     def next_order(
         self,
-        unplaced: Sequence[engine_asks.Ask],
+        unplaced: Sequence[engine_decisions.EngineRequest],
         wanted: Mapping[AdapterKey, int],
         *,
         now_seconds: float,
         renews: bool = True,
-    ) -> engine_asks.Order | None:
+    ) -> engine_decisions.Order | None:
         """Choose the next order.
 
         :param unplaced: requests whose adapter has no slot, most urgent first
@@ -245,7 +245,7 @@
 
     def ordered(
         self,
-        order: engine_asks.Order,
+        order: engine_decisions.Order,
         *,
         done: bool,
         now_seconds: float,
@@ -260,11 +260,11 @@
         :param count: the number of orders that the engine has accepted since
         """
         key = order.key
-        if isinstance(order, engine_asks.Unload):
+        if isinstance(order, engine_decisions.Unload):
             if done:
-                self._places.pop(key, None)
-            elif key in self._places:
-                self._places[key].leaving = True
+                self._slots.pop(key, None)
+            elif key in self._slots:
+                self._slots[key].leaving = True
         elif not key.adapter:
             load_seconds = self._model_seconds.get(key.model, 0.0)
             self._models[key.model] = now_seconds + load_seconds
@@ -273,8 +273,8 @@
                 key, loading=self.loading(now_seconds=now_seconds)
             )
             # Requests of an older version go on running beside the newer one.
-            previous = self._places.get(key)
-            self._places[key] = adapter_places.Place(
+            previous = self._slots.get(key)
+            self._slots[key] = adapter_slots.AdapterSlot(
                 version=order.version,
                 ready_at_seconds=now_seconds + load_seconds,
                 count=count,
@@ -297,28 +297,28 @@
         :param key: the adapter or model
         :param now_seconds: reading of the process clock
         """
-        if (place := self._places.get(key)) is None:
+        if (slot := self._slots.get(key)) is None:
             return
         delay_seconds = LATE_LOAD_RETRY_SECONDS
-        if place.warm:
+        if slot.warm:
             # The engine had dropped its copy: it loads from the store.
             delay_seconds = load_times.COLD_LOAD_SECONDS
-        elif not place.confirmed:
+        elif not slot.confirmed:
             self._load_times.late()
-        place.warm = place.confirmed = False
-        place.ready_at_seconds = now_seconds + delay_seconds
+        slot.warm = slot.confirmed = False
+        slot.ready_at_seconds = now_seconds + delay_seconds
 
     def confirm(self, key: AdapterKey) -> None:
         """Record that an adapter is loaded, since a request ran on it.
 
         :param key: the adapter or model
         """
-        if (place := self._places.get(key)) is None:
+        if (slot := self._slots.get(key)) is None:
             return
-        if not place.confirmed and not place.warm:
+        if not slot.confirmed and not slot.warm:
             self._load_times.in_time()
-        place.confirmed = True
-        place.replaces = False
+        slot.confirmed = True
+        slot.replaces = False
 
     def overdue(self, *, now_seconds: float) -> bool:
         """Check for a load that should have finished and is unconfirmed.
@@ -327,9 +327,9 @@
         :return: whether to ask the engine for a report
         """
         return any(
-            not place.confirmed
-            and now_seconds - place.ready_at_seconds > LOAD_OVERDUE_SECONDS
-            for place in self._places.values()
+            not slot.confirmed
+            and now_seconds - slot.ready_at_seconds > LOAD_OVERDUE_SECONDS
+            for slot in self._slots.values()
         )
 
     def loading(self, *, now_seconds: float) -> int:
@@ -339,8 +339,8 @@
         :return: a count
         """
         return sum(
-            not place.confirmed and place.ready_at_seconds > now_seconds
-            for place in self._places.values()
+            not slot.confirmed and slot.ready_at_seconds > now_seconds
+            for slot in self._slots.values()
         )
 
     def learn(
@@ -363,8 +363,8 @@
             lists only when that is done
         """
         self._is_changing_model = busy
-        self._places = adapter_places.learned(
-            self._places, held, coming, now_seconds=now_seconds
+        self._slots = adapter_slots.learned(
+            self._slots, held, coming, now_seconds=now_seconds
         )
         self._models = {
             model: ready_at_seconds
@@ -380,7 +380,7 @@
         :param held: versions by adapter by model
         :param count: how many orders the engine had accepted by then
         """
-        adapter_places.confirm_former(self._places, held, count=count)
+        adapter_slots.confirm_former(self._slots, held, count=count)
 
     def dues(self, *, now_seconds: float) -> Iterator[float]:
         """List the times at which a load or a delay should be over.
@@ -390,7 +390,7 @@
         """
         expected = itertools.chain(
             self._models.values(),
-            (place.ready_at_seconds for place in self._places.values()),
+            (slot.ready_at_seconds for slot in self._slots.values()),
             (self._next_order_at_seconds,),
         )
         return (due for due in expected if due > now_seconds)
@@ -400,7 +400,7 @@
         key: AdapterKey,
         wanted: Mapping[AdapterKey, int],
         now_seconds: float,
-    ) -> engine_asks.Order | None:
+    ) -> engine_decisions.Order | None:
         if key.model not in self._models:
             return self._model_order(key.model)
         if self._models[key.model] > now_seconds or not key.adapter:
@@ -409,22 +409,22 @@
             key, loading=self.loading(now_seconds=now_seconds)
         ):
             return None
-        place = self._places.get(key)
-        if place is not None and place.leaving:
+        slot = self._slots.get(key)
+        if slot is not None and slot.leaving:
             return None
         if self._occupied_slots() < self.capacity:
-            return engine_asks.Load(key, self._newest.get(key, 0))
-        if place is not None and place.confirmed and not place.running:
-            return engine_asks.Unload(key)
+            return engine_decisions.Load(key, self._newest.get(key, 0))
+        if slot is not None and slot.confirmed and not slot.running:
+            return engine_decisions.Unload(key)
         victim = self._eviction_candidate(wanted, now_seconds)
-        return None if victim is None else engine_asks.Unload(victim)
+        return None if victim is None else engine_decisions.Unload(victim)
 
     def _occupied_slots(self) -> int:
-        return len(self._places) + sum(
-            place.replaces for place in self._places.values()
+        return len(self._slots) + sum(
+            slot.replaces for slot in self._slots.values()
         )
 
-    def _model_order(self, model: str) -> engine_asks.Order | None:
+    def _model_order(self, model: str) -> engine_decisions.Order | None:
         # An engine that restarted is empty; one that holds another model has
         # no room for this one. While an engine loads a model, it accepts a
         # second order for it without counting it, so that two instances would
@@ -435,7 +435,7 @@
             or model not in self._model_seconds
         ):
             return None
-        return engine_asks.Load(AdapterKey(model, ""), 0)
+        return engine_decisions.Load(AdapterKey(model, ""), 0)
 
     def outdated(self) -> AdapterKey | None:
         """Find a loaded adapter of which a newer version was published.
@@ -444,14 +444,14 @@
         """
         outdated = (
             key
-            for key, place in self._places.items()
-            if place.version < self._newest.get(key, 0) and not place.leaving
+            for key, slot in self._slots.items()
+            if slot.version < self._newest.get(key, 0) and not slot.leaving
         )
         return next(outdated, None)
 
     def _update_order(
         self, wanted: Mapping[AdapterKey, int], now_seconds: float
-    ) -> engine_asks.Order | None:
+    ) -> engine_decisions.Order | None:
         # No request may start on the older version much later, so it is
         # replaced before a request needs the adapter.
         key = self.outdated()
@@ -483,14 +483,14 @@
     ) -> Iterator[AdapterKey]:
         return (
             key
-            for key, place in self._places.items()
-            if place.confirmed
-            and not place.running
-            and not place.leaving
+            for key, slot in self._slots.items()
+            if slot.confirmed
+            and not slot.running
+            and not slot.leaving
             and not wanted.get(key)
         )
 
 
 __all__ = [
-    "Places",
+    "EngineSlots",
 ]
--- a/src/boragefold/policy/engine_pace.py
+++ b/src/boragefold/policy/engine_speed.py
@@ -53,7 +53,7 @@
         self.tokens_seconds = DECAY * self.tokens_seconds + tokens * seconds
 
 
-class EnginePace:
+class EngineSpeed:
     """Running estimates of an engine's speed.
 
     ``fixed_seconds`` is the part of a prefill that doesn't depend on the
@@ -129,5 +129,5 @@
 
 
 __all__ = [
-    "EnginePace",
+    "EngineSpeed",
 ]
--- a/src/boragefold/policy/fleet_events.py
+++ b/src/boragefold/policy/fleet_events.py
@@ -13,9 +13,9 @@
 from boragefold.policy import digest as digests
 from boragefold.policy import endpoints as fleet
 from boragefold.policy import fair_queue
+from boragefold.policy import fleet_placement
 from boragefold.policy import overload as overloads
 from boragefold.policy import placement as placements
-from boragefold.policy import placing as placing_module
 from boragefold.policy import sending as sending_module
 from boragefold.policy import work as works
 
@@ -38,12 +38,12 @@
         queue: fair_queue.FairQueue,
         sending: sending_module.Sending,
         endpoints: fleet.Endpoints,
-        placing: placing_module.Placing,
+        placement: fleet_placement.FleetPlacement,
     ) -> None:
         self._queue = queue
         self._sending = sending
         self._endpoints = endpoints
-        self._placing = placing
+        self._placement = placement
         self.tick_at_seconds = float("-inf")
         self._last_tick_seconds = float("-inf")
         self._refresh_at_seconds = float("-inf")
@@ -106,7 +106,7 @@
         :param load: from an :class:`actions.Order`
         :param now_seconds: reading of the process clock
         """
-        self._placing.load_ended(load, now_seconds=now_seconds)
+        self._placement.load_ended(load, now_seconds=now_seconds)
         self._sending.stir(load.adapter)
 
     def load_failed(
@@ -117,7 +117,7 @@
         :param load: from an :class:`actions.Order`
         :param now_seconds: reading of the process clock
         """
-        self._placing.load_failed(load, now_seconds=now_seconds)
+        self._placement.load_failed(load, now_seconds=now_seconds)
 
     def peer(
         self, peer: str, digest: digests.Digest, *, now_seconds: float
@@ -128,8 +128,10 @@
         :param digest: the digest
         :param now_seconds: reading of the process clock
         """
-        self._placing.peer(peer, digest, now_seconds=now_seconds)
-        if any(self._placing.is_cold(each.adapter) for each in digest.waiting):
+        self._placement.peer(peer, digest, now_seconds=now_seconds)
+        if any(
+            self._placement.is_cold(each.adapter) for each in digest.waiting
+        ):
             self.hurry(now_seconds=now_seconds)
 
     def waits(self, work: works.Work, *, now_seconds: float) -> None:
@@ -138,8 +140,8 @@
         :param work: the request
         :param now_seconds: reading of the process clock
         """
-        self._placing.arrived(work, now_seconds=now_seconds)
-        if self._placing.is_cold(work.needs):
+        self._placement.arrived(work, now_seconds=now_seconds)
+        if self._placement.is_cold(work.needs):
             self.hurry(now_seconds=now_seconds)
             self._digests_at_seconds = now_seconds
 
@@ -170,9 +172,11 @@
         waiting = self._queue.waiting_by_adapter()
         if now_seconds >= self._digests_at_seconds:
             self._digests_at_seconds = now_seconds + DIGEST_SECONDS
-            for peer, digest in self._placing.digests_by_peer(waiting).items():
+            for peer, digest in self._placement.digests_by_peer(
+                waiting
+            ).items():
                 yield actions.Tell(peer, digest)
-        yield from self._placing.decide(
+        yield from self._placement.decide(
             waiting,
             warm_up=level < overloads.Level.NO_EXTRAS,
             now_seconds=now_seconds,
--- a/src/boragefold/policy/placing.py
+++ b/src/boragefold/policy/fleet_placement.py
@@ -29,7 +29,7 @@
 Item = TypeVar("Item")
 
 
-class Placing:
+class FleetPlacement:
     """Passes the demand of all reachable instances to the placement."""
 
     def __init__(
@@ -189,5 +189,5 @@
 
 
 __all__ = [
-    "Placing",
+    "FleetPlacement",
 ]
--- a/src/boragefold/policy/load_wants.py
+++ b/src/boragefold/policy/load_candidates.py
@@ -34,7 +34,7 @@
 WARM_UP = "warm_up"
 
 
-class Want(NamedTuple):
+class LoadCandidate(NamedTuple):
     """An adapter to be loaded; the smallest rank is loaded first."""
 
     rank_seconds: float
@@ -53,7 +53,7 @@
         return self.reason == COLD and waited_seconds >= DRAIN_AFTER_SECONDS
 
 
-class LoadWants:
+class LoadCandidates:
     """Ranks the adapters to load and accounts load time by workspace."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         payer: Mapping[works.AdapterVersion, str],
         *,
         now_seconds: float,
-    ) -> list[Want]:
+    ) -> list[LoadCandidate]:
         """Rank the adapters to load.
 
         :param adapters: adapters and the reason for each load
@@ -78,26 +78,31 @@
         :param now_seconds: reading of the process clock
         :return: ranked adapters in no particular order
         """
-        wants = [
-            self._want(
+        candidates = [
+            self._candidate(
                 adapter, reason, demand.get(adapter), payer, now_seconds
             )
             for adapter, reason in adapters
         ]
-        self._since = {want.adapter: want.since_seconds for want in wants}
-        return wants
-
-    def in_order(self, wants: Iterable[Want]) -> Iterator[Want]:
+        self._since = {
+            candidate.adapter: candidate.since_seconds
+            for candidate in candidates
+        }
+        return candidates
+
+    def in_order(
+        self, candidates: Iterable[LoadCandidate]
+    ) -> Iterator[LoadCandidate]:
         """Iterate over the adapters, least charged workspace first.
 
         A charge during the iteration moves the workspace back in the order.
 
-        :param wants: from :meth:`make`
+        :param candidates: from :meth:`make`
         :return: each adapter once
         """
         queues = collections.defaultdict(list)
-        for want in wants:
-            queues[want.workspace].append(want)
+        for candidate in candidates:
+            queues[candidate.workspace].append(candidate)
         self._update_active(set(queues))
         for queue in queues.values():
             heapq.heapify(queue)
@@ -132,14 +137,14 @@
             self._spent.leave(workspace)
         self._active = present
 
-    def _want(
+    def _candidate(
         self,
         adapter: works.AdapterVersion,
         reason: str,
         waiting: demands.Demand | None,
         payer: Mapping[works.AdapterVersion, str],
         now_seconds: float,
-    ) -> Want:
+    ) -> LoadCandidate:
         since_seconds = self._since.get(adapter, now_seconds)
         requests = waiting.requests if waiting is not None else 0
         overtake_seconds = min(
@@ -150,10 +155,12 @@
             shares = waiting.by_workspace
             workspace = max(shares, key=lambda name: (shares[name], name))
         rank_seconds = since_seconds - overtake_seconds
-        return Want(rank_seconds, adapter, workspace, reason, since_seconds)
+        return LoadCandidate(
+            rank_seconds, adapter, workspace, reason, since_seconds
+        )
 
 
-def waited_for(
+def blocked_adapters(
     demand: Mapping[works.AdapterVersion, demands.Demand],
     endpoints: fleet.Endpoints,
     states: Iterable[fleet.EndpointState],
@@ -182,18 +189,18 @@
             yield adapter, HOT
 
 
-def with_use_for(
-    want: Want, states: Sequence[fleet.EndpointState]
+def useful_endpoints(
+    candidate: LoadCandidate, states: Sequence[fleet.EndpointState]
 ) -> Sequence[fleet.EndpointState]:
     """List the endpoints where a load would let requests start.
 
-    :param want: the adapter and the reason for its load
+    :param candidate: the adapter and the reason for its load
     :param states: endpoints that may be sent orders
     :return: a subset of them
     """
     # Under overload every adapter looks hot, but a copy on a full endpoint
     # would start no request.
-    if want.reason != HOT:
+    if candidate.reason != HOT:
         return states
     return [state for state in states if state.fill() < hot_adapters.HOT_FILL]
 
@@ -201,9 +208,9 @@
 __all__ = [
     "COLD",
     "HOT",
-    "LoadWants",
+    "LoadCandidates",
     "WARM_UP",
-    "Want",
-    "waited_for",
-    "with_use_for",
+    "LoadCandidate",
+    "blocked_adapters",
+    "useful_endpoints",
 ]
--- a/src/boragefold/policy/placement.py
+++ b/src/boragefold/policy/placement.py
@@ -21,10 +21,10 @@
 from boragefold.policy import drains as drains_module
 from boragefold.policy import endpoints as fleet
 from boragefold.policy import hot_adapters
-from boragefold.policy import load_wants
+from boragefold.policy import load_candidates
 from boragefold.policy import loads as loads_module
-from boragefold.policy import places as places_module
-from boragefold.policy import slots as slots_module
+from boragefold.policy import slot_choice
+from boragefold.policy import slot_search
 from boragefold.policy import warm_up as warm_up_module
 from boragefold.policy import work as works
 from boragefold.telemetry import counters as telemetry
@@ -58,17 +58,19 @@
         self._counters = counters
         self._rates = arrival_rates.ArrivalRates()
         self._loads = loads_module.Loads()
-        self._places = places_module.Places(
-            slots=slots_module.Slots(rates=self._rates, loads=self._loads),
+        self._slot_search = slot_search.SlotSearch(
+            slot_choice=slot_choice.SlotChoice(
+                rates=self._rates, loads=self._loads
+            ),
             rng=rng,
         )
         self._drains = drains_module.Drains(
             endpoints=endpoints,
             loads=self._loads,
-            places=self._places,
+            slot_search=self._slot_search,
             counters=counters,
         )
-        self._wants = load_wants.LoadWants()
+        self._candidates = load_candidates.LoadCandidates()
         self._backoff: backoff.Backoff[works.AdapterVersion] = backoff.Backoff(
             rng=rng
         )
@@ -76,7 +78,9 @@
             endpoints=endpoints, rates=self._rates
         )
         self._warm_up = warm_up_module.WarmUp(
-            rates=self._rates, places=self._places, is_absent=self._is_absent
+            rates=self._rates,
+            slot_search=self._slot_search,
+            is_absent=self._is_absent,
         )
 
     def arrived(self, work: works.Work, *, now_seconds: float) -> None:
@@ -143,33 +147,33 @@
         """
         self._forget_lost(now_seconds)
         states = self._usable(ordered)
-        wants = self._make_wants(demand, states, now_seconds)
+        candidates = self._ranked_candidates(demand, states, now_seconds)
         unplaced: collections.Counter[tuple[str, str]] = collections.Counter()
         orders: list[Load | Drain] = []
-        for want in self._wants.in_order(wants):
-            kind = want.adapter.model, want.reason
+        for candidate in self._candidates.in_order(candidates):
+            kind = candidate.adapter.model, candidate.reason
             if unplaced[kind] >= MAX_UNPLACED:
                 continue
-            place = self._places.find(
-                want.adapter,
-                load_wants.with_use_for(want, states),
+            target = self._slot_search.find(
+                candidate.adapter,
+                load_candidates.useful_endpoints(candidate, states),
                 kept=demand,
                 now_seconds=now_seconds,
             )
-            if place is None:
+            if target is None:
                 self._counters.add("loads_delayed", "no_slot")
                 unplaced[kind] += 1
                 orders.extend(
                     self._drains.find(
-                        want, wants, states, now_seconds=now_seconds
+                        candidate, candidates, states, now_seconds=now_seconds
                     )
                 )
                 continue
             if not self._budget.try_take(now_seconds=now_seconds):
                 self._counters.add("loads_delayed", "budget")
                 return orders
-            self._wants.charge(want.workspace, EXPECTED_LOAD_SECONDS)
-            orders.append(self._begin(place, want, now_seconds))
+            self._candidates.charge(candidate.workspace, EXPECTED_LOAD_SECONDS)
+            orders.append(self._begin(target, candidate, now_seconds))
         if warm_up and not orders:
             orders.extend(self._load_early(states, now_seconds))
         return orders
@@ -187,8 +191,8 @@
         self._backoff.succeeded(load.adapter)
         duration_seconds = now_seconds - running.began_at_seconds
         self._counters.observe_seconds("load_seconds", duration_seconds)
-        if load.reason != load_wants.WARM_UP:
-            self._wants.correct(
+        if load.reason != load_candidates.WARM_UP:
+            self._candidates.correct(
                 load.workspace, duration_seconds - EXPECTED_LOAD_SECONDS
             )
         if load.evict is not None:
@@ -229,16 +233,18 @@
             if state is not None and not state.spec.leaving
         ]
 
-    def _make_wants(
+    def _ranked_candidates(
         self,
         demand: Mapping[works.AdapterVersion, demands.Demand],
         states: Sequence[fleet.EndpointState],
         now_seconds: float,
-    ) -> list[load_wants.Want]:
+    ) -> list[load_candidates.LoadCandidate]:
         hot = dict(self._hot.present(now_seconds=now_seconds))
-        reasons = dict.fromkeys(hot, load_wants.HOT)
-        reasons.update(load_wants.waited_for(demand, self._endpoints, states))
-        return self._wants.make(
+        reasons = dict.fromkeys(hot, load_candidates.HOT)
+        reasons.update(
+            load_candidates.blocked_adapters(demand, self._endpoints, states)
+        )
+        return self._candidates.make(
             (
                 (adapter, reason)
                 for adapter, reason in reasons.items()
@@ -252,21 +258,27 @@
 
     def _begin(
         self,
-        place: slots_module.Place,
-        want: load_wants.Want,
+        target: slot_choice.LoadTarget,
+        candidate: load_candidates.LoadCandidate,
         now_seconds: float,
     ) -> Load:
-        state = place.endpoint
+        state = target.endpoint
         name = state.spec.name
         load = Load(
-            name, want.adapter, place.evict, want.workspace, want.reason
+            name,
+            candidate.adapter,
+            target.evict,
+            candidate.workspace,
+            candidate.reason,
         )
-        if place.evict is not None:
-            self._endpoints.evicted(name, place.evict, now_seconds=now_seconds)
+        if target.evict is not None:
+            self._endpoints.evicted(
+                name, target.evict, now_seconds=now_seconds
+            )
         self._loads.begin(
             load, incarnation=state.incarnation, now_seconds=now_seconds
         )
-        self._counters.add("loads_ordered", want.reason)
+        self._counters.add("loads_ordered", candidate.reason)
         return load
 
     def _is_absent(
@@ -284,8 +296,8 @@
         found = self._warm_up.find(states, now_seconds=now_seconds)
         if found is None or not self._budget.try_take(now_seconds=now_seconds):
             return
-        want, place = found
-        yield self._begin(place, want, now_seconds)
+        candidate, target = found
+        yield self._begin(target, candidate, now_seconds)
 
 
 __all__ = [
--- a/src/boragefold/policy/roles.py
+++ b/src/boragefold/policy/pool_balancer.py
@@ -41,7 +41,7 @@
     role: str
 
 
-class RoleOrder(NamedTuple):
+class PoolChange(NamedTuple):
     """An order to an endpoint to join another pool after it is drained."""
 
     endpoint: str
@@ -55,7 +55,7 @@
     at_seconds: float
 
 
-class Roles:
+class PoolBalancer:
     """Moves endpoints from pools with low load to pools with high load."""
 
     def __init__(
@@ -75,7 +75,7 @@
         busy: Mapping[Pool, float],
         ordered: Collection[str],
         now_seconds: float,
-    ) -> list[RoleOrder]:
+    ) -> list[PoolChange]:
         """Decide which moves to start now; call about once a second.
 
         :param busy: running and waiting requests by pool
@@ -85,18 +85,18 @@
         """
         self._expire_moves(now_seconds)
         members = self._members()
-        orders: list[RoleOrder] = []
+        orders: list[PoolChange] = []
         for pool in self._overloaded_pools(busy, members, now_seconds):
             shortage = _shortage(busy[pool], members[pool])
             donors = self._donors(pool, busy, members, ordered, now_seconds)
             for state in donors[:shortage]:
                 self._moves[state.spec.name] = Move(pool, now_seconds)
-                orders.append(RoleOrder(state.spec.name, pool))
+                orders.append(PoolChange(state.spec.name, pool))
                 self._counters.add("role_changes", pool.role)
             members = self._members()
         return orders
 
-    def failed(self, order: RoleOrder) -> None:
+    def failed(self, order: PoolChange) -> None:
         """Record that an endpoint refused or did not receive an order.
 
         :param order: from :meth:`decide`
@@ -204,6 +204,6 @@
 
 __all__ = [
     "Pool",
-    "RoleOrder",
-    "Roles",
+    "PoolChange",
+    "PoolBalancer",
 ]
--- a/src/boragefold/policy/prefixes.py
+++ b/src/boragefold/policy/prefix_affinity.py
@@ -22,7 +22,7 @@
     prefix: str
 
 
-class Prefixes:
+class PrefixAffinity:
     """Maps the most recently used prefixes to endpoints."""
 
     def __init__(self) -> None:
@@ -60,5 +60,5 @@
 
 __all__ = [
     "MAX_PREFIXES",
-    "Prefixes",
+    "PrefixAffinity",
 ]
--- a/src/boragefold/policy/prompt_spacing.py
+++ b/src/boragefold/policy/prompt_spacing.py
@@ -15,7 +15,7 @@
 
 from collections.abc import Iterable
 
-from boragefold.policy import engine_pace
+from boragefold.policy import engine_speed
 
 # The rest of the pause is for decode steps.
 MAX_PREFILL_SHARE = 0.6
@@ -26,12 +26,12 @@
 class PromptSpacing:
     """The prompts sent to an engine since it last had none to prefill."""
 
-    def __init__(self, *, pace: engine_pace.EnginePace) -> None:
+    def __init__(self, *, speed: engine_speed.EngineSpeed) -> None:
         """Start with no prompts.
 
-        :param pace: estimates the prefill speed of the engine
+        :param speed: estimates the prefill speed of the engine
         """
-        self._pace = pace
+        self._speed = speed
         self._burst_seconds = 0.0
 
     def allows(self, tokens: int, pauses_seconds: Iterable[float]) -> bool:
@@ -45,7 +45,7 @@
         pause_seconds = min(
             filter(None, pauses_seconds), default=DEFAULT_PAUSE_SECONDS
         )
-        burst_seconds = self._burst_seconds + self._pace.blocking_seconds(
+        burst_seconds = self._burst_seconds + self._speed.blocking_seconds(
             tokens
         )
         return burst_seconds <= MAX_PREFILL_SHARE * pause_seconds
@@ -58,7 +58,7 @@
         """
         if not reads:
             self._burst_seconds = 0.0
-        self._burst_seconds += self._pace.blocking_seconds(tokens)
+        self._burst_seconds += self._speed.blocking_seconds(tokens)
 
 
 __all__ = [
--- a/src/boragefold/policy/rate_ledger.py
+++ b/src/boragefold/policy/rate_ledger.py
@@ -16,7 +16,7 @@
 
 import xxhash
 
-from boragefold.policy import recent_sums
+from boragefold.policy import announced_sums
 from boragefold.policy import shared_rate
 from boragefold.protocol import rate_ledger_messages as messages
 
@@ -43,8 +43,8 @@
         self._era_began_at_seconds = -math.inf
         self._stored: dict[str, StoredEntry] = {}
         self._folded = messages.Folded(0, {})
-        self._totals = recent_sums.RecentSums()
-        self._late = recent_sums.RecentSums()
+        self._totals = announced_sums.AnnouncedSums()
+        self._late = announced_sums.AnnouncedSums()
 
     @property
     def era(self) -> messages.Era:
@@ -107,7 +107,7 @@
         :return: whether a workspace that isn't included has a sum of 0
         """
         new_seconds = now_seconds - self._era_began_at_seconds
-        return whole or new_seconds <= recent_sums.TELL_SECONDS
+        return whole or new_seconds <= announced_sums.TELL_SECONDS
 
     def put_own(
         self, name: str, entry: messages.Entry, *, now_seconds: float
--- a/src/boragefold/policy/engine_requests.py
+++ b/src/boragefold/policy/request_states.py
@@ -6,18 +6,18 @@
 import dataclasses
 from typing import NamedTuple
 
-from boragefold.policy import engine_asks
+from boragefold.policy import engine_decisions
 
 
 @dataclasses.dataclass(kw_only=True)
-class Waiting:
+class QueuedRequest:
     """A queued request, and the progress of its adapter.
 
     ``placed_at_seconds`` is when the load of its adapter was ordered, and
     ``ready_at_seconds`` when the adapter was loaded; None until then.
     """
 
-    ask: engine_asks.Ask
+    ask: engine_decisions.EngineRequest
     turn: int
     since_seconds: float
     placed_at_seconds: float | None = None
@@ -35,7 +35,7 @@
         if ready and self.ready_at_seconds is None:
             self.ready_at_seconds = now_seconds
 
-    def waits(self, now_seconds: float) -> engine_asks.Waits:
+    def waits(self, now_seconds: float) -> engine_decisions.QueueTimes:
         """Split its time in the queue until now by what it waited for.
 
         :param now_seconds: reading of the process clock
@@ -45,7 +45,7 @@
         placed_at_seconds = _or_default(
             self.placed_at_seconds, ready_at_seconds
         )
-        return engine_asks.Waits(
+        return engine_decisions.QueueTimes(
             place_seconds=placed_at_seconds - self.since_seconds,
             load_seconds=ready_at_seconds - placed_at_seconds,
             turn_seconds=now_seconds - ready_at_seconds,
@@ -53,29 +53,31 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Run:
+class RunningRequest:
     """A request that was granted and has not ended."""
 
-    ask: engine_asks.Ask
+    ask: engine_decisions.EngineRequest
     granted_at_seconds: float
     started: bool = False
 
 
-class Prompts(NamedTuple):
+class PromptTotals(NamedTuple):
     """The size of some prompts that the engine has yet to prefill."""
 
     number: int
     tokens: int
 
 
-def prompts_of(asks: Iterable[engine_asks.Ask]) -> Prompts:
+def total_prompts(
+    asks: Iterable[engine_decisions.EngineRequest],
+) -> PromptTotals:
     """Sum up the prompts of some requests.
 
     :param asks: the requests
     :return: their number and their tokens
     """
     tokens = [ask.prompt_tokens for ask in asks]
-    return Prompts(number=len(tokens), tokens=sum(tokens))
+    return PromptTotals(number=len(tokens), tokens=sum(tokens))
 
 
 def _or_default(at_seconds: float | None, default_seconds: float) -> float:
@@ -83,8 +85,8 @@
 
 
 __all__ = [
-    "Prompts",
-    "Run",
-    "Waiting",
-    "prompts_of",
+    "PromptTotals",
+    "RunningRequest",
+    "QueuedRequest",
+    "total_prompts",
 ]
--- a/src/boragefold/policy/engine_runs.py
+++ b/src/boragefold/policy/running_requests.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator
 import math
 
-from boragefold.policy import engine_asks
-from boragefold.policy import engine_pace
-from boragefold.policy import engine_requests
+from boragefold.policy import engine_decisions
+from boragefold.policy import engine_speed
 from boragefold.policy import prompt_spacing
+from boragefold.policy import request_states
 from boragefold.state import deployment
 
 # Part of the KV cache that granted requests may fill. Beyond it the engine
@@ -19,34 +19,34 @@
 START_REPORT_TIMEOUT_SECONDS = 3.0
 
 
-class EngineRuns:
+class RunningRequests:
     """The requests that were granted at one engine and have not ended."""
 
     def __init__(
-        self, *, engine: deployment.Engine, pace: engine_pace.EnginePace
+        self, *, engine: deployment.Engine, speed: engine_speed.EngineSpeed
     ) -> None:
         """Start with no requests.
 
         :param engine: the capacity of the engine
-        :param pace: updated by the starts and ends of responses
+        :param speed: updated by the starts and ends of responses
         """
         self._engine = engine
-        self._pace = pace
-        self._runs: dict[str, engine_requests.Run] = {}
+        self._speed = speed
+        self._runs: dict[str, request_states.RunningRequest] = {}
         self._last_start_seconds = -math.inf
-        self._spacing = prompt_spacing.PromptSpacing(pace=pace)
+        self._spacing = prompt_spacing.PromptSpacing(speed=speed)
 
     def __len__(self) -> int:
         return len(self._runs)
 
-    def asks(self) -> Iterator[engine_asks.Ask]:
+    def asks(self) -> Iterator[engine_decisions.EngineRequest]:
         """List the running requests.
 
         :return: the requests
         """
         return (run.ask for run in self._runs.values())
 
-    def find(self, request_id: str) -> engine_asks.Ask | None:
+    def find(self, request_id: str) -> engine_decisions.EngineRequest | None:
         """Look up a running request.
 
         :param request_id: id of the request
@@ -55,7 +55,9 @@
         run = self._runs.get(request_id)
         return None if run is None else run.ask
 
-    def begin(self, ask: engine_asks.Ask, *, now_seconds: float) -> None:
+    def begin(
+        self, ask: engine_decisions.EngineRequest, *, now_seconds: float
+    ) -> None:
         """Record that a request was granted.
 
         :param ask: the request
@@ -64,14 +66,14 @@
         self._spacing.gave(
             ask.prompt_tokens, reads=self.unstarted().number > 0
         )
-        self._runs[ask.request_id] = engine_requests.Run(
+        self._runs[ask.request_id] = request_states.RunningRequest(
             ask=ask,
             granted_at_seconds=now_seconds,
         )
 
     def end(
         self, request_id: str, *, now_seconds: float
-    ) -> engine_asks.Ask | None:
+    ) -> engine_decisions.EngineRequest | None:
         """Record that a request has ended.
 
         :param request_id: id of the request
@@ -81,12 +83,12 @@
         run = self._runs.pop(request_id, None)
         if run is None:
             return None
-        self._pace.ended(now_seconds - run.granted_at_seconds)
+        self._speed.ended(now_seconds - run.granted_at_seconds)
         return run.ask
 
     def started(
         self, request_id: str, *, now_seconds: float
-    ) -> engine_asks.Ask | None:
+    ) -> engine_decisions.EngineRequest | None:
         """Record the first event of a response.
 
         :param request_id: id of the request
@@ -101,19 +103,19 @@
         # when the one before it ended, or when the request was granted.
         since_seconds = max(run.granted_at_seconds, self._last_start_seconds)
         self._last_start_seconds = now_seconds
-        self._pace.started(run.ask.prompt_tokens, now_seconds - since_seconds)
+        self._speed.started(run.ask.prompt_tokens, now_seconds - since_seconds)
         return run.ask
 
-    def unstarted(self) -> engine_requests.Prompts:
+    def unstarted(self) -> request_states.PromptTotals:
         """Sum up the prompts that the engine has not prefilled yet.
 
         :return: their number and tokens
         """
-        return engine_requests.prompts_of(
+        return request_states.total_prompts(
             run.ask for run in self._runs.values() if not run.started
         )
 
-    def has_room(self, ask: engine_asks.Ask) -> bool:
+    def has_room(self, ask: engine_decisions.EngineRequest) -> bool:
         """Check whether one more request could run.
 
         :param ask: the request
@@ -152,7 +154,9 @@
             if now_seconds > ask.ends_by_seconds
         ]
 
-    def _pauses_responses_too_long(self, ask: engine_asks.Ask) -> bool:
+    def _pauses_responses_too_long(
+        self, ask: engine_decisions.EngineRequest
+    ) -> bool:
         return not self._spacing.allows(
             ask.prompt_tokens,
             (each.event_gap_seconds for each in (ask, *self.asks())),
@@ -160,5 +164,5 @@
 
 
 __all__ = [
-    "EngineRuns",
+    "RunningRequests",
 ]
--- a/src/boragefold/policy/slots.py
+++ b/src/boragefold/policy/slot_choice.py
@@ -23,14 +23,14 @@
 PROTECTED_GAPS = 2.0
 
 
-class Place(NamedTuple):
+class LoadTarget(NamedTuple):
     """A slot at an endpoint, and the adapter to evict from it, if any."""
 
     endpoint: fleet.EndpointState
     evict: works.AdapterVersion | None
 
 
-class Slots:
+class SlotChoice:
     """Finds the slot whose reuse costs least."""
 
     def __init__(
@@ -39,7 +39,7 @@
         self._rates = rates
         self._loads = loads
 
-    def free(self, states: Iterable[fleet.EndpointState]) -> Place | None:
+    def free(self, states: Iterable[fleet.EndpointState]) -> LoadTarget | None:
         """Find an endpoint with an empty slot.
 
         :param states: endpoints that may load the adapter
@@ -50,7 +50,7 @@
             for state in states
             if self._loads.taken_slots(state) < state.spec.slots
         ]
-        return Place(min(empty)[-1], None) if empty else None
+        return LoadTarget(min(empty)[-1], None) if empty else None
 
     def by_eviction(
         self,
@@ -58,7 +58,7 @@
         kept: Container[works.AdapterVersion],
         *,
         now_seconds: float,
-    ) -> Place | None:
+    ) -> LoadTarget | None:
         """Find the adapter whose eviction costs least.
 
         :param states: endpoints that may load the new adapter
@@ -81,14 +81,14 @@
         if not found:
             return None
         *_value, adapter, state = min(found, key=lambda each: each[:-1])
-        return Place(state, adapter)
+        return LoadTarget(state, adapter)
 
     def to_drain(
         self,
         states: Iterable[fleet.EndpointState],
         *,
         now_seconds: float,
-    ) -> Place | None:
+    ) -> LoadTarget | None:
         """Find the adapter in use whose new requests should be stopped.
 
         :param states: endpoints; those with a drained or otherwise blocked
@@ -111,7 +111,7 @@
         if not found:
             return None
         *_value, adapter, state = min(found, key=lambda each: each[:-1])
-        return Place(state, adapter)
+        return LoadTarget(state, adapter)
 
     def _is_evictable(
         self,
@@ -155,6 +155,6 @@
 __all__ = [
     "MAX_RESIDENCY_SECONDS",
     "MIN_RESIDENCY_SECONDS",
-    "Place",
-    "Slots",
+    "LoadTarget",
+    "SlotChoice",
 ]
--- a/src/boragefold/policy/places.py
+++ b/src/boragefold/policy/slot_search.py
@@ -11,7 +11,7 @@
 import random
 
 from boragefold.policy import endpoints as fleet
-from boragefold.policy import slots as slots_module
+from boragefold.policy import slot_choice
 from boragefold.policy import work as works
 
 # Size of a random sample, which bounds the time of a decision (the "power of
@@ -19,16 +19,16 @@
 SAMPLED_ENDPOINTS = 8
 
 
-class Places:
+class SlotSearch:
     """Finds slots at the endpoints that may load an adapter."""
 
     def __init__(
         self,
         *,
-        slots: slots_module.Slots,
+        slot_choice: slot_choice.SlotChoice,
         rng: random.Random,
     ) -> None:
-        self._slots = slots
+        self._slot_choice = slot_choice
         self._rng = rng
 
     def find(
@@ -38,7 +38,7 @@
         *,
         kept: Container[works.AdapterVersion],
         now_seconds: float,
-    ) -> slots_module.Place | None:
+    ) -> slot_choice.LoadTarget | None:
         """Find an empty slot or one whose adapter can be evicted.
 
         :param adapter: the adapter version to load
@@ -47,10 +47,10 @@
         :param now_seconds: reading of the process clock
         :return: the slot, or None
         """
-        place = self.free(adapter, states)
-        if place is not None:
-            return place
-        return self._slots.by_eviction(
+        target = self.free(adapter, states)
+        if target is not None:
+            return target
+        return self._slot_choice.by_eviction(
             self._sample(adapter, states), kept, now_seconds=now_seconds
         )
 
@@ -58,14 +58,14 @@
         self,
         adapter: works.AdapterVersion,
         states: Sequence[fleet.EndpointState],
-    ) -> slots_module.Place | None:
+    ) -> slot_choice.LoadTarget | None:
         """Find an empty slot.
 
         :param adapter: the adapter version to load
         :param states: endpoints that may be sent orders
         :return: the slot, or None
         """
-        return self._slots.free(_eligible(adapter, states))
+        return self._slot_choice.free(_eligible(adapter, states))
 
     def to_drain(
         self,
@@ -73,7 +73,7 @@
         states: Sequence[fleet.EndpointState],
         *,
         now_seconds: float,
-    ) -> slots_module.Place | None:
+    ) -> slot_choice.LoadTarget | None:
         """Find an adapter in use whose slot should be drained.
 
         :param adapter: the adapter version to load afterwards
@@ -81,7 +81,7 @@
         :param now_seconds: reading of the process clock
         :return: the slot, or None
         """
-        return self._slots.to_drain(
+        return self._slot_choice.to_drain(
             self._sample(adapter, states), now_seconds=now_seconds
         )
 
@@ -107,5 +107,5 @@
 
 
 __all__ = [
-    "Places",
+    "SlotSearch",
 ]
--- a/src/boragefold/policy/warm_up.py
+++ b/src/boragefold/policy/warm_up.py
@@ -13,9 +13,9 @@
 
 from boragefold.policy import arrival_rates
 from boragefold.policy import endpoints as fleet
-from boragefold.policy import load_wants
-from boragefold.policy import places as places_module
-from boragefold.policy import slots as slots_module
+from boragefold.policy import load_candidates
+from boragefold.policy import slot_choice
+from boragefold.policy import slot_search
 from boragefold.policy import work as works
 
 # Leaves part of the weight store's load rate for sudden demand.
@@ -27,8 +27,8 @@
 class EarlyLoad(NamedTuple):
     """An adapter to load ahead of requests, and the slot for it."""
 
-    want: load_wants.Want
-    place: slots_module.Place
+    candidate: load_candidates.LoadCandidate
+    target: slot_choice.LoadTarget
 
 
 class WarmUp:
@@ -38,11 +38,11 @@
         self,
         *,
         rates: arrival_rates.ArrivalRates,
-        places: places_module.Places,
+        slot_search: slot_search.SlotSearch,
         is_absent: Callable[[works.AdapterVersion, float], bool],
     ) -> None:
         self._rates = rates
-        self._places = places
+        self._slot_search = slot_search
         self._is_absent = is_absent
         self._next_at_seconds = float("-inf")
 
@@ -63,25 +63,26 @@
             return None
         return next(
             (
-                EarlyLoad(self._want(adapter, now_seconds), place)
+                EarlyLoad(self._candidate(adapter, now_seconds), target)
                 for per_second, adapter in self._rates.hottest(
                     now_seconds=now_seconds
                 )
                 if per_second >= MIN_PER_SECOND
                 and self._is_absent(adapter, now_seconds)
-                and (place := self._places.free(adapter, states)) is not None
+                and (target := self._slot_search.free(adapter, states))
+                is not None
             ),
             None,
         )
 
-    def _want(
+    def _candidate(
         self, adapter: works.AdapterVersion, now_seconds: float
-    ) -> load_wants.Want:
-        return load_wants.Want(
+    ) -> load_candidates.LoadCandidate:
+        return load_candidates.LoadCandidate(
             now_seconds,
             adapter,
             self._rates.workspace(adapter),
-            load_wants.WARM_UP,
+            load_candidates.WARM_UP,
             now_seconds,
         )
 
--- a/tests/entry/test_owned_engine.py
+++ b/tests/entry/test_owned_engine.py
@@ -8,9 +8,9 @@
 
 from boragefold.coordination.fleet import order_turns
 from boragefold.entry import owned_engine
-from boragefold.policy import engine_asks
-from boragefold.policy import engine_places
+from boragefold.policy import engine_decisions
 from boragefold.policy import engine_schedule
+from boragefold.policy import engine_slots
 from boragefold.telemetry import counters
 from boragefold.transport import http_client
 from tests.fakes import engine_loads
@@ -34,7 +34,7 @@
         )
         for expected, key in enumerate(map(engine_loads.key, "abcde")):
             self.model.order(
-                engine_asks.Load(key, 0),
+                engine_decisions.Load(key, 0),
                 giver="before",
                 fence=expected,
                 expected=expected,
@@ -119,7 +119,7 @@
 
 
 def start_owning(node, engine, giver, *, log=None, client=None):
-    places = engine_places.Places(engine=engine_loads.ENGINE, newest={})
+    places = engine_slots.EngineSlots(engine=engine_loads.ENGINE, newest={})
     return owned_engine.OwnedEngine(
         record=gateways.ENGINES[0],
         schedule=engine_schedule.EngineSchedule(
--- a/tests/fakes/chunked_engine.py
+++ b/tests/fakes/chunked_engine.py
@@ -6,9 +6,9 @@
 import heapq
 import itertools
 
-from boragefold.policy import engine_asks
-from boragefold.policy import engine_places
+from boragefold.policy import engine_decisions
 from boragefold.policy import engine_schedule
+from boragefold.policy import engine_slots
 from tests.fakes import engine_loads
 
 PIECE_TOKENS = 4_096
@@ -22,7 +22,7 @@
 class Answer:
     """A request at the engine."""
 
-    ask: engine_asks.Ask
+    ask: engine_decisions.EngineRequest
     unread: int
     read_at: float = 0.0
     tokens: int = 0
@@ -36,17 +36,21 @@
     def __init__(self, *, tokens_per_second: float, event_tokens: int):
         self._speed = tokens_per_second
         self._event_tokens = event_tokens
-        places = engine_places.Places(engine=engine_loads.ENGINE, newest={})
+        places = engine_slots.EngineSlots(
+            engine=engine_loads.ENGINE, newest={}
+        )
         places.learn({engine_loads.MODEL: {}}, {}, now_seconds=0.0)
         self.schedule = engine_schedule.EngineSchedule(
             engine=engine_loads.ENGINE, places=places
         )
         self.answers: dict[str, Answer] = {}
-        self.refused: dict[str, engine_asks.TurnAway] = {}
-        self._messages: list[tuple[float, int, str, engine_asks.Ask]] = []
+        self.refused: dict[str, engine_decisions.Refusal] = {}
+        self._messages: list[
+            tuple[float, int, str, engine_decisions.EngineRequest]
+        ] = []
         self._order = itertools.count()
 
-    def submit(self, at: float, ask: engine_asks.Ask) -> None:
+    def submit(self, at: float, ask: engine_decisions.EngineRequest) -> None:
         self._post(at, "ask", ask)
 
     def run(self, until: float) -> None:
@@ -55,7 +59,9 @@
             self._deliver(now)
             now = self._step(now)
 
-    def _post(self, at: float, kind: str, ask: engine_asks.Ask) -> None:
+    def _post(
+        self, at: float, kind: str, ask: engine_decisions.EngineRequest
+    ) -> None:
         heapq.heappush(self._messages, (at, next(self._order), kind, ask))
 
     def _deliver(self, now: float) -> None:
@@ -75,9 +81,9 @@
             else:
                 self.schedule.withdraw(ask.request_id, now_seconds=at)
             for action in self.schedule.advance(now_seconds=at):
-                if isinstance(action, engine_asks.Grant):
+                if isinstance(action, engine_decisions.Grant):
                     self._post(at + MESSAGE_SECONDS, "grant", action.ask)
-                elif isinstance(action, engine_asks.TurnAway):
+                elif isinstance(action, engine_decisions.Refusal):
                     self.refused[action.ask.request_id] = action
 
     def _step(self, now: float) -> float:
--- a/tests/fakes/engine_loads.py
+++ b/tests/fakes/engine_loads.py
@@ -6,9 +6,9 @@
 import itertools
 from typing import NamedTuple
 
-from boragefold.policy import engine_asks
-from boragefold.policy import engine_places
+from boragefold.policy import engine_decisions
 from boragefold.policy import engine_schedule
+from boragefold.policy import engine_slots
 from boragefold.protocol import ids
 from boragefold.state import deployment
 
@@ -41,8 +41,8 @@
     priority: int = 1,
     target: float = 1.0,
     patience: float = 4.0,
-) -> engine_asks.Ask:
-    return engine_asks.Ask(
+) -> engine_decisions.EngineRequest:
+    return engine_decisions.EngineRequest(
         request_id=request_id,
         sender=SENDER,
         needs=key(adapter),
@@ -68,20 +68,26 @@
         self, *, newest: dict[deployment.AdapterKey, int] | None = None
     ):
         self.newest = newest or {}
-        self.places = engine_places.Places(engine=ENGINE, newest=self.newest)
+        self.places = engine_slots.EngineSlots(
+            engine=ENGINE, newest=self.newest
+        )
         self.places.learn({MODEL: {}}, {}, now_seconds=0.0)
         self.places.may_order = True
         self.schedule = engine_schedule.EngineSchedule(
             engine=ENGINE, places=self.places
         )
         self.outcomes: dict[str, Outcome] = {}
-        self.orders: list[engine_asks.Order] = []
+        self.orders: list[engine_decisions.Order] = []
         self.most_held = 0
-        self._events: list[tuple[float, int, str, engine_asks.Ask]] = []
+        self._events: list[
+            tuple[float, int, str, engine_decisions.EngineRequest]
+        ] = []
         self._order = itertools.count()
         self._prefill_free = 0.0
 
-    def submit(self, at: float, wanted: engine_asks.Ask) -> None:
+    def submit(
+        self, at: float, wanted: engine_decisions.EngineRequest
+    ) -> None:
         self._push(at, "ask", wanted)
 
     def run(self, until: float) -> dict[str, Outcome]:
@@ -100,15 +106,19 @@
 
     def loads(self, adapter: str | None = None) -> int:
         return sum(
-            isinstance(order, engine_asks.Load)
+            isinstance(order, engine_decisions.Load)
             and adapter in (None, order.key.adapter)
             for order in self.orders
         )
 
-    def _push(self, at: float, kind: str, one: engine_asks.Ask) -> None:
+    def _push(
+        self, at: float, kind: str, one: engine_decisions.EngineRequest
+    ) -> None:
         heapq.heappush(self._events, (at, next(self._order), kind, one))
 
-    def _happen(self, kind: str, one: engine_asks.Ask, now: float) -> None:
+    def _happen(
+        self, kind: str, one: engine_decisions.EngineRequest, now: float
+    ) -> None:
         if kind == "ask":
             refusal = self.schedule.offer(one, now_seconds=now)
             if refusal is not None:
@@ -128,24 +138,24 @@
             if not actions:
                 return
 
-    def _act(self, action: engine_asks.Action, now: float) -> None:
-        if isinstance(action, engine_asks.Grant):
+    def _act(self, action: engine_decisions.Action, now: float) -> None:
+        if isinstance(action, engine_decisions.Grant):
             self._serve(action.ask, now)
-        elif isinstance(action, engine_asks.TurnAway):
+        elif isinstance(action, engine_decisions.Refusal):
             self._refuse(action, now)
         else:
             self.orders.append(action)
-            done = isinstance(action, engine_asks.Unload)
+            done = isinstance(action, engine_decisions.Unload)
             self.places.ordered(action, done=done, now_seconds=now)
 
-    def _serve(self, one: engine_asks.Ask, now: float) -> None:
+    def _serve(self, one: engine_decisions.EngineRequest, now: float) -> None:
         begin = max(now, self._prefill_free)
         start = begin + one.prompt_tokens / PREFILL_TOKENS_PER_SECOND
         self._prefill_free = start
         self._push(start, "started", one)
         self._push(start + one.output_tokens * TOKEN_SECONDS, "ended", one)
 
-    def _refuse(self, refusal: engine_asks.TurnAway, now: float) -> None:
+    def _refuse(self, refusal: engine_decisions.Refusal, now: float) -> None:
         self.outcomes[refusal.ask.request_id] = Outcome(
             None, refusal.reason, now
         )
--- a/tests/fakes/engine_views.py
+++ b/tests/fakes/engine_views.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from boragefold.policy import engine_choice
+from boragefold.policy import engine_ranking
 
 NAMES = [f"engine-{number}" for number in range(9)]
 
 
 def view(name, **changes):
-    defaults = engine_choice.EngineView(
+    defaults = engine_ranking.EngineView(
         name=name,
         near=True,
         held=frozenset(),
--- a/tests/fakes/engine_wire.py
+++ b/tests/fakes/engine_wire.py
@@ -10,9 +10,9 @@
 
 from boragefold.coordination.fleet import order_turns
 from boragefold.entry import owned_engine
-from boragefold.policy import engine_asks
-from boragefold.policy import engine_places
+from boragefold.policy import engine_decisions
 from boragefold.policy import engine_schedule
+from boragefold.policy import engine_slots
 from boragefold.state import deployment
 from boragefold.telemetry import counters
 from boragefold.timing import clock as clocks
@@ -125,11 +125,11 @@
     def advance(self) -> None:
         """Let the owner decide, and carry its grants out."""
         for action in self.owned.advance():
-            if isinstance(action, engine_asks.Grant):
+            if isinstance(action, engine_decisions.Grant):
                 self._run(action.ask)
 
     def _owner(self) -> owned_engine.OwnedEngine:
-        places = engine_places.Places(
+        places = engine_slots.EngineSlots(
             engine=engine_loads.ENGINE, newest=self.newest
         )
         return owned_engine.OwnedEngine(
@@ -182,7 +182,7 @@
             return None, b""
         return model_engine.OK, self._dialect.write_report(report)
 
-    def _run(self, ask: engine_asks.Ask) -> None:
+    def _run(self, ask: engine_decisions.EngineRequest) -> None:
         run_seconds = float(ask.request_id.partition("/")[2])
         if not self.engine.run(ask.needs, seconds=run_seconds):
             self._end(ask)
@@ -196,12 +196,12 @@
             run_seconds, lambda: self._in_process(lambda: self._end(ask))
         )
 
-    def _start(self, ask: engine_asks.Ask) -> None:
+    def _start(self, ask: engine_decisions.EngineRequest) -> None:
         self.owned.schedule.started(
             ask.request_id, now_seconds=self.clock.now_seconds()
         )
 
-    def _end(self, ask: engine_asks.Ask) -> None:
+    def _end(self, ask: engine_decisions.EngineRequest) -> None:
         self.owned.schedule.withdraw(
             ask.request_id, now_seconds=self.clock.now_seconds()
         )
--- a/tests/fakes/model_engine.py
+++ b/tests/fakes/model_engine.py
@@ -9,7 +9,7 @@
 
 from boragefold.coordination.fleet import fencing_numbers
 from boragefold.entry import engine_dialect as dialects
-from boragefold.policy import engine_asks
+from boragefold.policy import engine_decisions
 from boragefold.state import deployment
 from boragefold.timing import clock as clocks
 
@@ -37,7 +37,7 @@
     at_seconds: float
     giver: str
     fence: int
-    order: engine_asks.Order
+    order: engine_decisions.Order
     expected: int
     count: int
     status: int | None
@@ -124,7 +124,7 @@
 
     def order(
         self,
-        order: engine_asks.Order,
+        order: engine_decisions.Order,
         *,
         giver: str,
         fence: int,
@@ -211,8 +211,8 @@
     def _taken(self) -> int:
         return len(self._held.keys() | self._coming.keys())
 
-    def _answer(self, order: engine_asks.Order, expected: int) -> int:
-        if isinstance(order, engine_asks.Unload):
+    def _answer(self, order: engine_decisions.Order, expected: int) -> int:
+        if isinstance(order, engine_decisions.Unload):
             return self._unload(order.key, expected)
         if not order.key.adapter:
             return self._load_model(order.key.model, expected)
@@ -234,7 +234,7 @@
         del self._held[key]
         return OK
 
-    def _load(self, order: engine_asks.Load, expected: int) -> int:
+    def _load(self, order: engine_decisions.Load, expected: int) -> int:
         key = order.key
         newest = self.newest.get(key, 1)
         if order.version > newest:
--- a/tests/fakes/plain_dialect.py
+++ b/tests/fakes/plain_dialect.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from boragefold.entry import engine_dialect as dialects
-from boragefold.policy import engine_asks
+from boragefold.policy import engine_decisions
 from boragefold.state import deployment
 from tests.fakes import model_engine
 
@@ -15,7 +15,7 @@
 class OrderCall(NamedTuple):
     """An order as the dialect writes it."""
 
-    order: engine_asks.Order
+    order: engine_decisions.Order
     expected: int
     fence: int
     may_send: Callable[[], bool] = lambda: True
@@ -42,7 +42,7 @@
     def order_call(
         self,
         record: deployment.EndpointRecord,
-        order: engine_asks.Order,
+        order: engine_decisions.Order,
         *,
         expected: int,
         fence: int,
@@ -50,9 +50,11 @@
         return OrderCall(order, expected, fence)
 
     def read_order_answer(
-        self, order: engine_asks.Order, status: int
+        self, order: engine_decisions.Order, status: int
     ) -> dialects.OrderAnswer:
-        if status == model_engine.OK and isinstance(order, engine_asks.Unload):
+        if status == model_engine.OK and isinstance(
+            order, engine_decisions.Unload
+        ):
             return dialects.OrderAnswer.DONE
         return {
             model_engine.OK: dialects.OrderAnswer.HELD_ALREADY,
--- a/tests/platform/test_engines.py
+++ b/tests/platform/test_engines.py
@@ -4,7 +4,7 @@
 import pytest
 
 from boragefold.entry import engine_dialect as dialects
-from boragefold.policy import engine_asks
+from boragefold.policy import engine_decisions
 from boragefold.state import deployment
 from tests.platform import test_dialect
 
@@ -44,7 +44,7 @@
 def test_orders(spoken) -> None:
     key = deployment.AdapterKey("base", "a7")
     call = spoken.order_call(
-        RECORD, engine_asks.Load(key, 2), expected=5, fence=41
+        RECORD, engine_decisions.Load(key, 2), expected=5, fence=41
     )
     assert call.fresh
     assert b'"operation":"load"' in call.body
@@ -53,7 +53,7 @@
     assert b'"fence_token":41' in call.body
     assert b'"holder":"front-1"' in call.body
     call = spoken.order_call(
-        RECORD, engine_asks.Unload(key), expected=5, fence=41
+        RECORD, engine_decisions.Unload(key), expected=5, fence=41
     )
     assert b'"operation":"unload"' in call.body
     assert b"version" not in call.body
@@ -61,7 +61,7 @@
 
 def test_answers_to_orders(spoken) -> None:
     key = deployment.AdapterKey("base", "a7")
-    load, unload = engine_asks.Load(key, 0), engine_asks.Unload(key)
+    load, unload = engine_decisions.Load(key, 0), engine_decisions.Unload(key)
     answer = dialects.OrderAnswer
     assert spoken.read_order_answer(load, 202) is answer.ACCEPTED
     assert spoken.read_order_answer(load, 200) is answer.HELD_ALREADY
--- a/tests/policy/test_engine_choice.py
+++ b/tests/policy/test_engine_choice.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies
 import xxhash
 
-from boragefold.policy import engine_choice
-from boragefold.policy import engine_copies
+from boragefold.policy import adapter_digests
+from boragefold.policy import engine_ranking
 from boragefold.policy import load_times
 from tests.fakes import engine_loads
 from tests.fakes import engine_views
@@ -19,7 +19,7 @@
 
 
 def best(key, views):
-    return engine_choice.rank(key, views)[0].name
+    return engine_ranking.rank(key, views)[0].name
 
 
 def test_adapters_spread_evenly_over_engines() -> None:
@@ -42,7 +42,7 @@
 def test_an_engine_with_the_adapter_loaded_ranks_first() -> None:
     key = engine_loads.key("a1")
     preferred = best(key, map(view, NAMES))
-    second = engine_choice.rank(key, map(view, NAMES))[1].name
+    second = engine_ranking.rank(key, map(view, NAMES))[1].name
     views = [
         view(name, held=frozenset({key}) if name == second else frozenset())
         for name in NAMES
@@ -73,16 +73,16 @@
 def test_an_unscheduled_engine_serves_only_loaded_adapters() -> None:
     key = engine_loads.key("a1")
     lone = view("one", scheduled=False)
-    assert not engine_choice.rank(key, [lone])
+    assert not engine_ranking.rank(key, [lone])
     holding = lone._replace(held=frozenset({key}))
-    assert engine_choice.rank(key, [holding])
+    assert engine_ranking.rank(key, [holding])
     base = engine_loads.key("")
-    assert engine_choice.rank(base, [lone])
+    assert engine_ranking.rank(base, [lone])
 
 
 def test_an_engine_with_another_model_is_excluded() -> None:
     other = view("one", models=frozenset({"other"}))
-    assert not engine_choice.rank(engine_loads.key("a1"), [other])
+    assert not engine_ranking.rank(engine_loads.key("a1"), [other])
 
 
 def reference_rank(key, views):
@@ -102,17 +102,19 @@
     costs = []
     for position, view in enumerate(ordered):
         seconds = view.backlog_seconds + (
-            0.0 if view.near else engine_choice.FAR_SECONDS
+            0.0 if view.near else engine_ranking.FAR_SECONDS
+        )
+        seconds += engine_ranking.UNHEALTHY_SECONDS * (1.0 - view.health)
+        seconds += (
+            0.0 if view.scheduled else engine_ranking.UNSCHEDULED_SECONDS
         )
-        seconds += engine_choice.UNHEALTHY_SECONDS * (1.0 - view.health)
-        seconds += 0.0 if view.scheduled else engine_choice.UNSCHEDULED_SECONDS
         if key.model not in view.models:
-            seconds += engine_choice.EMPTY_SECONDS
-        seconds += engine_choice.STEP_SECONDS * min(
-            position, engine_choice.MAX_STEPS
+            seconds += engine_ranking.EMPTY_SECONDS
+        seconds += engine_ranking.STEP_SECONDS * min(
+            position, engine_ranking.MAX_STEPS
         )
         if key not in view.held:
-            is_warm = engine_copies.digest(key) in view.copies
+            is_warm = adapter_digests.digest(key) in view.copies
             load_seconds = (
                 load_times.WARM_LOAD_SECONDS
                 if is_warm
@@ -129,7 +131,7 @@
     # A cached order of engines must not be used for another set of engines.
     rng = random.Random(seed)
     key = engine_loads.key(f"a{rng.randrange(3)}")
-    digest = engine_copies.digest(key)
+    digest = adapter_digests.digest(key)
     views = [
         view(
             f"engine-{number}",
@@ -150,7 +152,7 @@
     rounded = [
         (one.name, other.name)
         for one, other in itertools.zip_longest(
-            engine_choice.rank(key, views), reference_rank(key, views)
+            engine_ranking.rank(key, views), reference_rank(key, views)
         )
     ]
     assert all(one == other for one, other in rounded)
--- a/tests/policy/test_engine_copies.py
+++ b/tests/policy/test_engine_copies.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
-from boragefold.policy import engine_choice
-from boragefold.policy import engine_copies
+from boragefold.policy import adapter_digests
+from boragefold.policy import engine_ranking
 from tests.fakes import engine_loads
 from tests.fakes import engine_views
 
@@ -14,22 +14,22 @@
     # evicted since. The first engine would load it from the store once more;
     # the one that had it lately loads it from host memory ten times as fast.
     key = engine_loads.key("a1")
-    ranked = engine_choice.rank(key, map(view, NAMES))
-    copies = frozenset(engine_copies.digests([key]))
+    ranked = engine_ranking.rank(key, map(view, NAMES))
+    copies = frozenset(adapter_digests.digests([key]))
     views = [
         view(name, copies=copies if name == ranked[2].name else frozenset())
         for name in NAMES
     ]
-    assert engine_choice.rank(key, views)[0].name == ranked[2].name
+    assert engine_ranking.rank(key, views)[0].name == ranked[2].name
 
 
 def test_few_of_many_adapters_share_a_digest() -> None:
     # Each engine announces about sixty digests. A shared one costs a load.
-    announced = engine_copies.digests(
+    announced = adapter_digests.digests(
         engine_loads.key(f"a{number}") for number in range(60)
     )
     collisions = sum(
-        engine_copies.digest(engine_loads.key(f"b{number}")) in announced
+        adapter_digests.digest(engine_loads.key(f"b{number}")) in announced
         for number in range(18_000)
     )
     assert collisions <= 18_000 / 200
--- a/tests/policy/test_engine_places.py
+++ b/tests/policy/test_engine_places.py
@@ -1,14 +1,14 @@
 from __future__ import annotations
 
-from boragefold.policy import engine_asks
-from boragefold.policy import engine_places
+from boragefold.policy import engine_decisions
+from boragefold.policy import engine_slots
 from tests.fakes import engine_loads
 
 A, B, C = map(engine_loads.key, "abc")
 
 
 def held_places(newest=None):
-    places = engine_places.Places(
+    places = engine_slots.EngineSlots(
         engine=engine_loads.ENGINE, newest=newest or {}
     )
     places.learn({"base": {"a": 1}}, {}, now_seconds=10.0)
@@ -25,17 +25,17 @@
 
 def test_a_load_is_ready_when_it_should_be_done() -> None:
     places = held_places()
-    places.ordered(engine_asks.Load(B, 0), done=False, now_seconds=10.0)
+    places.ordered(engine_decisions.Load(B, 0), done=False, now_seconds=10.0)
     assert not places.ready(B, now_seconds=10.2)
     assert places.ready(B, now_seconds=10.3)
 
 
 def test_a_load_from_host_memory_takes_a_tenth() -> None:
     places = held_places()
-    places.ordered(engine_asks.Load(B, 0), done=False, now_seconds=10.0)
+    places.ordered(engine_decisions.Load(B, 0), done=False, now_seconds=10.0)
     places.confirm(B)
-    places.ordered(engine_asks.Unload(B), done=True, now_seconds=11.0)
-    places.ordered(engine_asks.Load(B, 0), done=False, now_seconds=12.0)
+    places.ordered(engine_decisions.Unload(B), done=True, now_seconds=11.0)
+    places.ordered(engine_decisions.Load(B, 0), done=False, now_seconds=12.0)
     assert places.ready(B, now_seconds=12.05)
 
 
@@ -45,10 +45,14 @@
     places = held_places()
     for number in range(20):
         key = engine_loads.key(f"x{number}")
-        places.ordered(engine_asks.Load(key, 0), done=False, now_seconds=10.0)
+        places.ordered(
+            engine_decisions.Load(key, 0), done=False, now_seconds=10.0
+        )
         places.not_there(key, now_seconds=10.3)
-        places.ordered(engine_asks.Unload(key), done=True, now_seconds=10.4)
-    places.ordered(engine_asks.Load(B, 0), done=False, now_seconds=20.0)
+        places.ordered(
+            engine_decisions.Unload(key), done=True, now_seconds=10.4
+        )
+    places.ordered(engine_decisions.Load(B, 0), done=False, now_seconds=20.0)
     assert not places.ready(B, now_seconds=20.4)
     assert places.ready(B, now_seconds=20.6)
 
@@ -57,9 +61,9 @@
     # A load that was expected from host memory comes from the store instead.
     # Requests that were retried every moment would only be refused.
     places = held_places()
-    places.ordered(engine_asks.Load(B, 0), done=False, now_seconds=10.0)
-    places.ordered(engine_asks.Unload(B), done=True, now_seconds=11.0)
-    places.ordered(engine_asks.Load(B, 0), done=False, now_seconds=12.0)
+    places.ordered(engine_decisions.Load(B, 0), done=False, now_seconds=10.0)
+    places.ordered(engine_decisions.Unload(B), done=True, now_seconds=11.0)
+    places.ordered(engine_decisions.Load(B, 0), done=False, now_seconds=12.0)
     places.not_there(B, now_seconds=12.05)
     assert not places.ready(B, now_seconds=12.2)
     assert places.ready(B, now_seconds=12.31)
@@ -68,25 +72,25 @@
 def test_loads_take_longer_while_the_whole_fleet_loads() -> None:
     # With twice as many loads as the store delivers at full speed, each takes
     # twice as long. The engine would refuse requests granted before that.
-    places = engine_places.Places(
+    places = engine_slots.EngineSlots(
         engine=engine_loads.ENGINE,
         newest={},
         loads_elsewhere=lambda: 15,
     )
     places.learn({"base": {}}, {}, now_seconds=0.0)
-    places.ordered(engine_asks.Load(A, 0), done=False, now_seconds=0.0)
+    places.ordered(engine_decisions.Load(A, 0), done=False, now_seconds=0.0)
     assert not places.ready(A, now_seconds=0.45)
     assert places.ready(A, now_seconds=0.52)
 
 
 def test_a_further_load_waits_while_the_fleet_is_at_its_limit() -> None:
-    places = engine_places.Places(
+    places = engine_slots.EngineSlots(
         engine=engine_loads.ENGINE, newest={}, loads_elsewhere=lambda: 7
     )
     places.learn({"base": {}}, {}, now_seconds=0.0)
     places.may_order = True
     first = places.next_order(unplaced(A), {}, now_seconds=0.0)
-    assert first == engine_asks.Load(A, 0)
+    assert first == engine_decisions.Load(A, 0)
     places.ordered(first, done=False, now_seconds=0.0)
     assert places.next_order(unplaced(B), {}, now_seconds=0.1) is None
 
@@ -98,14 +102,14 @@
     places = held_places()
     for each in "bcde":
         places.ordered(
-            engine_asks.Load(engine_loads.key(each), 0),
+            engine_decisions.Load(engine_loads.key(each), 0),
             done=False,
             now_seconds=10.0,
         )
     order = places.next_order(
         unplaced(engine_loads.key("f")), {}, now_seconds=11.0
     )
-    assert order == engine_asks.Unload(A)
+    assert order == engine_decisions.Unload(A)
     places.enter(A, now_seconds=11.0)
     assert (
         places.next_order(
@@ -121,10 +125,10 @@
     # orders follow each other faster than reports.
     places = held_places()
     places.ordered(
-        engine_asks.Load(B, 0), done=False, now_seconds=11.0, count=1
+        engine_decisions.Load(B, 0), done=False, now_seconds=11.0, count=1
     )
     places.ordered(
-        engine_asks.Load(C, 0), done=False, now_seconds=11.0, count=2
+        engine_decisions.Load(C, 0), done=False, now_seconds=11.0, count=2
     )
     places.learn_former({"base": {"a": 1, "b": 1, "c": 1}}, count=1)
     assert places.summary() == {"a": "0", "b": "0", "c": "0?"}
@@ -132,7 +136,7 @@
 
 def test_a_deferred_unload_keeps_its_slot_until_it_is_done() -> None:
     places = held_places()
-    places.ordered(engine_asks.Unload(A), done=False, now_seconds=10.0)
+    places.ordered(engine_decisions.Unload(A), done=False, now_seconds=10.0)
     assert not places.holds(A)
     assert A in places.held()
     places.learn({"base": {}}, {}, now_seconds=10.6)
@@ -143,9 +147,11 @@
     # Reports lag. One from before an order would restore what was unloaded,
     # and requests would be sent to an adapter that isn't loaded.
     places = held_places()
-    places.ordered(engine_asks.Unload(A), done=True, now_seconds=11.0, count=1)
     places.ordered(
-        engine_asks.Load(B, 0), done=False, now_seconds=11.0, count=2
+        engine_decisions.Unload(A), done=True, now_seconds=11.0, count=1
+    )
+    places.ordered(
+        engine_decisions.Load(B, 0), done=False, now_seconds=11.0, count=2
     )
     places.learn_former({"base": {"a": 1, "b": 0}}, count=1)
     assert not places.holds(A)
@@ -162,15 +168,15 @@
     assert places.next_order([], {}, now_seconds=11.0) is None
     newest[A] = 2
     assert not places.holds(A)
-    assert places.next_order([], {}, now_seconds=11.0) == engine_asks.Load(
-        A, 2
-    )
+    assert places.next_order(
+        [], {}, now_seconds=11.0
+    ) == engine_decisions.Load(A, 2)
 
 
 def test_a_newer_version_takes_over_the_slot_and_its_requests() -> None:
     places = held_places({A: 2})
     places.enter(A, now_seconds=10.5)
-    places.ordered(engine_asks.Load(A, 2), done=False, now_seconds=11.0)
+    places.ordered(engine_decisions.Load(A, 2), done=False, now_seconds=11.0)
     places.confirm(A)
     slots_left = engine_loads.ENGINE.adapter_places - 1
     assert places.has_place_for(slots_left - 1, {}, now_seconds=10.0)
@@ -181,12 +187,12 @@
     places = held_places()
     places.learn({}, {}, now_seconds=20.0)
     order = places.next_order(unplaced(A), {}, now_seconds=20.0)
-    assert order == engine_asks.Load(engine_loads.key(""), 0)
+    assert order == engine_decisions.Load(engine_loads.key(""), 0)
     places.ordered(order, done=False, now_seconds=20.0)
     assert places.next_order(unplaced(A), {}, now_seconds=20.5) is None
     assert places.next_order(
         unplaced(A), {}, now_seconds=22.5
-    ) == engine_asks.Load(A, 0)
+    ) == engine_decisions.Load(A, 0)
 
 
 def test_nothing_is_ordered_unless_orders_are_allowed() -> None:
@@ -200,16 +206,16 @@
     # reports list the model only after that. It accepts a second order
     # without counting it, so that the next instance to issue orders would
     # use a lower number than one used before.
-    places = engine_places.Places(engine=engine_loads.ENGINE, newest={})
+    places = engine_slots.EngineSlots(engine=engine_loads.ENGINE, newest={})
     places.learn({}, {}, now_seconds=0.0)
     places.may_order = True
     model = engine_loads.key("")
     first = places.next_order(unplaced(A), {}, now_seconds=0.0)
-    assert first == engine_asks.Load(model, 0)
+    assert first == engine_decisions.Load(model, 0)
     places.ordered(first, done=False, now_seconds=0.0)
     places.learn({}, {}, now_seconds=1.0, busy=True)
     assert places.next_order(unplaced(A), {}, now_seconds=1.0) is None
-    successor = engine_places.Places(engine=engine_loads.ENGINE, newest={})
+    successor = engine_slots.EngineSlots(engine=engine_loads.ENGINE, newest={})
     successor.learn({}, {}, now_seconds=1.0, busy=True)
     successor.may_order = True
     assert successor.next_order(unplaced(A), {}, now_seconds=1.0) is None
@@ -221,7 +227,7 @@
     # whatever count it expects, and both would go on issuing orders.
     dropped = set()
     for giver in range(20):
-        places = engine_places.Places(
+        places = engine_slots.EngineSlots(
             engine=engine_loads.ENGINE, newest={}, giver=giver
         )
         held = {"base": dict.fromkeys("abcde", 1)}
@@ -241,7 +247,7 @@
     places.learn(held, {}, now_seconds=10.4)
     for key in map(engine_loads.key, "bcde"):
         places.enter(key, now_seconds=10.4)
-    unload, load = engine_asks.Unload(A), engine_asks.Load(A, 1)
+    unload, load = engine_decisions.Unload(A), engine_decisions.Load(A, 1)
     places.ordered(unload, done=True, now_seconds=10.5, count=5)
     places.ordered(load, done=False, now_seconds=10.51, count=6)
     wanted = unplaced(engine_loads.key("f"))
@@ -256,7 +262,7 @@
     # newer one, the adapter would look idle and the load would be repeated,
     # which the engine doesn't count.
     places = held_places({A: 2})
-    places.ordered(engine_asks.Load(A, 2), done=False, now_seconds=11.0)
+    places.ordered(engine_decisions.Load(A, 2), done=False, now_seconds=11.0)
     places.learn({"base": {"a": 1}}, {A: 2}, now_seconds=11.1)
     assert places.next_order([], {}, now_seconds=11.1) is None
     assert places.summary()["a"] == "0?"
@@ -276,14 +282,14 @@
         places.leave(key, now_seconds=10.5)
     newest[A] = 2
     first = places.next_order(unplaced(A), {A: 1}, now_seconds=11.0)
-    assert first == engine_asks.Unload(C)
+    assert first == engine_decisions.Unload(C)
     places.ordered(first, done=True, now_seconds=11.0)
     second = places.next_order(unplaced(A), {A: 1}, now_seconds=11.0)
-    assert second == engine_asks.Load(A, 2)
+    assert second == engine_decisions.Load(A, 2)
     places.ordered(second, done=False, now_seconds=11.0)
     assert places.next_order(
         unplaced(engine_loads.key("f")), {}, now_seconds=11.1
-    ) == engine_asks.Unload(engine_loads.key("d"))
+    ) == engine_decisions.Unload(engine_loads.key("d"))
 
 
 def test_an_idle_older_version_is_unloaded_for_the_newer() -> None:
@@ -293,7 +299,7 @@
     places.learn({"base": dict.fromkeys("abcde", 1)}, {}, now_seconds=10.5)
     newest[A] = 2
     order = places.next_order(unplaced(A), {A: 1}, now_seconds=11.0)
-    assert order == engine_asks.Unload(A)
+    assert order == engine_decisions.Unload(A)
 
 
 def test_no_slot_is_free_while_the_engine_is_over_capacity() -> None:
--- a/tests/policy/test_engine_schedule.py
+++ b/tests/policy/test_engine_schedule.py
@@ -4,7 +4,7 @@
 
 import random
 
-from boragefold.policy import engine_asks
+from boragefold.policy import engine_decisions
 from boragefold.policy import engine_schedule
 from tests.fakes import engine_loads
 
@@ -39,7 +39,9 @@
     bench.submit(0.9, engine_loads.ask("late", "a9", at=0.9, patience=8.0))
     bench.run(1.5)
     unloads = [
-        each for each in bench.orders if isinstance(each, engine_asks.Unload)
+        each
+        for each in bench.orders
+        if isinstance(each, engine_decisions.Unload)
     ]
     assert not unloads
     bench.run(20.0)
@@ -130,7 +132,7 @@
     bench.schedule.offer(one, now_seconds=0.0)
     for now in (0.0, 0.3):
         for action in bench.schedule.advance(now_seconds=now):
-            if isinstance(action, engine_asks.Load):
+            if isinstance(action, engine_decisions.Load):
                 bench.places.ordered(action, done=False, now_seconds=now)
     assert bench.schedule.running == 1
     bench.schedule.advance(now_seconds=3.5)
--- a/tests/policy/test_prompt_spacing.py
+++ b/tests/policy/test_prompt_spacing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from boragefold.policy import engine_pace
+from boragefold.policy import engine_speed
 from boragefold.policy import prompt_spacing
 from tests.fakes import chunked_engine
 from tests.fakes import engine_loads
@@ -52,10 +52,10 @@
 
 
 def test_the_shortest_tolerated_pause_applies() -> None:
-    pace = engine_pace.EnginePace()
-    spacing = prompt_spacing.PromptSpacing(pace=pace)
+    speed = engine_speed.EngineSpeed()
+    spacing = prompt_spacing.PromptSpacing(speed=speed)
     spacing.gave(2_000, reads=False)
-    tokens = int(0.2 * pace.tokens_per_second)
+    tokens = int(0.2 * speed.tokens_per_second)
     assert spacing.allows(tokens, [1.0, 0.0])
     assert not spacing.allows(tokens, [1.0, 0.2, 0.0])
     spacing.gave(1_000, reads=True)
--- a/tests/policy/test_roles.py
+++ b/tests/policy/test_roles.py
@@ -1,12 +1,12 @@
 from __future__ import annotations
 
 from boragefold.policy import endpoints as fleet
-from boragefold.policy import roles
+from boragefold.policy import pool_balancer
 from boragefold.telemetry import counters as telemetry
 from tests.fakes import workloads
 
-X = roles.Pool("x", "serve")
-Y = roles.Pool("y", "serve")
+X = pool_balancer.Pool("x", "serve")
+Y = pool_balancer.Pool("y", "serve")
 
 
 class Mover:
@@ -20,13 +20,13 @@
             self.endpoints.put(
                 workloads.spec(name, model=model, batch_size=10)
             )
-        self.roles = roles.Roles(
+        self.roles = pool_balancer.PoolBalancer(
             endpoints=self.endpoints, counters=telemetry.Counters()
         )
 
     def run(
         self, x: float, y: float, *, start: float, seconds: int, execute: bool
-    ) -> list[tuple[float, roles.RoleOrder]]:
+    ) -> list[tuple[float, pool_balancer.PoolChange]]:
         given = []
         for second in range(seconds):
             at = start + second
