--- a/src/boragefold/coordination/directory.py
+++ b/src/boragefold/coordination/directory.py
@@ -1,4 +1,4 @@
-"""Spreads the views of all data centres, without a full mesh."""
+"""Spreads the views of all data centres by gossip, without a full mesh."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 from boragefold.protocol import view_messages as messages
 from boragefold.timing import timers
 
-# By then a change has reached all data centres.
+# Period of the exchanges with other data centres; a change has reached all of
+# them by then.
 FAR_SECONDS = 2.0
 NEAR_SECONDS = 5.0
 
-# Only these speak to other data centres; the second goes on when the first,
-# usually the steward, is lost.
+# Only the first members of a view, and its leader, send to other data centres;
+# the second continues when the first, usually the leader, is lost.
 SPEAKERS = 2
 
-# Bounds a message.
+# Bounds the size of a message.
 MAX_NEWS_VIEWS = 2
 
 
 class Directory:
-    """The latest known view of each data centre, kept up by gossip."""
+    """The latest known view of each data centre, updated by gossip."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
         self._others: dict[str, rights.View] = {}
 
     def start(self) -> None:
-        """Begin to exchange."""
+        """Start the periodic exchanges."""
         for period_seconds, callback in (
             (FAR_SECONDS, self._exchange_far),
             (NEAR_SECONDS, self._exchange_near),
@@ -59,7 +60,7 @@
             )
 
     def views(self) -> dict[str, rights.View]:
-        """Read the latest known view of each data centre.
+        """Return the latest known view of each data centre.
 
         :return: views by data centre
         """
@@ -71,10 +72,10 @@
     def on_digest(
         self, sender: ids.InstanceId, digest: messages.Digest
     ) -> None:
-        """Send what the sender lacks, and ask for what we lack.
+        """Send the views that the sender lacks, and request missing ones.
 
         :param sender: the sender
-        :param digest: what it knows
+        :param digest: the ids of the views that the sender knows
         """
         if digest.checksum == _checksum(self._known()):
             return
@@ -102,7 +103,7 @@
             self._link.send(to=sender, body=self._digest(answer=False))
 
     def on_news(self, sender: ids.InstanceId, news: messages.News) -> None:
-        """Take in later views.
+        """Store the received views that are later than the known ones.
 
         :param sender: the sender
         :param news: the views
--- a/src/boragefold/coordination/election.py
+++ b/src/boragefold/coordination/election.py
@@ -1,4 +1,4 @@
-"""How a voter becomes the steward of its view."""
+"""Elects a voter of a view as its leader."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 from boragefold.protocol import view_messages as messages
 from boragefold.telemetry import counters as telemetry
 
-# Candidates try one after the other, so that the first wins undisturbed.
+# Candidates start at different times, so that the first one wins without
+# competition.
 RANK_SECONDS = 0.15
 RETRY_SECONDS = 0.4
 
 
 class Victory(NamedTuple):
-    """A quorum's promises, and the successor that has to be finished."""
+    """A quorum's promises, and an undecided successor view to complete."""
 
     ballot: messages.Ballot
     ends: dict[ids.InstanceId, float]
@@ -31,7 +32,7 @@
 
 
 class Election:
-    """Asks for promises when nobody has ours."""
+    """Requests promises when this instance has promised none to a leader."""
 
     def __init__(
         self,
@@ -58,7 +59,7 @@
         self.running = False
 
     def tick(self) -> None:
-        """Try to become the steward, if nobody is and it is our turn."""
+        """Start an election if there is no leader and the delay is over."""
         state = self._state
         view = state.view
         now_seconds = state.now_seconds()
@@ -74,7 +75,7 @@
             self.start()
 
     def start(self) -> None:
-        """Ask the voters for their promises now."""
+        """Request the promises of the voters now."""
         state = self._state
         view = state.view
         if view is None or not state.may_promise(state.self_id.incarnation):
@@ -105,7 +106,7 @@
     def on_promise(
         self, sender: ids.InstanceId, promise: messages.Promise
     ) -> None:
-        """Count a promise.
+        """Count a promise, and end the election if a quorum is reached.
 
         :param sender: the voter
         :param promise: its promise
@@ -125,15 +126,16 @@
         self._conclude()
 
     def note_round(self, round_number: int) -> None:
-        """Note a round that the next ballot has to exceed.
+        """Record a round that the next ballot has to exceed.
 
         :param round_number: the round
         """
         self._highest_round = max(self._highest_round, round_number)
 
     def _conclude(self) -> None:
-        # Promised first, our ballot would rise at each failed try while we are
-        # partitioned, and we would refuse the steward afterwards.
+        # This instance promises itself its ballot only when it has won. If it
+        # did so at the start, its ballot would rise with each failed election
+        # during a partition, and it would refuse the leader afterwards.
         state = self._state
         view = state.view
         if view is None or not state.may_promise(state.self_id.incarnation):
--- a/src/boragefold/coordination/founding.py
+++ b/src/boragefold/coordination/founding.py
@@ -1,4 +1,4 @@
-"""How the first view of an epoch comes about."""
+"""Bootstraps the first view of an epoch."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from boragefold.protocol import view_messages as messages
 from boragefold.telemetry import counters as telemetry
 
-# The agreements of all have to overlap.
+# The promises of all members have to overlap in time.
 HOLD_SECONDS = 1.0
 RESEND_SECONDS = 0.25
 
 
 @dataclasses.dataclass(kw_only=True)
 class Proposal:
-    """A first view that we have proposed, and who agrees until when."""
+    """A proposed first view, and when each member's promise ends."""
 
     view: rights.View
     sent_seconds: float
@@ -29,11 +29,11 @@
 
 
 class Founding:
-    """Founds a view with everyone listed, if nobody takes part in one.
+    """Bootstraps a view of all listed instances if none of them has a view.
 
-    All have to agree: two instances whose lists differ would find two
-    majorities, but each of them that stands on its own list either sees the
-    other or is seen by it.
+    All have to agree: two instances whose lists differ could each find a
+    majority, but of two instances that are each on their own list, at least
+    one sees the other.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._proposal: Proposal | None = None
 
     def tick(self) -> None:
-        """Propose a first view, if it is up to us."""
+        """Propose a first view if this instance has the lowest id."""
         members = self._candidates()
         if members is None:
             self._proposal = None
@@ -71,9 +71,9 @@
     def on_foundation(
         self, sender: ids.InstanceId, foundation: messages.Foundation
     ) -> None:
-        """Agree to a first view, if we take part in none.
+        """Agree to a first view if this instance has no current view.
 
-        :param sender: who proposes it
+        :param sender: the proposer
         :param foundation: the proposal
         """
         state = self._state
@@ -95,9 +95,9 @@
     def on_ack(
         self, sender: ids.InstanceId, ack: messages.FoundationAck
     ) -> None:
-        """Count an agreement.
+        """Count the agreement of a member.
 
-        :param sender: who agrees
+        :param sender: the member that agrees
         :param ack: its agreement
         """
         proposal = self._proposal
@@ -111,7 +111,8 @@
     def _candidates(self) -> tuple[ids.InstanceId, ...] | None:
         state = self._state
         now_seconds = state.now_seconds()
-        # All rights of a predecessor, or of ours before a pause, have ended.
+        # By then all leases of an earlier process at this address, and of this
+        # process before a pause, have expired.
         uncovered_seconds = now_seconds - state.uncovered_since_seconds
         if not state.is_outdated():
             return None
--- a/src/boragefold/coordination/inquiry.py
+++ b/src/boragefold/coordination/inquiry.py
@@ -1,4 +1,4 @@
-"""Asks the listed instances where they stand, and judges who is dead."""
+"""Queries the state of the listed instances and detects dead members."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from boragefold.protocol import ids
 from boragefold.protocol import view_messages as messages
 
-# One lost heartbeat doesn't get there.
+# One lost heartbeat leaves an instance without a lease for less than this.
 ASK_AFTER_SECONDS = 0.5
 ASK_PERIOD_SECONDS = 0.5
 
-# Two questions in a row may be lost. Whoever said that nobody leads can't take
-# over later on a list that doesn't show us.
+# Two queries in a row may be lost. An instance that answered that there is no
+# leader can't become the leader later because of a list without this instance.
 ANSWER_SECONDS = listings.MATURE_SECONDS - listings.SKEW_SECONDS
 
-# No message to an earlier incarnation is under way any more.
+# After this time no message to an earlier incarnation is still in transit.
 HEARD_SECONDS = 5.0
 
 
 class Answer(NamedTuple):
-    """The last answer from an address, to a question sent at a time."""
+    """The last answer from an address, and when its query was sent."""
 
     sender: ids.InstanceId
     asked_seconds: float
@@ -31,7 +31,7 @@
 
 
 class Inquiry:
-    """Greets addresses of our data centre and keeps what they answered."""
+    """Queries the addresses of this data centre and stores the answers."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._replaced_since: dict[ids.InstanceId, float] = {}
 
     def tick(self) -> None:
-        """Ask everyone, if we are without a lease and it is time."""
+        """Query all addresses if this instance has no lease and it is due."""
         now_seconds = self._state.now_seconds()
         uncovered_seconds = now_seconds - self._state.uncovered_since_seconds
         if uncovered_seconds < ASK_AFTER_SECONDS:
@@ -62,7 +62,7 @@
             self.ask(address)
 
     def ask(self, address: str) -> None:
-        """Greet whichever process listens at an address.
+        """Query whichever process listens at an address.
 
         :param address: the address
         """
@@ -71,11 +71,12 @@
         self._link.send(to=to, body=messages.Greeting(now_seconds))
 
     def addresses(self) -> tuple[str, ...]:
-        """List who has to be asked: the listed, and who spoke of late.
+        """List the addresses to query: the listed and recent senders.
 
-        An instance that isn't on our copy of the list yet may have us on its.
+        An instance that isn't on this instance's copy of the list yet may
+        have this instance on its own copy.
 
-        :return: addresses other than ours
+        :return: addresses other than that of this instance
         """
         now_seconds = self._state.now_seconds()
         heard = {
@@ -87,7 +88,7 @@
         return tuple(sorted(heard.union(self._listing.peers(now_seconds))))
 
     def note_heard(self, sender: ids.InstanceId) -> None:
-        """Note that an instance of our data centre has spoken.
+        """Record that an instance of this data centre has sent a message.
 
         :param sender: the instance
         """
@@ -98,14 +99,15 @@
     def note_answer(
         self, sender: ids.InstanceId, standing: messages.Standing
     ) -> None:
-        """Take in the answer to a greeting.
+        """Store the answer to a query.
 
-        A new process that answers at the address of a member of ours proves
-        that member dead, if we asked after we had come to know the member: a
-        late message of an older process would prove nothing.
+        A new process that answers at the address of a member of the view
+        proves that member dead, if the query was sent after this instance
+        learned of the member: a late message of an older process would prove
+        nothing.
 
-        :param sender: who answered
-        :param standing: what it answered
+        :param sender: the instance that answered
+        :param standing: its answer
         """
         before = self._answers.get(sender.address)
         asked_seconds = standing.echo_seconds
@@ -123,18 +125,19 @@
                 )
 
     def is_replaced(self, member: ids.InstanceId) -> bool:
-        """Tell whether a new process has taken a member's address.
+        """Return whether a new process has taken a member's address.
 
         :param member: the member
-        :return: whether it is surely dead
+        :return: whether the member is certainly dead
         """
         return member in self._replaced_since
 
     def is_dead(self, member: ids.InstanceId) -> bool:
-        """Tell whether outside evidence has shown a member dead for long.
+        """Return whether the list or a new process shows a member as dead.
 
         :param member: the member
-        :return: whether its promises, too, have surely ended
+        :return: whether this has lasted so long that the member's promises
+            have certainly expired, too
         """
         now_seconds = self._state.now_seconds()
         since_seconds = self._replaced_since.get(member, float("inf"))
@@ -149,13 +152,13 @@
         )
 
     def answers(self) -> tuple[Answer, ...] | None:
-        """Collect the answers, if they are complete.
+        """Return the answers if they are complete.
 
-        They are the only thing that stands between an instance that was cut
-        off and a second view: each listed instance has to have answered.
+        Each listed instance has to have answered: nothing else keeps an
+        instance that was partitioned from creating a second view.
 
-        :return: recent answers of all, or None if one is missing or the list
-            is not fresh or does not show us
+        :return: recent answers of all, or None if one is missing, or if the
+            list is not fresh or does not show this instance
         """
         now_seconds = self._state.now_seconds()
         if not self._listing.is_steady(now_seconds):
@@ -170,10 +173,10 @@
         return tuple(recent) if len(recent) == len(found) else None
 
     def verified_dead(self) -> frozenset[ids.InstanceId] | None:
-        """Tell which members may be left out for good to lead the rest.
+        """Return the members that may be excluded for good to lead the rest.
 
-        :return: the dead ones, perhaps none; None if the rest can't be sure
-            that nobody else leads or has led on to a later view
+        :return: the dead members, possibly none; None if the others can't be
+            sure that there is no other leader and no later view
         """
         state = self._state
         uncovered_seconds = state.now_seconds() - state.uncovered_since_seconds
@@ -197,13 +200,13 @@
         )
         if set(state.view.members) - answered - dead:
             return None
-        # The list that was read last may lack an instance started since.
+        # The last list may lack an instance that has started since.
         if not dead and uncovered_seconds < listings.MATURE_SECONDS:
             return None
         return dead
 
     def forget(self) -> None:
-        """Drop what is known of instances that are in no view of ours."""
+        """Discard the state of instances that are not in the view."""
         known = self._state.known_since_seconds
         self._replaced_since = {
             member: since_seconds
--- a/src/boragefold/coordination/leadership.py
+++ b/src/boragefold/coordination/leadership.py
@@ -1,4 +1,4 @@
-"""The steward's right to lead, and the leases that it gives by it."""
+"""The leader's authority by promises, and the leases that it grants."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Leadership:
-    """Counts promises, and gives leases that end before they do."""
+    """Counts promises, and grants leases that expire before they do."""
 
     def __init__(
         self,
@@ -39,13 +39,13 @@
         ends: Mapping[ids.InstanceId, float],
         dead: frozenset[ids.InstanceId],
     ) -> None:
-        """Lead, after an election.
+        """Start to lead after an election.
 
-        What was granted in an earlier time as steward stays written down.
+        The leases that were granted in an earlier term stay recorded.
 
-        :param ballot: what we were elected by
+        :param ballot: the ballot that won the election
         :param ends: when the voters' promises end
-        :param dead: members that are dead on outside evidence
+        :param dead: members that the list or a new process shows as dead
         """
         self.ballot = ballot
         self.dead = dead
@@ -55,12 +55,12 @@
         self._state.steward = self._state.self_id
 
     def end(self) -> None:
-        """Stop leading; leases that were given go on to their ends."""
+        """Stop leading; granted leases last until they expire."""
         self.leading = False
         self.granting = False
 
     def led_until_seconds(self) -> float:
-        """Tell how long we lead without further promises.
+        """Return how long this instance leads without further promises.
 
         :return: a reading of the clock
         """
@@ -76,12 +76,12 @@
         )
 
     def holds(self) -> bool:
-        """Tell whether we lead at this moment, and stop if we don't.
+        """Return whether this instance leads now; stop leading if not.
 
-        After a pause, or cut off, the others may have another steward; and
-        we may have promised ourselves to one.
+        After a pause or a partition the others may have another leader, and
+        this instance may have given its own promise to one.
 
-        :return: whether we lead
+        :return: whether this instance leads
         """
         state = self._state
         if not self.leading:
@@ -97,10 +97,10 @@
         return False
 
     def count(self, voter: ids.InstanceId, sent_seconds: float) -> None:
-        """Count a promise from when we asked for it.
+        """Count a promise from the time of the message that it answers.
 
-        :param voter: who gave it
-        :param sent_seconds: when we sent what it answers
+        :param voter: the voter that gave it
+        :param sent_seconds: when this instance sent the message
         """
         end_seconds = sent_seconds + quorum.shortened_seconds(
             quorum.PROMISE_SECONDS
@@ -108,7 +108,7 @@
         self._ends[voter] = max(self._ends.get(voter, 0.0), end_seconds)
 
     def renew_own(self) -> None:
-        """Renew our own promise and our own lease."""
+        """Renew the promise and the lease that this instance gives itself."""
         state = self._state
         state.promise(self.ballot, quorum.PROMISE_SECONDS)
         self.count(state.self_id, state.now_seconds())
@@ -119,16 +119,17 @@
             )
 
     def renew(self, to: ids.InstanceId, echo_seconds: float) -> None:
-        """Answer a heartbeat, or ask for one.
+        """Answer a heartbeat, or request one.
 
         :param to: the member
-        :param echo_seconds: when it sent the heartbeat, zero to ask
+        :param echo_seconds: when it sent the heartbeat; zero for a request
         """
         state = self._state
         now_seconds = state.now_seconds()
         lease_seconds = 0.0
         if self.granting and echo_seconds > 0:
-            # The next leader need not wait for leases that it doesn't know.
+            # The lease ends with the promises, so that the next leader need
+            # not wait for leases that it doesn't know.
             lease_seconds = min(
                 quorum.LEASE_SECONDS, self.led_until_seconds() - now_seconds
             )
@@ -147,35 +148,35 @@
         )
 
     def has_ended(self, member: ids.InstanceId) -> bool:
-        """Tell whether the lease that we gave a member has surely ended.
+        """Return whether the lease of a member has certainly expired.
 
         A lease is counted from the heartbeat that it answers, which was sent
-        before we wrote down the end: by then it has ended on the member's
-        clock, too, however long the message took.
+        before its end was recorded here: by then it has expired on the
+        member's clock, too, however long the message took.
 
         :param member: the member
-        :return: whether it has
+        :return: whether the lease that this instance granted has expired
         """
         return self._granted.get(member, 0.0) <= self._state.now_seconds()
 
     def note_relayed(
         self, member: ids.InstanceId, left_seconds: float
     ) -> None:
-        """Note how long a lease lasts that a stopped relay has given.
+        """Record the remaining time of a lease from a stopped relay.
 
-        :param member: who has it
-        :param left_seconds: how long it lasted when the relay said so
+        :param member: the member that has the lease
+        :param left_seconds: remaining time when the relay reported it
         """
         self._relayed[member] = self._state.now_seconds() + left_seconds
 
     def relayed_has_ended(
         self, member: ids.InstanceId, *, relay_stopped: bool
     ) -> bool:
-        """Tell whether a lease that a relay gave a member has surely ended.
+        """Return whether the relayed lease of a member has certainly expired.
 
         :param member: the member
-        :param relay_stopped: whether its relay has stopped giving leases
-        :return: whether it has
+        :param relay_stopped: whether its relay has stopped granting leases
+        :return: whether it has expired
         """
         view = self._state.view
         relay = quorum.relay_of(view, member) if view is not None else None
@@ -187,7 +188,7 @@
         return self.has_ended(relay)
 
     def forget_granted(self) -> None:
-        """Forget the leases of a view that has ended everywhere."""
+        """Discard the leases of a view that has ended everywhere."""
         self._granted.clear()
         self._relayed.clear()
         self.dead = frozenset()
--- a/src/boragefold/coordination/link.py
+++ b/src/boragefold/coordination/link.py
@@ -1,4 +1,4 @@
-"""What coordination needs of the link between entry instances."""
+"""Interface of the message transport between entry instances."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 class PeerLink(abc.ABC):
     """An unreliable message service between entry instances.
 
-    A message may be lost, delayed, doubled or overtaken. It is given only to
-    the incarnation it was addressed to.
+    A message may be lost, delayed, duplicated or reordered. It is delivered
+    only to the incarnation that it was addressed to.
     """
 
     @property
     @abc.abstractmethod
     def self_id(self) -> ids.InstanceId:
-        """Tell who we are.
+        """Return the identity of this instance.
 
-        :return: the identity that messages are sent under
+        :return: the sender of its messages
         """
 
     @abc.abstractmethod
     def send(self, *, to: ids.InstanceId, body: Any) -> None:
-        """Send a message, without waiting and without a promise of delivery.
+        """Send a message without waiting and without guaranteed delivery.
 
         An empty incarnation in ``to`` addresses whichever process listens at
-        the address now; only greetings use it.
+        the address now; only queries and gossip digests use it.
 
         :param to: the receiver
         :param body: an object of a registered message kind
@@ -61,14 +61,14 @@
         """
 
     def reconnect(self, peer: ids.InstanceId) -> None:
-        """Talk to a silent peer over a new connection, where there are any.
+        """Replace the connection to a silent peer, if the transport has one.
 
-        :param peer: which
+        :param peer: the peer
         """
         return
 
     def close(self) -> None:
-        """Drop what is unsent and send no more."""
+        """Discard unsent messages and send no more."""
         return
 
 
--- a/src/boragefold/coordination/listing.py
+++ b/src/boragefold/coordination/listing.py
@@ -1,4 +1,4 @@
-"""What the platform's lagging list says of our data centre."""
+"""The platform's instance list, which lags, for this data centre."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from boragefold.protocol import ids
 
-# An instance that leads alone stops this long after the last list that showed
-# it.
+# An instance that leads alone stops this long after the last list that
+# contained it.
 FRESH_SECONDS = 1.5
 
-# How far lists read at the same time may differ.
+# Maximum difference in age of lists that are read at the same time.
 SKEW_SECONDS = 1.0
 
-# An instance that the list lacks for so long no longer leads alone.
+# An instance that the list has lacked for this long no longer leads alone.
 MATURE_SECONDS = FRESH_SECONDS + SKEW_SECONDS
 
-# Longer than copies of the list lag.
+# Exceeds the lag between copies of the list.
 SETTLED_SECONDS = 10.0
 
 FORGET_SECONDS = 600.0
@@ -33,7 +33,7 @@
 
 
 class Listing:
-    """The last list, and since when it has shown or not shown addresses."""
+    """The last list, and since when addresses are on it or missing."""
 
     def __init__(self, *, self_id: ids.InstanceId) -> None:
         self._self_id = self_id
@@ -46,7 +46,7 @@
         self.entries: tuple[ListEntry, ...] = ()
 
     def update(self, entries: Iterable[ListEntry], now_seconds: float) -> None:
-        """Take in a list as it was read.
+        """Store a list that was read.
 
         :param entries: all instances of all data centres
         :param now_seconds: when it was read
@@ -71,18 +71,18 @@
         self._forget(now_seconds)
 
     def fresh_until_seconds(self) -> float:
-        """Tell how long the last list counts as fresh.
+        """Return until when the last list counts as fresh.
 
         :return: a reading of the clock
         """
         return self._seen_seconds + FRESH_SECONDS
 
     def is_steady(self, now_seconds: float) -> bool:
-        """Tell whether lists have shown us for long without a gap.
+        """Return whether the lists have long shown this instance without gap.
 
         :param now_seconds: the time
-        :return: whether all lists show us, and whether an instance that ours
-            never showed can't lead alone on the strength of its own
+        :return: whether all lists show this instance, and no instance that
+            its list never showed can lead alone by a list of its own
         """
         return (
             now_seconds <= self.fresh_until_seconds()
@@ -90,13 +90,13 @@
         )
 
     def peers(self, now_seconds: float) -> tuple[str, ...]:
-        """List the other addresses of our data centre.
+        """List the other addresses of this data centre.
 
-        One that was dropped a moment ago counts: its own list may still show
-        it, and let it lead alone.
+        A recently dropped instance counts: its own list may still show it and
+        so let it lead alone.
 
         :param now_seconds: the time
-        :return: addresses that are live or leaving, or were until lately
+        :return: addresses that are live or leaving, or were until recently
         """
         return tuple(
             sorted(
@@ -121,7 +121,7 @@
         return found
 
     def shows(self, address: str) -> bool:
-        """Tell whether the last list shows an address.
+        """Return whether the last list contains an address.
 
         :param address: the address
         :return: whether it is live or leaving
@@ -131,12 +131,12 @@
     def gone(
         self, address: str, known_since_seconds: float, now_seconds: float
     ) -> bool:
-        """Tell whether the platform has dropped an instance for good.
+        """Return whether the platform has removed an instance for good.
 
-        :param address: where it listened
-        :param known_since_seconds: since when we know it
+        :param address: the address of the instance
+        :param known_since_seconds: when this instance learned of it
         :param now_seconds: the time
-        :return: whether the list has not shown it for long enough
+        :return: whether the list has lacked it for long enough
         """
         if now_seconds > self.fresh_until_seconds() or self.shows(address):
             return False
@@ -148,7 +148,7 @@
         return absent_seconds >= SETTLED_SECONDS
 
     def settled(self, address: str) -> bool:
-        """Tell whether an address was shown for longer than copies lag.
+        """Return whether an address was listed for longer than copies lag.
 
         :param address: the address
         :return: whether its absence means that it is gone
--- a/src/boragefold/coordination/load_budget.py
+++ b/src/boragefold/coordination/load_budget.py
@@ -1,4 +1,4 @@
-"""The weight store's limits, over the whole fleet."""
+"""Enforces the weight store's limits across the whole fleet."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from boragefold.state import documents
 from boragefold.telemetry import counters as counting
 
-# Workspaces' names have a slash, these none.
+# Names of workspaces contain a slash, so these can't collide with them.
 LOADS = "store"
 IN_FLIGHT = "store-in-flight"
 
-# A load must be given up by then: its place is given to another.
+# A load must be aborted by then: its slot is granted again.
 LONGEST_LOAD_SECONDS = 10.0
 
-# Places come back when a load ends, not at a rate.
+# Slots return when a load ends, so the refill rate must not limit them.
 REFILL_PER_SECOND = 1e6
 
 
@@ -36,36 +36,36 @@
 
     @abc.abstractmethod
     def try_take(self) -> Load | stock.Shortfall:
-        """Begin a load, or say when to come back.
+        """Start a load, or return when to retry.
 
         :return: the permission, or the shortfall
         """
 
     @abc.abstractmethod
     def finished(self, load: Load) -> None:
-        """Give the place of a finished, failed or abandoned load back.
+        """Release the slot of a finished, failed or aborted load.
 
-        :param load: from :meth:`try_take`; a second time changes nothing
+        :param load: from :meth:`try_take`; a second call has no effect
         """
 
     @abc.abstractmethod
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Be told when a load may be possible again.
+        """Register a callback for when a load may be possible again.
 
         :param callback: called without arguments
         """
 
 
 class LeasedLoadBudget(LoadBudget):
-    """Treats both limits of the store as rates of the fleet."""
+    """Applies both limits of the store as rate limits of the fleet."""
 
     def __init__(
         self, *, rates: service.Rates, counters: counting.Counters
     ) -> None:
-        """Know no limits yet.
+        """Create a budget without limits; :meth:`update` sets them.
 
-        :param rates: shares and grants them
-        :param counters: where refused loads are counted
+        :param rates: distributes the limits over the fleet
+        :param counters: counts refused loads
         """
         self._rates = rates
         self._stock = rates.stock
@@ -74,15 +74,15 @@
         self._stock.subscribe(self._woken)
 
     def update(self, store: documents.Store) -> None:
-        """Put the published limits in force.
+        """Apply the published limits.
 
         :param store: the published document
         """
         loads_per_second = store["loads_per_second"]
         self._rates.update_budgets(
             {
-                # A store that allows less than one a second still has to allow
-                # one.
+                # With less than one load a second, the burst still has to
+                # allow one.
                 LOADS: limits.Limit(
                     loads_per_second,
                     max(1.0, loads_per_second),
@@ -99,7 +99,7 @@
         )
 
     def try_take(self) -> Load | stock.Shortfall:
-        """Begin a load, or say when to come back.
+        """Start a load, or return when to retry.
 
         :return: the permission, or the shortfall
         """
@@ -116,9 +116,9 @@
         return Load(place=place)
 
     def finished(self, load: Load) -> None:
-        """Give the place of a finished, failed or abandoned load back.
+        """Release the slot of a finished, failed or aborted load.
 
-        :param load: from :meth:`try_take`; a second time changes nothing
+        :param load: from :meth:`try_take`; a second call has no effect
         """
         if load.finished:
             return
@@ -126,7 +126,7 @@
         self._stock.settle(load.place, used_tokens=0.0)
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Be told when a load may be possible again.
+        """Register a callback for when a load may be possible again.
 
         :param callback: called without arguments
         """
--- a/src/boragefold/coordination/membership.py
+++ b/src/boragefold/coordination/membership.py
@@ -1,4 +1,4 @@
-"""A member's side: heartbeats, the lease, promises and joining."""
+"""The member's role in a view: heartbeats, lease, promises and joining."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from boragefold.protocol import view_messages as messages
 from boragefold.telemetry import counters as telemetry
 
-# A lease survives one lost heartbeat.
+# With this period a lease survives one lost heartbeat.
 BEAT_SECONDS = 0.5
 SLOW_BEAT_SECONDS = 1.0
 UNANSWERED_SECONDS = 0.25
@@ -26,7 +26,7 @@
 
 
 class Membership:
-    """Follows the steward, or looks for one."""
+    """Follows the leader of the view, or looks for a view to join."""
 
     def __init__(
         self,
@@ -74,10 +74,10 @@
     def on_renewal(
         self, sender: ids.InstanceId, renewal: messages.Renewal
     ) -> None:
-        """Follow the steward, and take the lease that it gives.
+        """Follow the leader, and apply the lease that it grants.
 
-        :param sender: the steward
-        :param renewal: its answer to a heartbeat, for our view
+        :param sender: the leader
+        :param renewal: its answer to a heartbeat, for the current view
         """
         state = self._state
         ballot = messages.Ballot(renewal.round, sender.incarnation)
@@ -96,10 +96,10 @@
     def on_relayed(
         self, sender: ids.InstanceId, relayed: messages.Relayed
     ) -> None:
-        """Take a lease that a relay passes on from our steward.
+        """Apply a lease that a relay grants on behalf of the leader.
 
         :param sender: the relay
-        :param relayed: its answer to a heartbeat, for our view
+        :param relayed: its answer to a heartbeat, for the current view
         """
         state = self._state
         if relayed.ballot != state.promised:
@@ -112,10 +112,10 @@
     def on_prepare(
         self, sender: ids.InstanceId, prepare: messages.Prepare
     ) -> None:
-        """Give a candidate our promise, or refuse it.
+        """Give a candidate the promise of this instance, or refuse it.
 
         :param sender: the candidate
-        :param prepare: its request, for our view
+        :param prepare: its request, for the current view
         """
         state = self._state
         ballot = messages.Ballot(prepare.round, sender.incarnation)
@@ -145,10 +145,10 @@
     def on_change(
         self, sender: ids.InstanceId, change: messages.Change
     ) -> None:
-        """Accept a successor of our view, and stop using its rights.
+        """Accept a successor of the view, and stop using the view's rights.
 
-        :param sender: the steward
-        :param change: its proposal, for our view
+        :param sender: the leader
+        :param change: its proposal, for the current view
         """
         state = self._state
         ballot = messages.Ballot(change.round, sender.incarnation)
@@ -171,15 +171,16 @@
     def on_install(
         self, sender: ids.InstanceId, install: messages.Install
     ) -> None:
-        """Take over a decided view.
+        """Install a decided view.
 
-        :param sender: somebody who has it
+        :param sender: an instance that has it
         :param install: the view
         """
         state = self._state
         view = rights.View(*install.view)
         if state.self_id not in view.members:
-            # We keep our old view, which has ended, and ask to join.
+            # This instance keeps its old view, which has ended, and asks to
+            # join.
             state.hear_of(quorum.view_id(view))
             return
         if quorum.view_id(view) < state.view_id():
@@ -194,10 +195,10 @@
     def on_standing(
         self, sender: ids.InstanceId, standing: messages.Standing
     ) -> None:
-        """Bring the sender forward, or find the view that we lack.
+        """Update a sender with an older view, or ask to join a later view.
 
-        :param sender: an instance of our data centre
-        :param standing: what it takes part in
+        :param sender: an instance of this data centre
+        :param standing: its view and the latest view that it knows of
         """
         state = self._state
         state.hear_of(standing.highest_id)
@@ -264,7 +265,7 @@
     def _beat_target(
         self, steward: ids.InstanceId, answered: bool
     ) -> ids.InstanceId:
-        # The relay may be dead.
+        # An unanswered heartbeat goes to the leader, as the relay may be dead.
         view = self._state.view
         relay = view and quorum.relay_of(view, self._state.self_id)
         return relay if relay and answered else steward
--- a/src/boragefold/coordination/quorum.py
+++ b/src/boragefold/coordination/quorum.py
@@ -1,4 +1,4 @@
-"""Which members of a view have to agree, and for how long they have."""
+"""Which members of a view form a quorum, and how long it lasts."""
 
 from __future__ import annotations
 
@@ -12,36 +12,37 @@
 # Outlasts three lost heartbeats.
 PROMISE_SECONDS = 3.0
 
-# A failed candidate must not bind its voters for a whole promise.
+# A failed candidate must not bind its voters for the full promise time.
 PREPARE_SECONDS = 0.6
 
-# A silent member is removed when its lease has surely ended.
+# A silent member is removed when its lease has certainly expired.
 LEASE_SECONDS = 2.0
 
-# Durations that others count on are shortened by this part.
+# Durations that another clock measures are shortened by this fraction.
 CLOCK_DRIFT = 0.001
 
-# Two may fail at once.
+# Two of five voters may fail at once.
 MAX_VOTERS = 5
 
-# From this size on, voters pass leases on to relieve the steward.
+# Views of at least this size relay leases through voters, which reduces the
+# load of the leader.
 RELAYED_MEMBERS = 8
 
-# A view that was founded and not changed yet.
+# Number of a view that was bootstrapped and has not changed yet.
 FOUNDED_NUMBER = 1
 
 
 def shortened_seconds(duration_seconds: float) -> float:
-    """Shorten what another clock measures, for the difference of the clocks.
+    """Shorten a duration to allow for the drift between two clocks.
 
-    :param duration_seconds: as the other one measures it
-    :return: as long as we may count on it
+    :param duration_seconds: the duration on the other clock
+    :return: the part of it that is certain on the clock of this instance
     """
     return duration_seconds * (1 - CLOCK_DRIFT)
 
 
 def view_id(view: rights.View | None) -> messages.ViewId:
-    """Name a view.
+    """Return the id of a view.
 
     :param view: the view, or None
     :return: its id, which is larger for later views
@@ -54,13 +55,13 @@
 def electorate(
     view: rights.View, dead: Collection[ids.InstanceId] = ()
 ) -> tuple[ids.InstanceId, ...]:
-    """Tell whose promises decide in a view.
+    """Return the voters of a view.
 
-    The longest-standing members vote. In a founded view, and once some members
-    are known to be dead from outside, all that are left have to agree.
+    The longest-standing members vote. In a bootstrapped view, and once the
+    list or a new process shows some members as dead, all others have to agree.
 
     :param view: the view
-    :param dead: members that are dead on outside evidence
+    :param dead: members that the list or a new process shows as dead
     :return: the voters
     """
     if dead:
@@ -73,7 +74,7 @@
 def relay_of(
     view: rights.View, member: ids.InstanceId
 ) -> ids.InstanceId | None:
-    """Tell which voter passes leases on to a member.
+    """Return the voter that relays leases to a member.
 
     :param view: the view
     :param member: one of its members
@@ -92,14 +93,14 @@
     votes: Collection[ids.InstanceId],
     dead: Collection[ids.InstanceId] = (),
 ) -> bool:
-    """Tell whether enough voters agree to a successor of a view.
+    """Return whether enough voters agree to a successor of a view.
 
     With an even number of voters the longest-standing one has an extra half
-    vote, so two sets that are enough always share a voter.
+    vote, so any two quorums share a voter.
 
-    :param view: the view that is to be succeeded
-    :param votes: who has accepted
-    :param dead: members that are dead on outside evidence
+    :param view: the view to be succeeded
+    :param votes: the members that have accepted
+    :param dead: members that the list or a new process shows as dead
     :return: whether the successor is decided
     """
     voters = electorate(view, dead)
@@ -119,18 +120,18 @@
     alone_until_seconds: float,
     dead: Collection[ids.InstanceId] = (),
 ) -> float:
-    """Tell how long the promises given to a steward let it lead.
+    """Return until when the promises given to a leader let it lead.
 
-    A quorum that rests on the half vote, or on the steward alone, counts only
-    while the platform's list is known to show it: the others may take over
-    when the list has dropped it, and it could not tell.
+    A quorum that depends on the half vote, or on the leader alone, counts only
+    while the platform's list is known to show the leader: once the list has
+    dropped it the others may take over, which it could not notice.
 
     :param view: the view
-    :param steward: who leads
-    :param ends: when each voter's promise ends, on the steward's clock
-    :param alone_until_seconds: how long the steward may lead alone
-    :param dead: members that are dead on outside evidence
-    :return: a reading of the steward's clock; in the past if it can't lead
+    :param steward: the leader
+    :param ends: when each voter's promise ends, on the leader's clock
+    :param alone_until_seconds: until when the leader may lead alone
+    :param dead: members that the list or a new process shows as dead
+    :return: a reading of the leader's clock; in the past if it can't lead
     """
     voters = electorate(view, dead)
     sorted_ends = sorted((ends.get(one, 0.0) for one in voters), reverse=True)
--- a/src/boragefold/coordination/relaying.py
+++ b/src/boragefold/coordination/relaying.py
@@ -1,4 +1,4 @@
-"""Passes leases on, so that the steward of a large view isn't overloaded."""
+"""Relays leases, to reduce the load of the leader of a large view."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 class Relaying:
-    """Gives members leases that end no later than our own.
+    """Grants members leases that expire no later than the relay's own.
 
-    Whoever has waited for our lease to end has thereby waited for these.
+    An instance that has waited for the relay's lease to expire has thereby
+    waited for these, too.
     """
 
     def __init__(
@@ -28,10 +29,10 @@
         self._granted: dict[ids.InstanceId, float] = {}
 
     def on_beat(self, sender: ids.InstanceId, beat: messages.Beat) -> None:
-        """Answer a heartbeat, if we are the sender's relay and have a lease.
+        """Answer the heartbeat of a member that this instance relays to.
 
         :param sender: the member
-        :param beat: its heartbeat, for our view
+        :param beat: its heartbeat, for the current view
         """
         state = self._state
         view = self._current()
@@ -59,9 +60,9 @@
         )
 
     def quiet(self) -> tuple[int, ...]:
-        """Tell which of our members we haven't heard for long.
+        """Return which members of this relay have been silent for long.
 
-        :return: their places in the view
+        :return: their positions in the view
         """
         view = self._current()
         if view is None:
@@ -76,9 +77,9 @@
         )
 
     def left(self) -> tuple[tuple[int, float], ...]:
-        """Tell how long the leases last that we have given.
+        """Return the remaining times of the leases that this relay granted.
 
-        :return: places in the view, and seconds
+        :return: positions in the view, and seconds
         """
         view = self._current()
         if view is None:
--- a/src/boragefold/coordination/rights.py
+++ b/src/boragefold/coordination/rights.py
@@ -1,4 +1,4 @@
-"""Who holds a single-holder right: the view, and the hash over it."""
+"""Exclusive rights: the view, and the hash that assigns their holders."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class View(NamedTuple):
-    """The instances of one data centre that act together, numbered.
+    """A numbered set of instances of one data centre that act together.
 
-    ``epoch`` names the bootstrap that the numbering began with: it is larger
-    for every later bootstrap of the data centre.
+    ``epoch`` identifies the bootstrap that the numbering starts with: it is
+    larger for every later bootstrap of the data centre.
     """
 
     data_centre: str
@@ -25,7 +25,7 @@
 
 
 class Rights(abc.ABC):
-    """Tells which instance holds a right, and whether we do, now.
+    """Reports which instance holds an exclusive right at this moment.
 
     The rights of one view have ended everywhere before those of the next
     begin, so two instances never hold the same right at once.
@@ -33,21 +33,21 @@
 
     @abc.abstractmethod
     def valid_view(self) -> View | None:
-        """Read the view that our lease covers at this moment.
+        """Return the view that this instance has a lease on now.
 
-        :return: the view, or None when our lease has ended
+        :return: the view, or None when the lease has expired
         """
 
     @abc.abstractmethod
     def valid_for_seconds(self) -> float:
-        """Tell how long our lease will last without renewal.
+        """Return how long the lease will last without renewal.
 
-        :return: seconds, zero when it has ended
+        :return: seconds, zero when it has expired
         """
 
     @abc.abstractmethod
     def directory(self) -> dict[str, View]:
-        """Read the latest known view of each data centre.
+        """Return the latest known view of each data centre.
 
         The views of other data centres may be out of date.
 
@@ -56,16 +56,16 @@
 
     @abc.abstractmethod
     def subscribe(self, callback: Callable[[View | None], None]) -> None:
-        """Be told when our valid view changes or ends.
+        """Register a callback for when the valid view changes or ends.
 
         :param callback: called with the new view, or None
         """
 
     def holds(self, right: str) -> bool:
-        """Tell whether we hold a right now; ask right before acting.
+        """Return whether this instance holds a right now; call before acting.
 
         :param right: its name, such as ``rate/quadro/drafts``
-        :return: whether we do
+        :return: whether it does
         """
         view = self.valid_view()
         return view is not None and holder(view, right) == self.self_id
@@ -73,14 +73,14 @@
     @property
     @abc.abstractmethod
     def self_id(self) -> ids.InstanceId:
-        """Tell who we are.
+        """Return the identity of this instance.
 
-        :return: our own identity
+        :return: its id
         """
 
 
 def holder(view: View, right: str) -> ids.InstanceId:
-    """Pick the member that a right belongs to, by rendezvous hashing.
+    """Return the member that holds a right, by rendezvous hashing.
 
     A change of one member moves only the rights of that member.
 
--- a/src/boragefold/coordination/roster.py
+++ b/src/boragefold/coordination/roster.py
@@ -1,4 +1,4 @@
-"""Who has been heard, who wants in and who has to go."""
+"""Tracks silent, joining and leaving members for the leader of a view."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 from boragefold.protocol import ids
 from boragefold.telemetry import counters as telemetry
 
-# A suspect gets new connections before it is removed.
+# A silent member gets new connections before it is removed.
 SUSPECT_SECONDS = 1.2
 
-# After an election no old lease has to be waited for.
+# After an election a silent member is removed this soon, as no old lease has
+# to be waited for.
 GRACE_SECONDS = 0.6
 
 
 class Roster:
-    """What the steward knows of its members and of those who ask to join."""
+    """The leader's records of members and of instances that ask to join."""
 
     def __init__(
         self,
@@ -43,7 +44,7 @@
         self._leaving: set[ids.InstanceId] = set()
 
     def begin(self, members: Iterable[ids.InstanceId]) -> None:
-        """Expect every member to answer soon, after an election.
+        """Expect a message from every member soon, after an election.
 
         :param members: the members
         """
@@ -54,7 +55,7 @@
         self._heard = {member: heard_seconds for member in self._suspected}
 
     def installed(self, view: rights.View) -> None:
-        """Count every member as heard, in a new view.
+        """Count every member of a new view as just heard.
 
         :param view: the view
         """
@@ -68,7 +69,7 @@
         self._leaving.intersection_update(view.members)
 
     def hear(self, member: ids.InstanceId) -> None:
-        """Note that a member lives.
+        """Record that a member has sent a message.
 
         :param member: the member
         """
@@ -78,11 +79,11 @@
     def hear_by_relay(
         self, view: rights.View, relay: ids.InstanceId, quiet: Iterable[int]
     ) -> None:
-        """Note what a relay says of the members that beat to it.
+        """Apply a relay's report on the members that send it heartbeats.
 
-        :param view: our view
+        :param view: the current view
         :param relay: the relay
-        :param quiet: the places of those it hasn't heard for long
+        :param quiet: positions of those that it hasn't heard for long
         """
         silent = set(quiet)
         doubtful_seconds = self._state.now_seconds() - SUSPECT_SECONDS
@@ -95,9 +96,9 @@
                 self._heard[member] = doubtful_seconds
 
     def silent(self, view: rights.View) -> list[ids.InstanceId]:
-        """List the members that were not heard for long; report new ones.
+        """List the members that are silent for long, and report new ones.
 
-        :param view: our view
+        :param view: the current view
         :return: the members, to be asked for a heartbeat
         """
         now_seconds = self._state.now_seconds()
@@ -115,16 +116,16 @@
         return found
 
     def join(self, joiner: ids.InstanceId) -> None:
-        """Note that an instance wants in.
+        """Record that an instance asks to join.
 
-        The last to ask from an address is the one that runs there.
+        The last one to ask from an address is the one that runs there.
 
         :param joiner: the instance
         """
         self._joining[joiner.address] = joiner
 
     def leave(self, member: ids.InstanceId) -> None:
-        """Note that a member wants out.
+        """Record that a member asks to leave.
 
         :param member: the member
         """
@@ -133,10 +134,10 @@
         self._leaving.add(member)
 
     def members_after(self, view: rights.View) -> tuple[ids.InstanceId, ...]:
-        """Tell who should be in the next view.
+        """Return the members of the next view.
 
-        :param view: the view before
-        :return: those who stay, in their order, and those who join
+        :param view: the current view
+        :return: the remaining members in their order, then the joining ones
         """
         staying = [one for one in view.members if not self._must_go(one)]
         taken = {member.address for member in staying}
--- a/src/boragefold/coordination/stewardship.py
+++ b/src/boragefold/coordination/stewardship.py
@@ -1,4 +1,4 @@
-"""What the steward of a view does: renew leases and change the view."""
+"""The leader's role in a view: renews leases and changes the members."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from boragefold.protocol import view_messages as messages
 from boragefold.telemetry import counters as telemetry
 
-# A silent member may have missed our election.
+# Interval of requests to silent members, which may have missed the election.
 NUDGE_SECONDS = 0.2
 
 
 class Stewardship:
-    """Leads the view while enough promises last."""
+    """Leads the view as long as a quorum's promises last."""
 
     def __init__(
         self,
@@ -48,16 +48,16 @@
 
     @property
     def leading(self) -> bool:
-        """Tell whether we lead, as far as we know.
+        """Return whether this instance leads, as far as it knows.
 
-        :return: whether we do
+        :return: whether it does
         """
         return self._leadership.leading
 
     def begin(self, victory: elections.Victory) -> None:
-        """Lead, after an election.
+        """Start to lead after an election.
 
-        :param victory: what the election gave
+        :param victory: the result of the election
         """
         view = self._state.view
         if view is None:
@@ -77,7 +77,7 @@
     def found(
         self, view: rights.View, ends: dict[ids.InstanceId, float]
     ) -> None:
-        """Lead a view that we have founded and installed.
+        """Start to lead a view that this instance bootstrapped.
 
         :param view: the view
         :param ends: when the promises of its members end
@@ -94,11 +94,11 @@
         self.begin(elections.Victory(ballot, ends, frozenset(), None))
 
     def step_down(self) -> None:
-        """Stop leading; leases that were given go on to their ends."""
+        """Stop leading; granted leases last until they expire."""
         self._leadership.end()
 
     def tick(self) -> None:
-        """Do what is due: renew, suspect, remove, take in."""
+        """Renew leases, contact silent members and change the view if due."""
         view = self._state.view
         if view is None or not self._leadership.holds():
             return
@@ -113,7 +113,7 @@
         """Answer a member's heartbeat with a lease.
 
         :param sender: the member
-        :param beat: its heartbeat, for our view
+        :param beat: its heartbeat, for the current view
         """
         view = self._state.view
         if view is None or sender not in view.members:
@@ -128,10 +128,10 @@
             self._leadership.renew(sender, beat.sent_seconds)
 
     def on_join(self, sender: ids.InstanceId) -> None:
-        """Note that an instance wants to take part.
+        """Record that an instance asks to join the view.
 
-        It has to stand on our list: whoever reads a later list and misses
-        members of this view then finds the new one there and asks it.
+        It has to be on this instance's list: whoever reads a later list and
+        misses members of this view then finds the new one there and asks it.
 
         :param sender: the instance
         """
@@ -148,7 +148,7 @@
                 self._inquiry.ask(sender.address)
 
     def on_leave(self, sender: ids.InstanceId) -> None:
-        """Note that a member, perhaps we, wants to be left out.
+        """Record that a member, possibly this instance, asks to leave.
 
         :param sender: the member
         """
@@ -156,7 +156,7 @@
         self._change_if_due()
 
     def send_view(self, to: ids.InstanceId) -> None:
-        """Send our view to one that may have missed it.
+        """Send the view to an instance that may have missed it.
 
         :param to: the receiver
         """
@@ -191,8 +191,8 @@
     def _without(
         self, dead: frozenset[ids.InstanceId], view: rights.View
     ) -> rights.View:
-        # The dead may have decided on a successor: a new epoch keeps the two
-        # views apart.
+        # The dead members may have decided on a successor: a new epoch
+        # distinguishes the two views.
         return rights.View(
             data_centre=view.data_centre,
             epoch=self._new_epoch(),
@@ -201,7 +201,7 @@
         )
 
     def _end_view(self, view: rights.View) -> None:
-        # The last one leaves; whoever comes founds anew.
+        # The last member leaves; the next instance bootstraps a new view.
         self._state.lease_until_seconds = 0.0
         self._state.hear_of(messages.ViewId(view.epoch, view.number + 1))
         self.step_down()
--- a/src/boragefold/coordination/view_changes.py
+++ b/src/boragefold/coordination/view_changes.py
@@ -1,4 +1,4 @@
-"""How the steward decides on the successor of a view and installs it."""
+"""Decides on the successor of a view and installs it, for the leader."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ViewChanges:
-    """Stops the rights of a view everywhere before the next begins."""
+    """Ends the rights of a view everywhere before the next view begins."""
 
     def __init__(
         self,
@@ -54,18 +54,18 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether a successor is being decided.
+        """Return whether a successor is being decided.
 
         :return: whether one is
         """
         return self._current() is not None
 
     def propose(self, successor: rights.View, *, recovered: bool) -> None:
-        """Propose a successor, and stop using our own rights.
+        """Propose a successor, and stop using the rights of this instance.
 
         :param successor: the next view
-        :param recovered: whether it was found with a voter after an
-            election, and only has to be finished
+        :param recovered: whether a voter had accepted it before the
+            election, so that it only has to be completed
         """
         self._state.accept(self._leadership.ballot, successor)
         self._leadership.granting = False
@@ -84,15 +84,15 @@
         self.tick()
 
     def tick(self) -> None:
-        """Send the proposal again, and finish it if it is time."""
+        """Resend the proposal if it is due, and complete it if possible."""
         self._resend()
         self._conclude()
 
     def on_ack(self, sender: ids.InstanceId, ack: messages.ChangeAck) -> None:
-        """Count a member that has accepted and stopped.
+        """Count a member that has accepted and stopped using its rights.
 
         :param sender: the member
-        :param ack: its acknowledgement, for our view
+        :param ack: its acknowledgement, for the current view
         """
         pending = self._current()
         view = self._state.view
@@ -119,11 +119,11 @@
         *,
         released: bool = False,
     ) -> None:
-        """Send a decided view to one that may not have it.
+        """Send a decided view to an instance that may not have it.
 
         :param to: the receiver
         :param view: the view
-        :param released: whether we end the promises that we were given
+        :param released: whether it ends the promises given to this instance
         """
         self._link.send(
             to=to,
@@ -137,7 +137,7 @@
         )
 
     def _current(self) -> Pending | None:
-        # After a lost lead and another election the view is another one.
+        # After a lost leadership and another election the view may differ.
         pending = self._pending
         if (
             pending is None
--- a/src/boragefold/coordination/view_router.py
+++ b/src/boragefold/coordination/view_router.py
@@ -1,4 +1,4 @@
-"""Hands each message of the views to the part that it is for."""
+"""Dispatches the messages about views to their handlers."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class ViewRouter:
-    """Subscribes to the messages, and checks whom and which view they name."""
+    """Subscribes to the messages, and checks their sender and their view."""
 
     def __init__(
         self,
@@ -120,7 +120,7 @@
             ):
                 handler(sender, body)
                 return
-            # One of us missed an installation, and learns of it by this.
+            # One side has missed an installation; the answer reveals it.
             self._counters.add("view_messages_dropped", "other_view")
             self._send_standing(sender, 0.0)
 
@@ -174,7 +174,8 @@
             return
         if refusal.ballot <= self._leadership.ballot:
             return
-        # This voter would refuse us for good under a lower ballot.
+        # This voter would never accept a lower ballot, so a new election with
+        # a higher one is needed.
         self._counters.add("view_steward_ended", "higher_ballot")
         self._stewardship.step_down()
         self._election.start()
--- a/src/boragefold/coordination/view_state.py
+++ b/src/boragefold/coordination/view_state.py
@@ -1,4 +1,4 @@
-"""What one instance holds of its data centre's view, and its promise."""
+"""The view, lease and promise of one instance."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ViewState:
-    """The state that election, steward and member share in one process."""
+    """The state shared by the election, leader and member roles."""
 
     def __init__(
         self,
@@ -37,52 +37,52 @@
         self.known_since_seconds: dict[ids.InstanceId, float] = {}
 
     def now_seconds(self) -> float:
-        """Read the clock, afresh at each call.
+        """Read the clock anew at each call.
 
         :return: seconds since an arbitrary start
         """
         return self._timers.now_seconds()
 
     def view_id(self) -> messages.ViewId:
-        """Name the installed view.
+        """Return the id of the installed view.
 
         :return: its id
         """
         return quorum.view_id(self.view)
 
     def is_outdated(self) -> bool:
-        """Tell whether a later view than ours is known to exist.
+        """Return whether a later view is known to exist.
 
-        :return: whether it is; true of a process without a view, too
+        :return: whether one is; also true without an installed view
         """
         return self.view is None or self.highest_id > self.view_id()
 
     def covered(self) -> bool:
-        """Tell whether our lease covers the installed view now.
+        """Return whether this instance has a lease on the installed view.
 
-        :return: whether it does
+        :return: whether it has one now
         """
         return self.lease_left_seconds() > 0
 
     def lease_left_seconds(self) -> float:
-        """Tell how long our lease will last.
+        """Return how long the lease will last.
 
-        The clock is read here, not handed in: a process that was paused
-        inside a handler would otherwise go on by a reading from before.
+        The clock is read here, not passed in: a process that was paused
+        inside a handler would otherwise use a reading from before the pause.
 
         :return: seconds, zero if there is no lease
         """
         return max(0.0, self.lease_until_seconds - self.now_seconds())
 
     def hear_of(self, view_id: messages.ViewId) -> None:
-        """Note that a view of our data centre exists.
+        """Record that a view of this data centre exists.
 
         :param view_id: its id
         """
         self.highest_id = max(self.highest_id, view_id)
 
     def install(self, view: rights.View, ballot: messages.Ballot) -> bool:
-        """Take over a decided view, if it is later than ours.
+        """Install a decided view if it is later than the current one.
 
         :param view: the view
         :param ballot: the ballot that it was decided in, or a later one
@@ -97,8 +97,8 @@
         self.accepted_ballot = messages.NO_BALLOT
         self.accepted = None
         self.stopped = messages.NO_BALLOT
-        # Under an older ballot two successors could each find enough voters.
-        # Ballots of different epochs don't compare.
+        # Under an older ballot two successors could each find a quorum.
+        # Ballots of different epochs are not comparable.
         same_epoch = before is not None and before.epoch == view.epoch
         self.promised = max(self.promised, ballot) if same_epoch else ballot
         now_seconds = self.now_seconds()
@@ -109,10 +109,10 @@
         return True
 
     def may_promise(self, owner: str) -> bool:
-        """Tell whether we are free to promise somebody something.
+        """Return whether this instance is free to give a promise.
 
-        :param owner: the incarnation that asks
-        :return: whether it has our promise already, or nobody has
+        :param owner: the incarnation that asks for it
+        :return: whether it has the promise already, or nobody has
         """
         return (
             owner == self.promised.owner
@@ -120,7 +120,7 @@
         )
 
     def promise(self, ballot: messages.Ballot, hold_seconds: float) -> None:
-        """Promise to follow nobody else for a time, from now.
+        """Promise, for a time from now, to follow nobody else.
 
         :param ballot: the ballot, not lower than the last
         :param hold_seconds: for how long
@@ -132,13 +132,13 @@
         self.promise_until_seconds = until_seconds
 
     def follow(self, ballot: messages.Ballot) -> bool:
-        """Follow an elected steward, if nobody was elected after it.
+        """Follow an elected leader unless one was elected after it.
 
-        The promise to another one is no hindrance: a higher ballot could
-        only be elected when the leadership of the lower one had ended.
+        A promise to another leader is no obstacle: a higher ballot could only
+        be elected when the leadership of the lower one had ended.
 
-        :param ballot: what the steward was elected by
-        :return: whether we follow it
+        :param ballot: the ballot that elected the leader
+        :return: whether this instance follows it
         """
         if ballot < self.promised:
             return False
@@ -146,7 +146,7 @@
         return True
 
     def release(self, ballot: messages.Ballot) -> None:
-        """End the promise that we gave to a ballot.
+        """End the promise given to a ballot.
 
         :param ballot: the ballot, whose owner no longer needs it
         """
@@ -154,10 +154,10 @@
             self.promise_until_seconds = self.now_seconds()
 
     def accept(self, ballot: messages.Ballot, successor: rights.View) -> None:
-        """Accept a successor, and stop using the rights of our view.
+        """Accept a successor, and stop using the rights of the current view.
 
         :param ballot: the ballot that it is proposed in
-        :param successor: the view after ours
+        :param successor: the next view
         """
         self.promise(ballot, quorum.PROMISE_SECONDS)
         self.accepted_ballot = ballot
@@ -166,12 +166,12 @@
         self.lease_until_seconds = 0.0
 
     def take_lease(self, until_seconds: float) -> None:
-        """Extend our lease on the installed view.
+        """Extend the lease on the installed view.
 
-        A renewal that was delayed until after we stopped would bring the old
-        rights back beside the new ones; only a later ballot may do that.
+        A renewal that was delayed until after this instance stopped would
+        restore the old rights beside the new ones; only a later ballot may.
 
-        :param until_seconds: its end on our clock
+        :param until_seconds: when it expires, on the clock of this instance
         """
         if self.is_outdated() or self.promised <= self.stopped:
             return
@@ -180,11 +180,11 @@
         self.lease_until_seconds = max(self.lease_until_seconds, until_seconds)
 
     def follow_time(self) -> None:
-        """Keep account of how long we have been without a lease.
+        """Update since when there is no lease, and how long to lead alone.
 
-        Being shown on the list lets a steward lead alone, but only in an
-        unbroken line from a lease: after a pause the others may have taken
-        over, and a list read before the pause may still show us.
+        A leader that is on the list may lead alone, but only without a break
+        since its last lease: after a pause the others may have taken over,
+        and a list read before the pause may still show this instance.
         """
         now_seconds = self.now_seconds()
         covered = self.covered()
--- a/src/boragefold/coordination/views.py
+++ b/src/boragefold/coordination/views.py
@@ -1,4 +1,4 @@
-"""The view of a data centre as one of its instances sees it."""
+"""Takes part in the view of a data centre on behalf of one instance."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Views(rights.Rights):
-    """Keeps this instance in its data centre's view, and answers for it."""
+    """Keeps this instance in its data centre's view, and reports rights."""
 
     def __init__(
         self,
@@ -44,13 +44,13 @@
         wall_clock_ms: Callable[[], int],
         on_suspect: Callable[[ids.InstanceId], None] | None = None,
     ) -> None:
-        """Build the parts; :meth:`start` sets them going.
+        """Create the components; :meth:`start` starts them.
 
         :param peer_link: carries the messages
         :param timer_service: the clock and the timers
         :param counters: counts elections, changes, refusals and suspects
-        :param random_source: draws the waits of elections and gossip
-        :param wall_clock_ms: the calendar, which numbers the epochs
+        :param random_source: draws the delays of elections and gossip
+        :param wall_clock_ms: wall clock time, which numbers the epochs
         :param on_suspect: called with a silent peer, whose connections
             should be replaced before it is removed
         """
@@ -153,30 +153,30 @@
 
     @property
     def self_id(self) -> ids.InstanceId:
-        """Tell who we are.
+        """Return the identity of this instance.
 
-        :return: our own identity
+        :return: its id
         """
         return self._state.self_id
 
     @property
     def is_steward(self) -> bool:
-        """Tell whether we lead the view.
+        """Return whether this instance leads the view.
 
-        :return: whether we do, as far as we know
+        :return: whether it does, as far as it knows
         """
         return self._stewardship.leading
 
     @property
     def has_left(self) -> bool:
-        """Tell whether a planned leave is complete.
+        """Return whether a planned leave is complete.
 
-        :return: whether we were asked to leave and are in no view any more
+        :return: whether this instance was asked to leave and is in no view
         """
         return self._leaving and self._state.is_outdated()
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start to take part in the view."""
         if self._started:
             return
         self._started = True
@@ -184,7 +184,7 @@
         self._directory.start()
 
     def update_list(self, entries: Iterable[listings.ListEntry]) -> None:
-        """Take in the platform's list, at each reading, changed or not.
+        """Store the platform's list after each read, changed or not.
 
         :param entries: all instances of all data centres
         """
@@ -192,28 +192,28 @@
         self._state.follow_time()
 
     def leave(self) -> None:
-        """Hand over and leave the view; watch :attr:`has_left`."""
+        """Start to leave the view; :attr:`has_left` shows completion."""
         self._leaving = True
         self._tick()
 
     def valid_view(self) -> rights.View | None:
-        """Read the view that our lease covers at this moment.
+        """Return the view that this instance has a lease on now.
 
-        :return: the view, or None when our lease has ended
+        :return: the view, or None when the lease has expired
         """
         return self._state.view if self.valid_for_seconds() > 0 else None
 
     def valid_for_seconds(self) -> float:
-        """Tell how long our lease will last without renewal.
+        """Return how long the lease will last without renewal.
 
-        :return: seconds, zero when it has ended
+        :return: seconds, zero when it has expired
         """
         if self._state.is_outdated():
             return 0.0
         return self._state.lease_left_seconds()
 
     def directory(self) -> dict[str, rights.View]:
-        """Read the latest known view of each data centre.
+        """Return the latest known view of each data centre.
 
         :return: views by data centre
         """
@@ -222,7 +222,7 @@
     def subscribe(
         self, callback: Callable[[rights.View | None], None]
     ) -> None:
-        """Be told when our valid view changes or ends.
+        """Register a callback for when the valid view changes or ends.
 
         :param callback: called with the new view, or None
         """
@@ -256,7 +256,7 @@
         self._told = view
         self._counters.add("view_validity", "valid" if view else "ended")
         if view is None:
-            logging.info("our lease on the view has ended")
+            logging.info("the lease on the view has expired")
         else:
             logging.info(
                 "view %d.%d with %d members is valid",
--- a/tests/coordination/test_listing.py
+++ b/tests/coordination/test_listing.py
@@ -11,8 +11,8 @@
 
 
 def test_an_instance_that_a_copy_lacks_is_not_gone() -> None:
-    # A newer copy of the list shows an instance, the next reading meets an
-    # older copy that doesn't know it yet. It lives.
+    # A newer copy of the list contains an instance, and the next read returns
+    # an older copy without it. The instance is alive.
     listing = listings.Listing(self_id=SELF)
     listing.update(entries("a-0", "a-1"), 0.0)
     for second in range(1, 6):
@@ -30,7 +30,7 @@
 
 
 def test_a_list_that_is_not_fresh_proves_nothing() -> None:
-    # The platform goes down just after the list has dropped an instance.
+    # The platform fails just after the list has dropped an instance.
     listing = listings.Listing(self_id=SELF)
     for second in range(12):
         listing.update(entries("a-0", "a-1"), float(second))
@@ -39,7 +39,7 @@
 
 
 def test_one_dropped_a_moment_ago_is_still_asked() -> None:
-    # Its own copy of the list may show it, and let it go on alone.
+    # Its own copy of the list may still show it and so let it lead alone.
     listing = listings.Listing(self_id=SELF)
     listing.update(entries("a-0", "a-1", "b-0"), 0.0)
     listing.update(entries("a-0", "b-0"), 1.0)
--- a/tests/coordination/test_load_budget.py
+++ b/tests/coordination/test_load_budget.py
@@ -13,7 +13,7 @@
 
 
 class Loaders:
-    """Every instance loads as often as it may."""
+    """A fleet in which every instance loads as often as permitted."""
 
     def __init__(self, *, load_seconds: float, store=STORE) -> None:
         self.fleet = fakes.Fleet(per_data_centre=2)
@@ -78,8 +78,8 @@
 
 @pytest.mark.parametrize("wanting", [None, "north"])
 def test_slow_loads_keep_to_the_limit_in_flight(wanting) -> None:
-    # Loads slow down, so more of them overlap; the store slows down further
-    # with each one beyond its limit.
+    # Slow loads overlap more, and a store slows down further with each load
+    # beyond its limit.
     store = documents.Store(loads_per_second=100.0, loads_in_flight=8)
     loaders = Loaders(load_seconds=3.0, store=store)
     loaders.run(15.0, wanting=wanting)
@@ -88,8 +88,8 @@
 
 
 def test_places_of_a_dead_instance_come_back() -> None:
-    # An instance dies with all eight loads in flight. Nobody reports them;
-    # their places must come back, and not before the loads have surely ended.
+    # An instance dies with all eight loads in flight and never releases them.
+    # Their slots must return, but not before the loads have certainly ended.
     store = documents.Store(loads_per_second=100.0, loads_in_flight=8)
     loaders = Loaders(load_seconds=1000.0, store=store)
     fleet = loaders.fleet
--- a/tests/coordination/test_quorum.py
+++ b/tests/coordination/test_quorum.py
@@ -17,8 +17,8 @@
 
 @pytest.mark.parametrize("count", [1, 2, 3, 4, 5, 6, 7])
 def test_two_quorums_always_share_a_voter(count: int) -> None:
-    # Two stewards that both find enough voters would decide on two
-    # successors of one view.
+    # Two leaders that both find a quorum would decide on two successors of
+    # one view.
     voters = quorum.electorate(view(count))
     subsets = [
         set(chosen)
@@ -61,8 +61,8 @@
 def test_promises_bound_the_lead(
     count: int, ends: tuple[float, ...], until_seconds: float
 ) -> None:
-    # With four voters the first needs one more; with two it needs none, but
-    # then no longer than the list is known to show it (until 7).
+    # With four voters the first needs one more. With two it needs none, but
+    # leads only while the list is known to show it (until 7).
     assert (
         quorum.led_until_seconds(
             view(count),
--- a/tests/coordination/test_view_changes.py
+++ b/tests/coordination/test_view_changes.py
@@ -17,7 +17,7 @@
 
 
 class Steward:
-    """The first of some members, elected to lead their view."""
+    """The first of some members, elected as the leader of their view."""
 
     def __init__(self, count: int) -> None:
         self.network = networks.Network(seed=1)
@@ -71,10 +71,10 @@
 
 
 def test_a_change_that_was_broken_off_is_not_taken_up_later() -> None:
-    # The steward loses its lead in the middle of a change. Another steward
-    # changes the view; later the first one is elected again and still
-    # remembers its change. Its outcome is older than the view, and every
-    # change after it failed.
+    # A leader loses its leadership during a change and another one changes
+    # the view. When the first is elected again, it must not resume its old
+    # change: the result would be older than the view, and every later change
+    # would fail.
     steward = Steward(3)
     steward.changes.propose(steward.view._replace(number=3), recovered=False)
     steward.leadership.end()
@@ -87,8 +87,8 @@
 
 
 def test_a_silent_member_is_waited_for_until_its_lease_ends() -> None:
-    # A member got a lease and dies. A majority agrees to go on without it,
-    # but until its lease has ended it may, for all we know, use its rights.
+    # A member gets a lease and dies. A majority agrees to continue without
+    # it, but it may use its rights until its lease has expired.
     steward = Steward(3)
     steward.leadership.renew(MEMBERS[2], 99.9)
     steward.changes.propose(
@@ -102,8 +102,8 @@
 
 
 def test_a_silent_member_is_waited_for_until_a_relayed_lease_ends() -> None:
-    # A member gets its leases from a relay and dies. The steward never gave
-    # it one, but the relay did, and says how long it lasts.
+    # A member gets its leases from a relay and dies. The leader granted it
+    # none, but the relay did, and reports the remaining time.
     steward = Steward(9)
     relay = quorum.relay_of(steward.view, MEMBERS[8])
     assert relay == MEMBERS[1]
@@ -122,8 +122,8 @@
 
 def test_a_replaced_relay_leaves_leases_behind() -> None:
     # A relay is killed and its address has a new process already, so it is
-    # surely dead and need not be waited for. A member that it gave a lease
-    # last is cut off, and lives.
+    # certainly dead and need not be waited for. A member that it granted a
+    # lease last is partitioned, but alive.
     steward = Steward(9)
     steward.leadership.renew(MEMBERS[1], 99.9)
     standing = messages.Standing(
--- a/tests/coordination/test_view_state.py
+++ b/tests/coordination/test_view_state.py
@@ -27,8 +27,8 @@
 
 
 def test_a_lower_ballot_is_not_followed() -> None:
-    # A steward was elected after an older one, which wakes up and proposes.
-    # Following it would let two successors each find enough voters.
+    # A leader was elected after an older one, which resumes and proposes.
+    # Following it would let two successors each find a quorum.
     state, _ = new_state()
     assert state.follow(messages.Ballot(5, "y"))
     assert not state.follow(messages.Ballot(4, "z"))
@@ -36,15 +36,15 @@
 
 
 def test_an_installed_view_keeps_its_ballot_as_floor() -> None:
-    # A member learns of a view from a bystander. An old candidate's ballot,
-    # lower than the one the view was decided in, must count for nothing.
+    # A member learns of a view from another member. The ballot of an old
+    # candidate, lower than the one that decided the view, must have no effect.
     state, _ = new_state()
     state.install(view(1, 3), messages.Ballot(7, "y"))
     assert not state.follow(messages.Ballot(6, "z"))
 
 
 def test_a_promise_ends_on_the_clock() -> None:
-    # A candidate asks while we have promised another steward to wait.
+    # A candidate asks while another leader has the promise.
     state, clock = new_state()
     state.follow(messages.Ballot(5, "y"))
     assert not state.may_promise("z")
@@ -54,8 +54,8 @@
 
 
 def test_a_stopped_member_takes_no_late_lease() -> None:
-    # We have stopped for a change of the view; then a renewal from before
-    # arrives. Only a later steward, who knows of no change, may renew.
+    # A member has stopped for a change of the view when an older renewal
+    # arrives. Only a later leader, which knows of no change, may renew.
     state, _ = new_state()
     state.follow(messages.Ballot(5, "y"))
     state.accept(messages.Ballot(5, "y"), view(1, 3))
@@ -67,7 +67,8 @@
 
 
 def test_an_outdated_member_is_covered_by_nothing() -> None:
-    # A view after ours exists, so ours has ended, whoever says otherwise.
+    # A later view exists, so the current one has ended, whatever renewal
+    # arrives.
     state, _ = new_state()
     state.hear_of(messages.ViewId(1, 3))
     state.take_lease(101.0)
@@ -75,8 +76,8 @@
 
 
 def test_a_new_epoch_begins_with_its_own_ballots() -> None:
-    # Everybody restarted but us. The new epoch's first ballot is lower than
-    # the last that we followed, and must be followed all the same.
+    # All other instances restarted. The first ballot of the new epoch is lower
+    # than the last one followed, but must be followed.
     state, _ = new_state()
     state.follow(messages.Ballot(50, "y"))
     state.install(view(2, 1), messages.Ballot(1, "z"))
--- a/tests/coordination/test_views_faults.py
+++ b/tests/coordination/test_views_faults.py
@@ -52,9 +52,9 @@
 
 @pytest.mark.parametrize("count", [2, 3, 7])
 def test_a_killed_steward_is_replaced(count: int) -> None:
-    # The instance that maintains the view is killed with -9. Its workspaces
-    # get no new tokens until the others have agreed on a view without it.
-    # It sent nothing before it died, so only its promises' ends show it.
+    # The leader is killed with SIGKILL. Workspaces whose rights it held get no
+    # new tokens until the others have agreed on a view without it. It sent
+    # nothing before it died, so only the expiry of its promises reveals it.
     _, fleet, _ = settled_fleet(count)
     fleet.kill(steward_of(fleet))
     assert fleet.seconds_until_agreed("a", 5.0) < 5.0
@@ -62,8 +62,8 @@
 
 @pytest.mark.parametrize("count", [2, 3, 7])
 def test_a_killed_member_is_removed(count: int) -> None:
-    # An ordinary member is killed with -9. Nobody may use its rights until
-    # its lease has ended; then they move at once, by one change.
+    # An ordinary member is killed with SIGKILL. Nobody may use its rights
+    # until its lease has expired; then one change moves them all.
     _, fleet, _ = settled_fleet(count)
     steward = steward_of(fleet)
     member = next(
@@ -76,8 +76,8 @@
 @pytest.mark.parametrize("count", [2, 3, 7])
 @pytest.mark.parametrize("is_steward", [True, False])
 def test_a_planned_leave_is_fast(count: int, is_steward: bool) -> None:
-    # An instance is stopped for a new release. It hands over before it goes,
-    # so nobody has to wait for a lease: callers see no gap to speak of.
+    # An instance is stopped for a new release. It hands over its rights before
+    # it exits, so nobody waits for a lease and callers see almost no gap.
     network, fleet, _ = settled_fleet(count)
     leaver = next(
         one
@@ -97,9 +97,9 @@
 
 
 def test_a_paused_holder_finds_its_lease_ended() -> None:
-    # The machine suspends an instance for a minute. The others share its
-    # rights. It wakes up in the middle of a handler, before any timer or
-    # message has told it anything, and is about to act.
+    # An instance is suspended for a minute and the others take its rights. It
+    # resumes in the middle of a handler that is about to act, before any timer
+    # or message.
     network, fleet, instances = settled_fleet(3)
     sleeper = instances[0]
     network.pause(sleeper.node)
@@ -112,7 +112,7 @@
 
 def test_a_handler_that_sleeps_loses_its_lease() -> None:
     # A handler reads the view, then the process is stopped for three seconds
-    # and goes on in the same handler. No timer has run in between.
+    # and resumes in the same handler. No timer has run in between.
     network, _, instances = settled_fleet(2)
     views = instances[1].views
     assert views.valid_view() is not None
@@ -125,9 +125,9 @@
 def test_a_paused_steward_wakes_up(
     timers_first: bool, pause_seconds: float
 ) -> None:
-    # The steward is paused, the others go on with a new one, and then it
-    # wakes: either its overdue timers run first, or the messages that came
-    # meanwhile, among them heartbeats that would renew what it gave.
+    # The leader is paused and the others elect a new one. When it resumes,
+    # either its overdue timers run first, or the queued messages, among them
+    # heartbeats that would renew the leases that it granted.
     network, fleet, _ = settled_fleet(5)
     steward = steward_of(fleet)
     network.pause(steward.node)
@@ -138,10 +138,9 @@
 
 
 def test_a_minority_with_the_steward_stops() -> None:
-    # A cut inside the data centre leaves the steward and one member on one
-    # side, three members on the other. The member hears its steward all the
-    # time; a lease that outlasts the steward's promises would double the
-    # rights that the three take over.
+    # A partition separates the leader and one member from three members. The
+    # member hears its leader all the time; a lease that outlasts the leader's
+    # promises would duplicate the rights that the three take over.
     network, fleet, instances = settled_fleet(5)
     steward = steward_of(fleet)
     fellow = next(one for one in instances if one is not steward)
@@ -156,10 +155,9 @@
 
 @pytest.mark.parametrize("kept", [0, 1])
 def test_an_isolated_instance_of_a_pair_stops(kept: int) -> None:
-    # The switch of one of two instances fails. It lives on, but neither its
-    # partner nor the platform sees it, and the list drops it. Its partner
-    # goes on; it must not, though it can't tell that from a platform that is
-    # down and a partner that is dead.
+    # One of two instances is isolated: neither its peer nor the platform
+    # reaches it, and the list drops it. Its peer continues; it must not,
+    # though it can't distinguish this from a failed platform and a dead peer.
     network, fleet, instances = settled_fleet(2)
     isolated = instances[1 - kept]
     cut_between(network, {instances[kept]}, {isolated})
@@ -176,9 +174,9 @@
 
 
 def test_a_pair_that_is_cut_keeps_one_side() -> None:
-    # The link between two instances fails; the platform sees both, so no
-    # list will ever help. The longer-standing one goes on, by its extra half
-    # vote; without it both would stand still.
+    # The link between two instances fails; the platform reaches both, so no
+    # list helps. The longer-standing one continues by its extra half vote;
+    # without it both would stop.
     network, fleet, instances = settled_fleet(2)
     cut_between(network, {instances[0]}, {instances[1]})
     network.run_for(10.0)
@@ -189,9 +187,9 @@
 
 
 def test_a_pair_without_the_platform_stops_when_one_dies() -> None:
-    # The platform is down, then one of two instances is killed. The survivor
-    # can't know whether it is the isolated one, so it stops until the list
-    # is back. While both live, they need no platform.
+    # The platform fails, then one of two instances is killed. The other can't
+    # know whether it is isolated, so it stops until the list is back. While
+    # both are alive, they need no platform.
     network, fleet, instances = settled_fleet(2)
     fleet.platform_up = False
     network.run_for(60.0)
@@ -204,8 +202,8 @@
 
 
 def test_a_majority_needs_no_platform() -> None:
-    # The platform is down for long while instances die one by one. Three
-    # need no list: a majority removes the dead one and goes on.
+    # The platform is down for long when one of three instances is killed. They
+    # need no list: a majority removes the dead one and continues.
     network, fleet, instances = settled_fleet(3)
     fleet.platform_up = False
     network.run_for(60.0)
@@ -214,9 +212,9 @@
 
 
 def test_a_restart_remembers_nothing() -> None:
-    # A process is killed and started again at the same address in no time.
-    # The list never changes. The new process must not be taken for the old
-    # one, or it would hold rights that nobody granted it.
+    # A process is killed and restarted at once at the same address, and the
+    # list never changes. The new process must not be taken for the old one,
+    # or it would hold rights that nobody granted it.
     _, fleet, instances = settled_fleet(3)
     address = instances[1].self_id.address
     fleet.kill(instances[1], listed=True)
@@ -226,9 +224,9 @@
 
 
 def test_a_mass_restart_founds_a_new_epoch() -> None:
-    # Every instance is killed and restarted within a second. Nobody knows
-    # the last view; the new one must be later than it all the same, and must
-    # not begin before the leases of the old one have ended.
+    # Every instance is killed and restarted within a second, so nobody knows
+    # the last view. The new one must still be later than it, and must not
+    # begin before the leases of the old one have expired.
     network, fleet, _ = settled_fleet(5)
     before = fleet.agreed("a")
     assert before is not None
@@ -242,9 +240,9 @@
 
 
 def test_lists_that_differ_found_one_view() -> None:
-    # A data centre starts up. One reader's copy of the list lags by three
-    # seconds more than the other's, so for a while each sees different
-    # instances, and the first sees itself alone.
+    # A data centre starts. One instance's copy of the list lags three seconds
+    # more than the other's, so for a while their lists differ, and the first
+    # sees only itself.
     network = networks.Network(seed=4)
     fleet = fleets.Fleet(network=network)
     fleet.start("a", "a-0:7000", 3.5)
@@ -255,8 +253,8 @@
 
 
 def test_a_one_way_cut_is_healed() -> None:
-    # One member hears nobody, but everybody hears it. Its heartbeats arrive,
-    # so it isn't silent; but no answer reaches it and its lease ends.
+    # One member receives nothing, but its messages arrive. Its heartbeats
+    # show it alive, but no answer reaches it and its lease expires.
     network, fleet, instances = settled_fleet(3)
     deaf = instances[2].self_id.address
     network.is_cut = lambda one, other: other.address == deaf
@@ -267,8 +265,8 @@
 
 
 def test_loss_doubling_and_delay_keep_one_view() -> None:
-    # A bad switch loses a tenth of all messages, doubles a tenth and holds
-    # some back for a quarter of a second, for minutes.
+    # For minutes a faulty switch loses a tenth of all messages, duplicates a
+    # tenth and delays some by a quarter of a second.
     network = networks.Network(
         seed=5, loss=0.1, doubling=0.1, delay_seconds=(0.001, 0.25)
     )
@@ -280,9 +278,8 @@
 
 
 def test_a_suspect_is_reported_before_it_is_removed() -> None:
-    # The connection to a member goes silent for good while a new one would
-    # work. The transport learns of it in time to replace the connection, and
-    # the member stays.
+    # The connection to a member is dead while a new one would work. The
+    # transport is told in time to replace it, and the member stays.
     network, fleet, instances = settled_fleet(3)
     silent = next(one for one in instances if not one.views.is_steward)
     steward = steward_of(fleet)
@@ -298,8 +295,8 @@
 
 def test_a_late_renewal_does_not_prolong_a_lease() -> None:
     # Each message takes 0.7 s for a while. Counted from the arrival of the
-    # renewal, the lease would outlast what the steward has written down, and
-    # the member's rights would move while it still uses them.
+    # renewal, the lease would outlast the leader's record of it, and the
+    # member's rights would move while it still uses them.
     network, _, instances = settled_fleet(3)
     member = next(one for one in instances if not one.views.is_steward)
     network.delay_seconds = (0.7, 0.7)
@@ -310,11 +307,10 @@
 
 
 def test_a_change_right_after_an_election_waits_for_old_leases() -> None:
-    # The steward's messages no longer reach three members, while theirs
-    # reach it, so it removes nobody. A new instance waits beside the three.
-    # As soon as they have a new steward, it takes the new one in; it knows
-    # nothing of the lease that the old one gave its last follower, and none
-    # may be left.
+    # The leader's messages no longer reach three members, while theirs reach
+    # it, so it removes nobody. The three elect a new leader, which at once
+    # admits a waiting instance. It doesn't know the lease that the old leader
+    # granted its last follower, so that lease must have expired.
     network, fleet, instances = settled_fleet(5)
     steward = steward_of(fleet)
     fellow = next(one for one in instances if one is not steward)
@@ -334,9 +330,9 @@
 
 
 def test_a_candidate_is_refused_while_the_steward_is_promised() -> None:
-    # A member that was cut off from the steward alone asks the others to
-    # elect it. They still hear the steward and have promised it to follow
-    # nobody else; two stewards would change the view twice.
+    # A member that is partitioned from the leader alone asks the others to
+    # elect it. They still hear the leader and have promised to follow nobody
+    # else; two leaders would change the view twice.
     network, fleet, instances = settled_fleet(5)
     steward = steward_of(fleet)
     candidate, voter = (one for one in instances[:3] if one is not steward)
@@ -355,9 +351,9 @@
 
 
 def test_a_change_without_its_steward_is_finished() -> None:
-    # A member leaves; all accept the next view, and the steward is killed
-    # before it tells anyone that it is decided. It may have told one that
-    # nobody sees, so the next steward has to finish this change and no other.
+    # A member leaves; all accept the next view, and the leader is killed
+    # before it reports the decision. It may have told an unreachable instance,
+    # so the next leader has to complete this change and no other.
     network, fleet, instances = settled_fleet(5)
     steward = steward_of(fleet)
     leaver = next(one for one in instances if one is not steward)
@@ -382,8 +378,8 @@
 
 
 def test_an_unlisted_instance_is_not_taken_in() -> None:
-    # An instance asks to join before the list shows it. Were it taken in and
-    # left alone with the view, whoever reads the list would not find it.
+    # An instance asks to join before the list shows it. If it were admitted
+    # and then left alone in the view, no reader of the list would find it.
     network, fleet, _ = settled_fleet(3)
     hidden = fleet.start("a", "a-hidden:7000")
     fleet.set_listed("a-hidden:7000", "a", False)
@@ -394,8 +390,8 @@
 
 
 def test_many_join_in_few_changes() -> None:
-    # A data centre of three grows by twenty at once. One change per
-    # newcomer would stop everyone's rights twenty times.
+    # Twenty instances join a data centre of three at once. One change for each
+    # of them would stop everyone's rights twenty times.
     network, fleet, _ = settled_fleet(3)
     before = fleet.agreed("a")
     for index in range(20):
@@ -408,9 +404,9 @@
 
 @pytest.mark.parametrize("count", [1, 2, 3, 4, 5, 6, 7, 8, 9, 15])
 def test_a_quiet_data_centre_has_no_gap(count: int) -> None:
-    # Nothing fails, yet an instance's lease ends for a moment now and then:
-    # heartbeats and the promises behind them come too slowly for the leases
-    # that they renew, and it depends on their phases whether that shows.
+    # Without any fault, leases expired briefly when heartbeats and the
+    # promises that they renew came too slowly for the leases, depending on
+    # their phases.
     network, fleet, instances = settled_fleet(count)
     for _ in range(300):
         network.run_for(0.1)
@@ -419,8 +415,8 @@
 
 
 def test_subscribers_hear_of_the_end() -> None:
-    # A part that works on a right has to stop when the lease ends, also when
-    # nobody asks.
+    # A component that acts on a right has to stop when the lease expires, also
+    # when it doesn't query it.
     network, fleet, instances = settled_fleet(3)
     heard: list[rights.View | None] = []
     instances[2].views.subscribe(heard.append)
@@ -433,9 +429,9 @@
 
 
 def test_other_data_centres_learn_of_a_restart() -> None:
-    # An instance in one data centre is replaced. The others send it messages
-    # by its incarnation, so they have to hear of the new one, without
-    # talking to every instance of the fleet.
+    # An instance in one data centre is replaced. The others address it by its
+    # incarnation, so they have to learn of the new one without contacting
+    # every instance of the fleet.
     network = networks.Network(seed=6)
     fleet = fleets.Fleet(network=network)
     for data_centre in "abc":
--- a/tests/coordination/test_views_walk.py
+++ b/tests/coordination/test_views_walk.py
@@ -9,11 +9,11 @@
 
 @pytest.mark.parametrize("seed", range(16))
 def test_no_walk_of_faults_makes_two_holders(seed: int) -> None:
-    # Kills, restarts, pauses with either kind of wake-up, cuts of all kinds,
-    # isolation, leaves, platform outages, loss, doubling and delay come in
-    # any order, several at once, and lists differ from reader to reader. At
-    # every delivery and after every timer, all valid views must be one; and
-    # when the faults are over, everyone must be in it.
+    # Kills, restarts, pauses with either order of resumption, partitions of
+    # all kinds, isolation, leaves, platform outages, loss, duplication and
+    # delay occur in any order, several at once, and lists differ between
+    # readers. At every delivery and after every timer all valid views must be
+    # the same one, and after the faults everyone must be in it.
     walk = walks.Walk(seed=seed, count=2 + seed % 6)
     for _ in range(STEPS):
         walk.step()
