--- a/src/boragefold/coordination/directory.py
+++ b/src/boragefold/coordination/directory.py
@@ -50,8 +50,8 @@
     def start(self) -> None:
         """Start the periodic exchanges."""
         for period_seconds, callback in (
-            (FAR_SECONDS, self._exchange_far),
-            (NEAR_SECONDS, self._exchange_near),
+            (FAR_SECONDS, self._gossip_remote),
+            (NEAR_SECONDS, self._gossip_local),
         ):
             self._timers.every(
                 period_seconds=period_seconds,
@@ -134,13 +134,13 @@
             for data_centre, view in sorted(self.views().items())
         )
 
-    def _exchange_far(self) -> None:
+    def _gossip_remote(self) -> None:
         view = self._state.view
         others = self._listing.others()
         if view is None or not others:
             return
-        speakers = {*view.members[:SPEAKERS], self._state.steward}
-        if self._state.self_id not in speakers:
+        senders = {*view.members[:SPEAKERS], self._state.steward}
+        if self._state.self_id not in senders:
             return
         data_centre = self._random.choice(sorted(others))
         address = self._random.choice(others[data_centre])
@@ -149,16 +149,16 @@
             body=self._probe(),
         )
 
-    def _exchange_near(self) -> None:
+    def _gossip_local(self) -> None:
         view = self._state.view
         if view is None:
             return
-        fellows = [
+        peers = [
             member for member in view.members if member != self._state.self_id
         ]
-        if fellows:
+        if peers:
             self._link.send(
-                to=self._random.choice(fellows),
+                to=self._random.choice(peers),
                 body=self._probe(),
             )
 
--- a/src/boragefold/coordination/election.py
+++ b/src/boragefold/coordination/election.py
@@ -51,11 +51,11 @@
         self._random = random_source
         self._on_victory = on_victory
         self._ballot = messages.NO_BALLOT
-        self._ends: dict[ids.InstanceId, float] = {}
+        self._promise_ends: dict[ids.InstanceId, float] = {}
         self._accepted: list[tuple[messages.Ballot, rights.View]] = []
         self._dead: frozenset[ids.InstanceId] | None = None
         self._highest_round = 0
-        self._next_seconds = 0.0
+        self._next_try_seconds = 0.0
         self.running = False
 
     def tick(self) -> None:
@@ -68,7 +68,7 @@
             return
         dead = self._inquiry.verified_dead()
         voters = quorum.electorate(view, dead or ())
-        if state.self_id not in voters or now_seconds < self._next_seconds:
+        if state.self_id not in voters or now_seconds < self._next_try_seconds:
             return
         wait_seconds = voters.index(state.self_id) * RANK_SECONDS
         if now_seconds >= state.promise_until_seconds + wait_seconds:
@@ -88,9 +88,9 @@
             self._highest_round, state.self_id.incarnation
         )
         self._dead = self._inquiry.verified_dead()
-        self._ends = {}
+        self._promise_ends = {}
         self._accepted = []
-        self._next_seconds = now_seconds + RETRY_SECONDS * (
+        self._next_try_seconds = now_seconds + RETRY_SECONDS * (
             1 + self._random.random()
         )
         self.running = True
@@ -101,7 +101,7 @@
         for voter in quorum.electorate(view, self._dead or ()):
             if voter != state.self_id:
                 self._link.send(to=voter, body=prepare)
-        self._conclude()
+        self._win_if_quorum()
 
     def on_promise(
         self, sender: ids.InstanceId, promise: messages.Promise
@@ -117,13 +117,14 @@
             or promise.round != self._ballot.round
         ):
             return
-        self._ends[sender] = promise.echo_seconds + quorum.shortened_seconds(
-            quorum.PREPARE_SECONDS
+        self._promise_ends[sender] = (
+            promise.echo_seconds
+            + quorum.shortened_seconds(quorum.PREPARE_SECONDS)
         )
         if promise.accepted is not None:
             successor = rights.View(*promise.accepted)
             self._accepted.append((promise.accepted_ballot, successor))
-        self._conclude()
+        self._win_if_quorum()
 
     def note_round(self, round_number: int) -> None:
         """Record a round that the next ballot has to exceed.
@@ -132,7 +133,7 @@
         """
         self._highest_round = max(self._highest_round, round_number)
 
-    def _conclude(self) -> None:
+    def _win_if_quorum(self) -> None:
         # This instance promises itself its ballot only when it has won. If it
         # did so at the start, its ballot would rise with each failed election
         # during a partition, and it would refuse the leader afterwards.
@@ -145,7 +146,7 @@
             return
         now_seconds = state.now_seconds()
         ends = {
-            **self._ends,
+            **self._promise_ends,
             state.self_id: now_seconds + quorum.PREPARE_SECONDS,
         }
         alone_until_seconds = state.alone_until_seconds
--- a/src/boragefold/coordination/founding.py
+++ b/src/boragefold/coordination/founding.py
@@ -62,11 +62,11 @@
             return
         now_seconds = self._state.now_seconds()
         if self._proposal is None or self._proposal.view.members != members:
-            self._proposal = self._new_proposal(members)
+            self._proposal = self._create_proposal(members)
         elif now_seconds - self._proposal.sent_seconds < RESEND_SECONDS:
             return
         self._send(self._proposal)
-        self._conclude()
+        self._install_if_agreed()
 
     def on_foundation(
         self, sender: ids.InstanceId, foundation: messages.Foundation
@@ -106,7 +106,7 @@
         proposal.ends[sender] = ack.echo_seconds + quorum.shortened_seconds(
             HOLD_SECONDS
         )
-        self._conclude()
+        self._install_if_agreed()
 
     def _candidates(self) -> tuple[ids.InstanceId, ...] | None:
         state = self._state
@@ -128,7 +128,9 @@
         members = sorted([state.self_id, *(one.sender for one in answers)])
         return tuple(members) if members[0] == state.self_id else None
 
-    def _new_proposal(self, members: tuple[ids.InstanceId, ...]) -> Proposal:
+    def _create_proposal(
+        self, members: tuple[ids.InstanceId, ...]
+    ) -> Proposal:
         answers = self._inquiry.answers() or ()
         heard_epoch = max(
             (one.standing.highest_id.epoch for one in answers), default=0
@@ -159,7 +161,7 @@
             if member != state.self_id:
                 self._link.send(to=member, body=foundation)
 
-    def _conclude(self) -> None:
+    def _install_if_agreed(self) -> None:
         proposal = self._proposal
         if proposal is None:
             return
--- a/src/boragefold/coordination/inquiry.py
+++ b/src/boragefold/coordination/inquiry.py
@@ -43,7 +43,7 @@
         self._link = peer_link
         self._state = state
         self._listing = listing
-        self._asked_seconds = float("-inf")
+        self._last_query_seconds = float("-inf")
         self._answers: dict[str, Answer] = {}
         self._heard_seconds: dict[str, float] = {}
         self._replaced_since: dict[ids.InstanceId, float] = {}
@@ -55,9 +55,9 @@
         if uncovered_seconds < ASK_AFTER_SECONDS:
             if self._state.view is not None:
                 return
-        if now_seconds - self._asked_seconds < ASK_PERIOD_SECONDS:
+        if now_seconds - self._last_query_seconds < ASK_PERIOD_SECONDS:
             return
-        self._asked_seconds = now_seconds
+        self._last_query_seconds = now_seconds
         for address in self.addresses():
             self.ask(address)
 
--- a/src/boragefold/coordination/leadership.py
+++ b/src/boragefold/coordination/leadership.py
@@ -25,9 +25,9 @@
         self._link = peer_link
         self._state = state
         self._counters = counters
-        self._ends: dict[ids.InstanceId, float] = {}
-        self._granted: dict[ids.InstanceId, float] = {}
-        self._relayed: dict[ids.InstanceId, float] = {}
+        self._promise_ends: dict[ids.InstanceId, float] = {}
+        self._granted_until_seconds: dict[ids.InstanceId, float] = {}
+        self._relayed_until_seconds: dict[ids.InstanceId, float] = {}
         self.dead: frozenset[ids.InstanceId] = frozenset()
         self.ballot = messages.NO_BALLOT
         self.leading = False
@@ -51,7 +51,7 @@
         self.dead = dead
         self.leading = True
         self.granting = True
-        self._ends = dict(ends)
+        self._promise_ends = dict(ends)
         self._state.steward = self._state.self_id
 
     def end(self) -> None:
@@ -70,7 +70,7 @@
         return quorum.led_until_seconds(
             view,
             steward=self._state.self_id,
-            ends=self._ends,
+            ends=self._promise_ends,
             alone_until_seconds=self._state.alone_until_seconds,
             dead=self.dead,
         )
@@ -105,7 +105,9 @@
         end_seconds = sent_seconds + quorum.shortened_seconds(
             quorum.PROMISE_SECONDS
         )
-        self._ends[voter] = max(self._ends.get(voter, 0.0), end_seconds)
+        self._promise_ends[voter] = max(
+            self._promise_ends.get(voter, 0.0), end_seconds
+        )
 
     def renew_own(self) -> None:
         """Renew the promise and the lease that this instance gives itself."""
@@ -133,8 +135,9 @@
             lease_seconds = min(
                 quorum.LEASE_SECONDS, self.led_until_seconds() - now_seconds
             )
-            self._granted[to] = max(
-                self._granted.get(to, 0.0), now_seconds + lease_seconds
+            self._granted_until_seconds[to] = max(
+                self._granted_until_seconds.get(to, 0.0),
+                now_seconds + lease_seconds,
             )
         self._link.send(
             to=to,
@@ -157,7 +160,10 @@
         :param member: the member
         :return: whether the lease that this instance granted has expired
         """
-        return self._granted.get(member, 0.0) <= self._state.now_seconds()
+        return (
+            self._granted_until_seconds.get(member, 0.0)
+            <= self._state.now_seconds()
+        )
 
     def note_relayed(
         self, member: ids.InstanceId, left_seconds: float
@@ -167,7 +173,9 @@
         :param member: the member that has the lease
         :param left_seconds: remaining time when the relay reported it
         """
-        self._relayed[member] = self._state.now_seconds() + left_seconds
+        self._relayed_until_seconds[member] = (
+            self._state.now_seconds() + left_seconds
+        )
 
     def relayed_has_ended(
         self, member: ids.InstanceId, *, relay_stopped: bool
@@ -184,13 +192,13 @@
             return True
         if relay_stopped:
             now_seconds = self._state.now_seconds()
-            return self._relayed.get(member, 0.0) <= now_seconds
+            return self._relayed_until_seconds.get(member, 0.0) <= now_seconds
         return self.has_ended(relay)
 
     def forget_granted(self) -> None:
         """Discard the leases of a view that has ended everywhere."""
-        self._granted.clear()
-        self._relayed.clear()
+        self._granted_until_seconds.clear()
+        self._relayed_until_seconds.clear()
         self.dead = frozenset()
 
 
--- a/src/boragefold/coordination/listing.py
+++ b/src/boragefold/coordination/listing.py
@@ -37,11 +37,11 @@
 
     def __init__(self, *, self_id: ids.InstanceId) -> None:
         self._self_id = self_id
-        self._seen_seconds = float("-inf")
+        self._read_seconds = float("-inf")
         self._steady_since_seconds = float("inf")
-        self._first_seconds: dict[str, float] = {}
-        self._last_seconds: dict[str, float] = {}
-        self._absent_seconds: dict[str, float] = {}
+        self._first_shown_seconds: dict[str, float] = {}
+        self._last_shown_seconds: dict[str, float] = {}
+        self._missing_since_seconds: dict[str, float] = {}
         self._data_centres: dict[str, str] = {}
         self.entries: tuple[ListEntry, ...] = ()
 
@@ -57,14 +57,14 @@
             self._steady_since_seconds = float("inf")
         elif has_gap or self._steady_since_seconds == float("inf"):
             self._steady_since_seconds = now_seconds
-        self._seen_seconds = now_seconds
+        self._read_seconds = now_seconds
         shown = {entry.address for entry in self.entries}
         for address in shown:
-            self._first_seconds.setdefault(address, now_seconds)
-            self._last_seconds[address] = now_seconds
-            self._absent_seconds.pop(address, None)
-        for address in self._last_seconds.keys() - shown:
-            self._absent_seconds.setdefault(address, now_seconds)
+            self._first_shown_seconds.setdefault(address, now_seconds)
+            self._last_shown_seconds[address] = now_seconds
+            self._missing_since_seconds.pop(address, None)
+        for address in self._last_shown_seconds.keys() - shown:
+            self._missing_since_seconds.setdefault(address, now_seconds)
         self._data_centres.update(
             (entry.address, entry.data_centre) for entry in self.entries
         )
@@ -75,7 +75,7 @@
 
         :return: a reading of the clock
         """
-        return self._seen_seconds + FRESH_SECONDS
+        return self._read_seconds + FRESH_SECONDS
 
     def is_steady(self, now_seconds: float) -> bool:
         """Return whether the lists have long shown this instance without gap.
@@ -140,7 +140,7 @@
         """
         if now_seconds > self.fresh_until_seconds() or self.shows(address):
             return False
-        absent_seconds = now_seconds - self._absent_seconds.get(
+        absent_seconds = now_seconds - self._missing_since_seconds.get(
             address, known_since_seconds
         )
         if self.settled(address):
@@ -153,27 +153,28 @@
         :param address: the address
         :return: whether its absence means that it is gone
         """
-        if address not in self._first_seconds:
+        if address not in self._first_shown_seconds:
             return False
         shown_for_seconds = (
-            self._last_seconds[address] - self._first_seconds[address]
+            self._last_shown_seconds[address]
+            - self._first_shown_seconds[address]
         )
         return shown_for_seconds >= SETTLED_SECONDS
 
     def _is_dropped(self, address: str, now_seconds: float) -> bool:
-        absent_seconds = self._absent_seconds.get(address, float("inf"))
+        absent_seconds = self._missing_since_seconds.get(address, float("inf"))
         return now_seconds - absent_seconds >= MATURE_SECONDS
 
     def _forget(self, now_seconds: float) -> None:
         forgotten = [
             address
-            for address, since_seconds in self._absent_seconds.items()
+            for address, since_seconds in self._missing_since_seconds.items()
             if now_seconds - since_seconds >= FORGET_SECONDS
         ]
         for address in forgotten:
-            del self._absent_seconds[address]
-            del self._first_seconds[address]
-            del self._last_seconds[address]
+            del self._missing_since_seconds[address]
+            del self._first_shown_seconds[address]
+            del self._last_shown_seconds[address]
             del self._data_centres[address]
 
 
--- a/src/boragefold/coordination/load_budget.py
+++ b/src/boragefold/coordination/load_budget.py
@@ -71,7 +71,7 @@
         self._stock = rates.stock
         self._counters = counters
         self._callbacks: list[Callable[[], None]] = []
-        self._stock.subscribe(self._woken)
+        self._stock.subscribe(self._on_refill)
 
     def update(self, store: documents.Store) -> None:
         """Apply the published limits.
@@ -132,7 +132,7 @@
         """
         self._callbacks.append(callback)
 
-    def _woken(self, workspace: str) -> None:
+    def _on_refill(self, workspace: str) -> None:
         if workspace in (LOADS, IN_FLIGHT):
             for callback in self._callbacks:
                 callback()
--- a/src/boragefold/coordination/membership.py
+++ b/src/boragefold/coordination/membership.py
@@ -49,9 +49,9 @@
         self._counters = counters
         self._on_suspect = on_suspect
         self._echo_seconds = 0.0
-        self._beat_seconds = float("-inf")
-        self._answered_seconds = float("-inf")
-        self._joined_seconds = float("-inf")
+        self._heartbeat_sent_seconds = float("-inf")
+        self._heartbeat_answered_seconds = float("-inf")
+        self._join_sent_seconds = float("-inf")
         self._suspected = False
 
     def tick(self) -> None:
@@ -61,15 +61,19 @@
         if state.is_outdated() or steward is None or steward == state.self_id:
             return
         now_seconds = state.now_seconds()
-        since_seconds = now_seconds - self._beat_seconds
-        answered = self._answered_seconds >= self._beat_seconds
+        since_seconds = now_seconds - self._heartbeat_sent_seconds
+        answered = (
+            self._heartbeat_answered_seconds >= self._heartbeat_sent_seconds
+        )
         if since_seconds >= (
-            self._period_seconds() if answered else UNANSWERED_SECONDS
+            self._heartbeat_period_seconds()
+            if answered
+            else UNANSWERED_SECONDS
         ):
-            self._beat(self._beat_target(steward, answered))
-        silent_seconds = now_seconds - self._answered_seconds
+            self._send_heartbeat(self._heartbeat_target(steward, answered))
+        silent_seconds = now_seconds - self._heartbeat_answered_seconds
         if silent_seconds >= rosters.SUSPECT_SECONDS:
-            self._suspect(steward)
+            self._report_suspect(steward)
 
     def on_renewal(
         self, sender: ids.InstanceId, renewal: messages.Renewal
@@ -85,10 +89,10 @@
             self._refuse(sender)
             return
         if renewal.echo_seconds <= 0:
-            self._beat(sender)
+            self._send_heartbeat(sender)
             return
-        if renewal.echo_seconds >= self._beat_seconds:
-            self._answered_seconds = state.now_seconds()
+        if renewal.echo_seconds >= self._heartbeat_sent_seconds:
+            self._heartbeat_answered_seconds = state.now_seconds()
         if renewal.lease_seconds > 0:
             lease_seconds = quorum.shortened_seconds(renewal.lease_seconds)
             state.take_lease(renewal.echo_seconds + lease_seconds)
@@ -104,8 +108,8 @@
         state = self._state
         if relayed.ballot != state.promised:
             return
-        if relayed.echo_seconds >= self._beat_seconds:
-            self._answered_seconds = state.now_seconds()
+        if relayed.echo_seconds >= self._heartbeat_sent_seconds:
+            self._heartbeat_answered_seconds = state.now_seconds()
         lease_seconds = quorum.shortened_seconds(relayed.lease_seconds)
         state.take_lease(relayed.echo_seconds + lease_seconds)
 
@@ -162,7 +166,9 @@
         state.steward = sender
         state.accept(ballot, successor)
         now_seconds = state.now_seconds()
-        self._beat_seconds = self._answered_seconds = now_seconds
+        self._heartbeat_sent_seconds = self._heartbeat_answered_seconds = (
+            now_seconds
+        )
         ack = messages.ChangeAck(
             state.view_id(), change.round, now_seconds, self._relaying.left()
         )
@@ -190,7 +196,7 @@
             state.release(install.ballot)
         elif install.leading and quorum.view_id(view) == state.view_id():
             if self._follow(sender, install.ballot, install.sent_seconds):
-                self._beat(sender)
+                self._send_heartbeat(sender)
 
     def on_standing(
         self, sender: ids.InstanceId, standing: messages.Standing
@@ -217,8 +223,8 @@
         ):
             return
         now_seconds = state.now_seconds()
-        if now_seconds - self._joined_seconds >= JOIN_SECONDS:
-            self._joined_seconds = now_seconds
+        if now_seconds - self._join_sent_seconds >= JOIN_SECONDS:
+            self._join_sent_seconds = now_seconds
             to = standing.steward or sender
             if to != state.self_id:
                 self._link.send(to=to, body=messages.Join())
@@ -237,7 +243,7 @@
             self._stewardship.step_down()
         if is_new:
             self._echo_seconds = 0.0
-            self._answered_seconds = state.now_seconds()
+            self._heartbeat_answered_seconds = state.now_seconds()
         state.steward = sender
         self._suspected = False
         self._echo_seconds = max(self._echo_seconds, sent_seconds)
@@ -248,21 +254,21 @@
         refusal = messages.Refusal(state.view_id(), state.promised)
         self._link.send(to=sender, body=refusal)
 
-    def _beat(self, steward: ids.InstanceId) -> None:
+    def _send_heartbeat(self, steward: ids.InstanceId) -> None:
         state = self._state
-        self._beat_seconds = state.now_seconds()
+        self._heartbeat_sent_seconds = state.now_seconds()
         self._link.send(
             to=steward,
             body=messages.Beat(
                 view_id=state.view_id(),
                 round=state.promised.round,
                 echo_seconds=self._echo_seconds,
-                sent_seconds=self._beat_seconds,
+                sent_seconds=self._heartbeat_sent_seconds,
                 quiet=self._relaying.quiet(),
             ),
         )
 
-    def _beat_target(
+    def _heartbeat_target(
         self, steward: ids.InstanceId, answered: bool
     ) -> ids.InstanceId:
         # An unanswered heartbeat goes to the leader, as the relay may be dead.
@@ -270,13 +276,13 @@
         relay = view and quorum.relay_of(view, self._state.self_id)
         return relay if relay and answered else steward
 
-    def _period_seconds(self) -> float:
+    def _heartbeat_period_seconds(self) -> float:
         view = self._state.view
         if view is None or self._state.self_id in quorum.electorate(view):
             return BEAT_SECONDS
         return SLOW_BEAT_SECONDS
 
-    def _suspect(self, steward: ids.InstanceId) -> None:
+    def _report_suspect(self, steward: ids.InstanceId) -> None:
         if not self._suspected:
             self._suspected = True
             self._counters.add("view_suspects", "steward_silent")
--- a/src/boragefold/coordination/quorum.py
+++ b/src/boragefold/coordination/quorum.py
@@ -82,10 +82,10 @@
     """
     if len(view.members) < RELAYED_MEMBERS or member not in view.members:
         return None
-    place = view.members.index(member)
-    if place < MAX_VOTERS:
+    position = view.members.index(member)
+    if position < MAX_VOTERS:
         return None
-    return view.members[1 + place % (MAX_VOTERS - 1)]
+    return view.members[1 + position % (MAX_VOTERS - 1)]
 
 
 def agreed(
--- a/src/boragefold/coordination/relaying.py
+++ b/src/boragefold/coordination/relaying.py
@@ -25,8 +25,8 @@
         self._state = state
         self._view_id = messages.NO_VIEW
         self._since_seconds = 0.0
-        self._heard: dict[ids.InstanceId, float] = {}
-        self._granted: dict[ids.InstanceId, float] = {}
+        self._heard_seconds: dict[ids.InstanceId, float] = {}
+        self._granted_until_seconds: dict[ids.InstanceId, float] = {}
 
     def on_beat(self, sender: ids.InstanceId, beat: messages.Beat) -> None:
         """Answer the heartbeat of a member that this instance relays to.
@@ -35,19 +35,20 @@
         :param beat: its heartbeat, for the current view
         """
         state = self._state
-        view = self._current()
+        view = self._current_view()
         if view is None or quorum.relay_of(view, sender) != state.self_id:
             return
         now_seconds = state.now_seconds()
-        self._heard[sender] = now_seconds
+        self._heard_seconds[sender] = now_seconds
         if beat.round != state.promised.round or not state.covered():
             return
         lease_seconds = min(
             quorum.LEASE_SECONDS,
             quorum.shortened_seconds(state.lease_left_seconds()),
         )
-        self._granted[sender] = max(
-            self._granted.get(sender, 0.0), now_seconds + lease_seconds
+        self._granted_until_seconds[sender] = max(
+            self._granted_until_seconds.get(sender, 0.0),
+            now_seconds + lease_seconds,
         )
         self._link.send(
             to=sender,
@@ -64,16 +65,18 @@
 
         :return: their positions in the view
         """
-        view = self._current()
+        view = self._current_view()
         if view is None:
             return ()
-        doubtful_seconds = self._state.now_seconds() - rosters.SUSPECT_SECONDS
+        suspect_before_seconds = (
+            self._state.now_seconds() - rosters.SUSPECT_SECONDS
+        )
         return tuple(
-            place
-            for place, member in enumerate(view.members)
+            position
+            for position, member in enumerate(view.members)
             if quorum.relay_of(view, member) == self._state.self_id
-            and self._heard.get(member, self._since_seconds)
-            <= doubtful_seconds
+            and self._heard_seconds.get(member, self._since_seconds)
+            <= suspect_before_seconds
         )
 
     def left(self) -> tuple[tuple[int, float], ...]:
@@ -81,23 +84,23 @@
 
         :return: positions in the view, and seconds
         """
-        view = self._current()
+        view = self._current_view()
         if view is None:
             return ()
         now_seconds = self._state.now_seconds()
         return tuple(
-            (place, self._granted[member] - now_seconds)
-            for place, member in enumerate(view.members)
-            if self._granted.get(member, 0.0) > now_seconds
+            (position, self._granted_until_seconds[member] - now_seconds)
+            for position, member in enumerate(view.members)
+            if self._granted_until_seconds.get(member, 0.0) > now_seconds
         )
 
-    def _current(self) -> rights.View | None:
+    def _current_view(self) -> rights.View | None:
         view_id = self._state.view_id()
         if view_id != self._view_id:
             self._view_id = view_id
             self._since_seconds = self._state.now_seconds()
-            self._heard.clear()
-            self._granted.clear()
+            self._heard_seconds.clear()
+            self._granted_until_seconds.clear()
         return self._state.view
 
 
--- a/src/boragefold/coordination/roster.py
+++ b/src/boragefold/coordination/roster.py
@@ -38,7 +38,7 @@
         self._leadership = leadership
         self._counters = counters
         self._on_suspect = on_suspect
-        self._heard: dict[ids.InstanceId, float] = {}
+        self._heard_seconds: dict[ids.InstanceId, float] = {}
         self._suspected: set[ids.InstanceId] = set()
         self._joining: dict[str, ids.InstanceId] = {}
         self._leaving: set[ids.InstanceId] = set()
@@ -52,7 +52,9 @@
         heard_seconds = self._state.now_seconds() - (
             quorum.LEASE_SECONDS - GRACE_SECONDS
         )
-        self._heard = {member: heard_seconds for member in self._suspected}
+        self._heard_seconds = {
+            member: heard_seconds for member in self._suspected
+        }
 
     def installed(self, view: rights.View) -> None:
         """Count every member of a new view as just heard.
@@ -60,7 +62,7 @@
         :param view: the view
         """
         now_seconds = self._state.now_seconds()
-        self._heard = {member: now_seconds for member in view.members}
+        self._heard_seconds = {member: now_seconds for member in view.members}
         self._joining = {
             address: joiner
             for address, joiner in self._joining.items()
@@ -73,7 +75,7 @@
 
         :param member: the member
         """
-        self._heard[member] = self._state.now_seconds()
+        self._heard_seconds[member] = self._state.now_seconds()
         self._suspected.discard(member)
 
     def hear_by_relay(
@@ -86,14 +88,14 @@
         :param quiet: positions of those that it hasn't heard for long
         """
         silent = set(quiet)
-        doubtful_seconds = self._state.now_seconds() - SUSPECT_SECONDS
-        for place, member in enumerate(view.members):
+        suspect_before_seconds = self._state.now_seconds() - SUSPECT_SECONDS
+        for position, member in enumerate(view.members):
             if quorum.relay_of(view, member) != relay:
                 continue
-            if place not in silent:
+            if position not in silent:
                 self.hear(member)
-            elif self._heard.get(member, 0.0) > doubtful_seconds:
-                self._heard[member] = doubtful_seconds
+            elif self._heard_seconds.get(member, 0.0) > suspect_before_seconds:
+                self._heard_seconds[member] = suspect_before_seconds
 
     def silent(self, view: rights.View) -> list[ids.InstanceId]:
         """List the members that are silent for long, and report new ones.
@@ -106,7 +108,8 @@
             member
             for member in view.members
             if member != self._state.self_id
-            and now_seconds - self._heard.get(member, 0.0) >= SUSPECT_SECONDS
+            and now_seconds - self._heard_seconds.get(member, 0.0)
+            >= SUSPECT_SECONDS
         ]
         for member in found:
             if member not in self._suspected:
@@ -139,7 +142,9 @@
         :param view: the current view
         :return: the remaining members in their order, then the joining ones
         """
-        staying = [one for one in view.members if not self._must_go(one)]
+        staying = [
+            one for one in view.members if not self._must_be_removed(one)
+        ]
         taken = {member.address for member in staying}
         joining = sorted(
             joiner
@@ -150,14 +155,14 @@
         )
         return (*staying, *joining)
 
-    def _must_go(self, member: ids.InstanceId) -> bool:
+    def _must_be_removed(self, member: ids.InstanceId) -> bool:
         if member in self._leaving or member in self._leadership.dead:
             return True
         if member == self._state.self_id:
             return False
         if self._inquiry.is_replaced(member):
             return True
-        silent_seconds = self._state.now_seconds() - self._heard.get(
+        silent_seconds = self._state.now_seconds() - self._heard_seconds.get(
             member, 0.0
         )
         return (
--- a/src/boragefold/coordination/stewardship.py
+++ b/src/boragefold/coordination/stewardship.py
@@ -44,7 +44,7 @@
         self._changes = changes
         self._counters = counters
         self._new_epoch = new_epoch
-        self._nudged_seconds = float("-inf")
+        self._requested_seconds = float("-inf")
 
     @property
     def leading(self) -> bool:
@@ -65,14 +65,14 @@
         self._leadership.begin(victory.ballot, victory.ends, victory.dead)
         self._roster.begin(view.members)
         if victory.dead:
-            successor = self._without(victory.dead, view)
+            successor = self._successor_without(victory.dead, view)
             self._changes.propose(successor, recovered=False)
         elif victory.successor is not None:
             self._changes.propose(victory.successor, recovered=True)
         else:
             self._leadership.renew_own()
-            self._nudged_seconds = float("-inf")
-            self._nudge(view)
+            self._requested_seconds = float("-inf")
+            self._request_heartbeats(view)
 
     def found(
         self, view: rights.View, ends: dict[ids.InstanceId, float]
@@ -106,7 +106,7 @@
         if self._changes.running:
             self._changes.tick()
             return
-        self._nudge(view)
+        self._request_heartbeats(view)
         self._change_if_due()
 
     def on_beat(self, sender: ids.InstanceId, beat: messages.Beat) -> None:
@@ -163,12 +163,12 @@
         if self._state.view is not None:
             self._changes.send_view(to, self._state.view)
 
-    def _nudge(self, view: rights.View) -> None:
+    def _request_heartbeats(self, view: rights.View) -> None:
         silent = self._roster.silent(view)
         now_seconds = self._state.now_seconds()
-        if now_seconds - self._nudged_seconds < NUDGE_SECONDS:
+        if now_seconds - self._requested_seconds < NUDGE_SECONDS:
             return
-        self._nudged_seconds = now_seconds
+        self._requested_seconds = now_seconds
         for member in silent:
             self._leadership.renew(member, 0.0)
 
@@ -188,7 +188,7 @@
                 recovered=False,
             )
 
-    def _without(
+    def _successor_without(
         self, dead: frozenset[ids.InstanceId], view: rights.View
     ) -> rights.View:
         # The dead members may have decided on a successor: a new epoch
--- a/src/boragefold/coordination/view_changes.py
+++ b/src/boragefold/coordination/view_changes.py
@@ -58,7 +58,7 @@
 
         :return: whether one is
         """
-        return self._current() is not None
+        return self._current_pending() is not None
 
     def propose(self, successor: rights.View, *, recovered: bool) -> None:
         """Propose a successor, and stop using the rights of this instance.
@@ -86,7 +86,7 @@
     def tick(self) -> None:
         """Resend the proposal if it is due, and complete it if possible."""
         self._resend()
-        self._conclude()
+        self._install_if_decided()
 
     def on_ack(self, sender: ids.InstanceId, ack: messages.ChangeAck) -> None:
         """Count a member that has accepted and stopped using its rights.
@@ -94,7 +94,7 @@
         :param sender: the member
         :param ack: its acknowledgement, for the current view
         """
-        pending = self._current()
+        pending = self._current_pending()
         view = self._state.view
         if (
             not self._leadership.holds()
@@ -105,12 +105,12 @@
             return
         self._roster.hear(sender)
         if sender not in pending.accepted:
-            for place, left_seconds in ack.relayed:
-                member = view.members[place]
+            for position, left_seconds in ack.relayed:
+                member = view.members[position]
                 self._leadership.note_relayed(member, left_seconds)
         pending.accepted.add(sender)
         pending.echoes[sender] = ack.sent_seconds
-        self._conclude()
+        self._install_if_decided()
 
     def send_view(
         self,
@@ -136,7 +136,7 @@
             ),
         )
 
-    def _current(self) -> Pending | None:
+    def _current_pending(self) -> Pending | None:
         # After a lost leadership and another election the view may differ.
         pending = self._pending
         if (
@@ -149,7 +149,7 @@
         return self._pending
 
     def _resend(self) -> None:
-        pending = self._current()
+        pending = self._current_pending()
         view = self._state.view
         now_seconds = self._state.now_seconds()
         if pending is None or view is None:
@@ -166,8 +166,8 @@
             if member not in pending.accepted:
                 self._link.send(to=member, body=change)
 
-    def _conclude(self) -> None:
-        pending = self._current()
+    def _install_if_decided(self) -> None:
+        pending = self._current_pending()
         view = self._state.view
         if pending is None or view is None:
             return
--- a/src/boragefold/coordination/view_router.py
+++ b/src/boragefold/coordination/view_router.py
@@ -72,27 +72,33 @@
         self._subscribe_all()
 
     def _subscribe_all(self) -> None:
-        self._on(messages.Greeting, self._on_greeting)
-        self._on(messages.Standing, self._on_standing)
-        self._on(
+        self._subscribe(messages.Greeting, self._on_greeting)
+        self._subscribe(messages.Standing, self._on_standing)
+        self._subscribe(
             messages.Join, lambda peer, _: self._stewardship.on_join(peer)
         )
-        self._on(messages.Leave, lambda peer, _: self._on_leave(peer))
-        self._on(messages.Install, self._membership.on_install)
-        self._on(messages.Foundation, self._founding.on_foundation)
-        self._on(messages.FoundationAck, self._founding.on_ack)
-        self._on_same_view(messages.Beat, self._on_beat)
-        self._on_same_view(messages.Renewal, self._membership.on_renewal)
-        self._on_same_view(messages.Relayed, self._membership.on_relayed)
-        self._on_same_view(messages.Prepare, self._membership.on_prepare)
-        self._on_same_view(messages.Promise, self._election.on_promise)
-        self._on_same_view(messages.Refusal, self._on_refusal)
-        self._on_same_view(messages.Change, self._membership.on_change)
-        self._on_same_view(messages.ChangeAck, self._changes.on_ack)
+        self._subscribe(messages.Leave, lambda peer, _: self._on_leave(peer))
+        self._subscribe(messages.Install, self._membership.on_install)
+        self._subscribe(messages.Foundation, self._founding.on_foundation)
+        self._subscribe(messages.FoundationAck, self._founding.on_ack)
+        self._subscribe_same_view(messages.Beat, self._on_beat)
+        self._subscribe_same_view(
+            messages.Renewal, self._membership.on_renewal
+        )
+        self._subscribe_same_view(
+            messages.Relayed, self._membership.on_relayed
+        )
+        self._subscribe_same_view(
+            messages.Prepare, self._membership.on_prepare
+        )
+        self._subscribe_same_view(messages.Promise, self._election.on_promise)
+        self._subscribe_same_view(messages.Refusal, self._on_refusal)
+        self._subscribe_same_view(messages.Change, self._membership.on_change)
+        self._subscribe_same_view(messages.ChangeAck, self._changes.on_ack)
         self._link.subscribe(messages.Digest, self._directory.on_digest)
         self._link.subscribe(messages.News, self._directory.on_news)
 
-    def _on(
+    def _subscribe(
         self,
         kind: type[Body],
         handler: Callable[[ids.InstanceId, Body], None],
@@ -107,7 +113,7 @@
 
         self._link.subscribe(kind, receive)
 
-    def _on_same_view(
+    def _subscribe_same_view(
         self,
         kind: type[OfView],
         handler: Callable[[ids.InstanceId, OfView], None],
@@ -124,7 +130,7 @@
             self._counters.add("view_messages_dropped", "other_view")
             self._send_standing(sender, 0.0)
 
-        self._on(kind, receive)
+        self._subscribe(kind, receive)
 
     def _on_greeting(
         self, sender: ids.InstanceId, greeting: messages.Greeting
--- a/src/boragefold/coordination/views.py
+++ b/src/boragefold/coordination/views.py
@@ -59,7 +59,7 @@
         self._counters = counters
         self._wall_clock_ms = wall_clock_ms
         self._subscribers: list[Callable[[rights.View | None], None]] = []
-        self._told: rights.View | None = None
+        self._notified_view: rights.View | None = None
         self._leaving = False
         self._started = False
         suspect = on_suspect or (lambda peer: None)
@@ -148,7 +148,7 @@
             directory=self._directory,
             counters=counters,
             is_leaving=lambda: self._leaving,
-            on_handled=self._tell,
+            on_handled=self._notify_subscribers,
         )
 
     @property
@@ -240,7 +240,7 @@
         else:
             self._founding.tick()
         self._inquiry.forget()
-        self._tell()
+        self._notify_subscribers()
 
     def _ask_to_leave(self) -> None:
         steward = self._state.steward
@@ -249,11 +249,11 @@
         elif steward is not None and not self._state.is_outdated():
             self._link.send(to=steward, body=messages.Leave())
 
-    def _tell(self) -> None:
+    def _notify_subscribers(self) -> None:
         view = self.valid_view()
-        if view == self._told:
+        if view == self._notified_view:
             return
-        self._told = view
+        self._notified_view = view
         self._counters.add("view_validity", "valid" if view else "ended")
         if view is None:
             logging.info("the lease on the view has expired")
--- a/tests/coordination/test_view_changes.py
+++ b/tests/coordination/test_view_changes.py
@@ -16,7 +16,7 @@
 MEMBERS = tuple(ids.InstanceId("a", f"a-{n}", str(n)) for n in range(9))
 
 
-class Steward:
+class Leader:
     """The first of some members, elected as the leader of their view."""
 
     def __init__(self, count: int) -> None:
@@ -75,69 +75,69 @@
     # the view. When the first is elected again, it must not resume its old
     # change: the result would be older than the view, and every later change
     # would fail.
-    steward = Steward(3)
-    steward.changes.propose(steward.view._replace(number=3), recovered=False)
-    steward.leadership.end()
-    later = steward.view._replace(number=4)
-    steward.state.install(later, messages.Ballot(3, "1"))
-    steward.lead(5)
-    assert not steward.changes.running
-    steward.changes.tick()
-    assert steward.state.accepted is None
+    leader = Leader(3)
+    leader.changes.propose(leader.view._replace(number=3), recovered=False)
+    leader.leadership.end()
+    later = leader.view._replace(number=4)
+    leader.state.install(later, messages.Ballot(3, "1"))
+    leader.lead(5)
+    assert not leader.changes.running
+    leader.changes.tick()
+    assert leader.state.accepted is None
 
 
 def test_a_silent_member_is_waited_for_until_its_lease_ends() -> None:
     # A member gets a lease and dies. A majority agrees to continue without
     # it, but it may use its rights until its lease has expired.
-    steward = Steward(3)
-    steward.leadership.renew(MEMBERS[2], 99.9)
-    steward.changes.propose(
-        steward.view._replace(number=3, members=MEMBERS[:2]), recovered=False
+    leader = Leader(3)
+    leader.leadership.renew(MEMBERS[2], 99.9)
+    leader.changes.propose(
+        leader.view._replace(number=3, members=MEMBERS[:2]), recovered=False
     )
-    steward.acknowledge(1)
-    assert not steward.has_changed()
-    steward.network.clock.move_to(102.01)
-    steward.changes.tick()
-    assert steward.has_changed()
+    leader.acknowledge(1)
+    assert not leader.has_changed()
+    leader.network.clock.move_to(102.01)
+    leader.changes.tick()
+    assert leader.has_changed()
 
 
 def test_a_silent_member_is_waited_for_until_a_relayed_lease_ends() -> None:
     # A member gets its leases from a relay and dies. The leader granted it
     # none, but the relay did, and reports the remaining time.
-    steward = Steward(9)
-    relay = quorum.relay_of(steward.view, MEMBERS[8])
+    leader = Leader(9)
+    relay = quorum.relay_of(leader.view, MEMBERS[8])
     assert relay == MEMBERS[1]
-    steward.leadership.renew(MEMBERS[1], 99.9)
-    steward.changes.propose(
-        steward.view._replace(number=3, members=MEMBERS[:8]), recovered=False
+    leader.leadership.renew(MEMBERS[1], 99.9)
+    leader.changes.propose(
+        leader.view._replace(number=3, members=MEMBERS[:8]), recovered=False
     )
     for member in range(2, 8):
-        steward.acknowledge(member)
-    steward.acknowledge(1, relayed=((8, 1.5),))
-    assert not steward.has_changed()
-    steward.network.clock.move_to(101.51)
-    steward.changes.tick()
-    assert steward.has_changed()
+        leader.acknowledge(member)
+    leader.acknowledge(1, relayed=((8, 1.5),))
+    assert not leader.has_changed()
+    leader.network.clock.move_to(101.51)
+    leader.changes.tick()
+    assert leader.has_changed()
 
 
 def test_a_replaced_relay_leaves_leases_behind() -> None:
     # A relay is killed and its address has a new process already, so it is
     # certainly dead and need not be waited for. A member that it granted a
     # lease last is partitioned, but alive.
-    steward = Steward(9)
-    steward.leadership.renew(MEMBERS[1], 99.9)
+    leader = Leader(9)
+    leader.leadership.renew(MEMBERS[1], 99.9)
     standing = messages.Standing(
         100.5, messages.NO_VIEW, messages.NO_VIEW, False, None
     )
-    reborn = MEMBERS[1]._replace(incarnation="new")
-    steward.inquiry.note_answer(reborn, standing)
-    steward.changes.propose(
-        steward.view._replace(number=3, members=MEMBERS[:1] + MEMBERS[2:8]),
+    restarted = MEMBERS[1]._replace(incarnation="new")
+    leader.inquiry.note_answer(restarted, standing)
+    leader.changes.propose(
+        leader.view._replace(number=3, members=MEMBERS[:1] + MEMBERS[2:8]),
         recovered=False,
     )
     for member in range(2, 8):
-        steward.acknowledge(member)
-    assert not steward.has_changed()
-    steward.network.clock.move_to(102.01)
-    steward.changes.tick()
-    assert steward.has_changed()
+        leader.acknowledge(member)
+    assert not leader.has_changed()
+    leader.network.clock.move_to(102.01)
+    leader.changes.tick()
+    assert leader.has_changed()
--- a/tests/coordination/test_views_faults.py
+++ b/tests/coordination/test_views_faults.py
@@ -22,7 +22,7 @@
     return network, fleet, instances
 
 
-def steward_of(fleet: fleets.Fleet) -> fleets.Instance:
+def leader_of(fleet: fleets.Fleet) -> fleets.Instance:
     (found,) = [
         instance
         for instance in fleet.instances.values()
@@ -56,7 +56,7 @@
     # new tokens until the others have agreed on a view without it. It sent
     # nothing before it died, so only the expiry of its promises reveals it.
     _, fleet, _ = settled_fleet(count)
-    fleet.kill(steward_of(fleet))
+    fleet.kill(leader_of(fleet))
     assert fleet.seconds_until_agreed("a", 5.0) < 5.0
 
 
@@ -65,10 +65,8 @@
     # An ordinary member is killed with SIGKILL. Nobody may use its rights
     # until its lease has expired; then one change moves them all.
     _, fleet, _ = settled_fleet(count)
-    steward = steward_of(fleet)
-    member = next(
-        one for one in fleet.instances.values() if one is not steward
-    )
+    leader = leader_of(fleet)
+    member = next(one for one in fleet.instances.values() if one is not leader)
     fleet.kill(member)
     assert fleet.seconds_until_agreed("a", 5.0) < 3.0
 
@@ -101,13 +99,13 @@
     # resumes in the middle of a handler that is about to act, before any timer
     # or message.
     network, fleet, instances = settled_fleet(3)
-    sleeper = instances[0]
-    network.pause(sleeper.node)
+    paused = instances[0]
+    network.pause(paused.node)
     network.run_for(60.0)
     assert len(fleet.valid("a")) == 2
-    assert sleeper.views.valid_view() is None
-    assert not sleeper.views.holds("rate/quadro/drafts")
-    assert sleeper.views.valid_for_seconds() == 0.0
+    assert paused.views.valid_view() is None
+    assert not paused.views.holds("rate/quadro/drafts")
+    assert paused.views.valid_for_seconds() == 0.0
 
 
 def test_a_handler_that_sleeps_loses_its_lease() -> None:
@@ -129,10 +127,10 @@
     # either its overdue timers run first, or the queued messages, among them
     # heartbeats that would renew the leases that it granted.
     network, fleet, _ = settled_fleet(5)
-    steward = steward_of(fleet)
-    network.pause(steward.node)
+    leader = leader_of(fleet)
+    network.pause(leader.node)
     network.run_for(pause_seconds)
-    network.resume(steward.node, timers_first=timers_first)
+    network.resume(leader.node, timers_first=timers_first)
     fleet.check()
     fleet.seconds_until_agreed("a", 5.0)
 
@@ -142,9 +140,9 @@
     # member hears its leader all the time; a lease that outlasts the leader's
     # promises would duplicate the rights that the three take over.
     network, fleet, instances = settled_fleet(5)
-    steward = steward_of(fleet)
-    fellow = next(one for one in instances if one is not steward)
-    minority = {steward, fellow}
+    leader = leader_of(fleet)
+    follower = next(one for one in instances if one is not leader)
+    minority = {leader, follower}
     cut_between(network, minority, set(instances) - minority)
     network.run_for(8.0)
     valid = {instance for instance, _ in fleet.valid("a")}
@@ -218,8 +216,8 @@
     _, fleet, instances = settled_fleet(3)
     address = instances[1].self_id.address
     fleet.kill(instances[1], listed=True)
-    reborn = fleet.start("a", address)
-    assert reborn.views.valid_view() is None
+    restarted = fleet.start("a", address)
+    assert restarted.views.valid_view() is None
     fleet.seconds_until_agreed("a", 6.0)
 
 
@@ -256,8 +254,8 @@
     # One member receives nothing, but its messages arrive. Its heartbeats
     # show it alive, but no answer reaches it and its lease expires.
     network, fleet, instances = settled_fleet(3)
-    deaf = instances[2].self_id.address
-    network.is_cut = lambda one, other: other.address == deaf
+    unreachable = instances[2].self_id.address
+    network.is_cut = lambda one, other: other.address == unreachable
     network.run_for(5.0)
     assert instances[2].views.valid_view() is None
     end_cut(network)
@@ -282,12 +280,12 @@
     # transport is told in time to replace it, and the member stays.
     network, fleet, instances = settled_fleet(3)
     silent = next(one for one in instances if not one.views.is_steward)
-    steward = steward_of(fleet)
+    leader = leader_of(fleet)
     before = fleet.agreed("a")
     cut_between(network, {silent}, set(instances) - {silent})
     network.run_for(1.6)
-    assert steward.suspects == [silent.self_id]
-    assert silent.suspects == [steward.self_id]
+    assert leader.suspects == [silent.self_id]
+    assert silent.suspects == [leader.self_id]
     end_cut(network)
     network.run_for(2.0)
     assert fleet.agreed("a") == before
@@ -312,13 +310,13 @@
     # admits a waiting instance. It doesn't know the lease that the old leader
     # granted its last follower, so that lease must have expired.
     network, fleet, instances = settled_fleet(5)
-    steward = steward_of(fleet)
-    fellow = next(one for one in instances if one is not steward)
-    near = {steward.self_id, fellow.self_id}
+    leader = leader_of(fleet)
+    follower = next(one for one in instances if one is not leader)
+    near = {leader.self_id, follower.self_id}
     new = fleet.start("a", "a-new:7000")
 
     def is_cut(one: ids.InstanceId, other: ids.InstanceId) -> bool:
-        if fellow.self_id in (one, other) or new.self_id == one:
+        if follower.self_id in (one, other) or new.self_id == one:
             return bool({one, other} - near) and not near.isdisjoint(
                 (one, other)
             )
@@ -334,8 +332,8 @@
     # elect it. They still hear the leader and have promised to follow nobody
     # else; two leaders would change the view twice.
     network, fleet, instances = settled_fleet(5)
-    steward = steward_of(fleet)
-    candidate, voter = (one for one in instances[:3] if one is not steward)
+    leader = leader_of(fleet)
+    candidate, voter = (one for one in instances[:3] if one is not leader)
     view = fleet.agreed("a")
     assert view is not None
     prepare = messages.Prepare(
@@ -346,7 +344,7 @@
     network.post(candidate.self_id, voter.self_id, prepare)
     network.run_for(3.0)
     assert voter.counters.value("view_promises_refused", "promised") == 1
-    assert steward_of(fleet) is steward
+    assert leader_of(fleet) is leader
     assert fleet.agreed("a") == view
 
 
@@ -355,17 +353,17 @@
     # before it reports the decision. It may have told an unreachable instance,
     # so the next leader has to complete this change and no other.
     network, fleet, instances = settled_fleet(5)
-    steward = steward_of(fleet)
-    leaver = next(one for one in instances if one is not steward)
+    leader = leader_of(fleet)
+    leaver = next(one for one in instances if one is not leader)
     leaver.views.leave()
     acknowledged = {
-        one.self_id for one in instances if one not in (steward, leaver)
+        one.self_id for one in instances if one not in (leader, leaver)
     }
     network.is_cut = lambda one, other: (
-        one in acknowledged and other == steward.self_id
+        one in acknowledged and other == leader.self_id
     )
     network.run_for(0.05)
-    fleet.kill(steward)
+    fleet.kill(leader)
     end_cut(network)
     network.run_for(5.0)
     assert leaver.views.has_left
