--- a/src/boragefold/coordination/election.py
+++ b/src/boragefold/coordination/election.py
@@ -1,4 +1,4 @@
-"""How a voter becomes the steward of its view."""
+"""Elects a voter of a view as its leader."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 from boragefold.protocol import view_messages as messages
 from boragefold.telemetry import counters as telemetry
 
-# Candidates try one after the other, so that the first wins undisturbed.
+# Candidates start at different times, so that the first one wins without
+# competition.
 RANK_SECONDS = 0.15
 RETRY_SECONDS = 0.4
 
 
 class Victory(NamedTuple):
-    """A quorum's promises, and the successor that has to be finished."""
+    """A quorum's promises, and an undecided successor view to complete."""
 
     ballot: messages.Ballot
     ends: dict[ids.InstanceId, float]
@@ -31,7 +32,7 @@
 
 
 class Election:
-    """Asks for promises when nobody has ours."""
+    """Requests promises when this instance has promised none to a leader."""
 
     def __init__(
         self,
@@ -50,15 +51,15 @@
         self._random = random_source
         self._on_victory = on_victory
         self._ballot = messages.NO_BALLOT
-        self._ends: dict[ids.InstanceId, float] = {}
+        self._promise_ends: dict[ids.InstanceId, float] = {}
         self._accepted: list[tuple[messages.Ballot, rights.View]] = []
         self._dead: frozenset[ids.InstanceId] | None = None
         self._highest_round = 0
-        self._next_seconds = 0.0
+        self._next_try_seconds = 0.0
         self.running = False
 
     def tick(self) -> None:
-        """Try to become the steward, if nobody is and it is our turn."""
+        """Start an election if there is no leader and the delay is over."""
         state = self._state
         view = state.view
         now_seconds = state.now_seconds()
@@ -67,14 +68,14 @@
             return
         dead = self._inquiry.verified_dead()
         voters = quorum.electorate(view, dead or ())
-        if state.self_id not in voters or now_seconds < self._next_seconds:
+        if state.self_id not in voters or now_seconds < self._next_try_seconds:
             return
         wait_seconds = voters.index(state.self_id) * RANK_SECONDS
         if now_seconds >= state.promise_until_seconds + wait_seconds:
             self.start()
 
     def start(self) -> None:
-        """Ask the voters for their promises now."""
+        """Request the promises of the voters now."""
         state = self._state
         view = state.view
         if view is None or not state.may_promise(state.self_id.incarnation):
@@ -87,9 +88,9 @@
             self._highest_round, state.self_id.incarnation
         )
         self._dead = self._inquiry.verified_dead()
-        self._ends = {}
+        self._promise_ends = {}
         self._accepted = []
-        self._next_seconds = now_seconds + RETRY_SECONDS * (
+        self._next_try_seconds = now_seconds + RETRY_SECONDS * (
             1 + self._random.random()
         )
         self.running = True
@@ -100,12 +101,12 @@
         for voter in quorum.electorate(view, self._dead or ()):
             if voter != state.self_id:
                 self._link.send(to=voter, body=prepare)
-        self._conclude()
+        self._win_if_quorum()
 
     def on_promise(
         self, sender: ids.InstanceId, promise: messages.Promise
     ) -> None:
-        """Count a promise.
+        """Count a promise, and end the election if a quorum is reached.
 
         :param sender: the voter
         :param promise: its promise
@@ -116,24 +117,26 @@
             or promise.round != self._ballot.round
         ):
             return
-        self._ends[sender] = promise.echo_seconds + quorum.shortened_seconds(
-            quorum.PREPARE_SECONDS
+        self._promise_ends[sender] = (
+            promise.echo_seconds
+            + quorum.shortened_seconds(quorum.PREPARE_SECONDS)
         )
         if promise.accepted is not None:
             successor = rights.View(*promise.accepted)
             self._accepted.append((promise.accepted_ballot, successor))
-        self._conclude()
+        self._win_if_quorum()
 
     def note_round(self, round_number: int) -> None:
-        """Note a round that the next ballot has to exceed.
+        """Record a round that the next ballot has to exceed.
 
         :param round_number: the round
         """
         self._highest_round = max(self._highest_round, round_number)
 
-    def _conclude(self) -> None:
-        # Promised first, our ballot would rise at each failed try while we are
-        # partitioned, and we would refuse the steward afterwards.
+    def _win_if_quorum(self) -> None:
+        # This instance promises itself its ballot only when it has won. If it
+        # did so at the start, its ballot would rise with each failed election
+        # during a partition, and it would refuse the leader afterwards.
         state = self._state
         view = state.view
         if view is None or not state.may_promise(state.self_id.incarnation):
@@ -143,7 +146,7 @@
             return
         now_seconds = state.now_seconds()
         ends = {
-            **self._ends,
+            **self._promise_ends,
             state.self_id: now_seconds + quorum.PREPARE_SECONDS,
         }
         alone_until_seconds = state.alone_until_seconds
--- a/src/boragefold/coordination/listing.py
+++ b/src/boragefold/coordination/listing.py
@@ -1,4 +1,4 @@
-"""What the platform's lagging list says of our data centre."""
+"""The platform's instance list, which lags, for this data centre."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from boragefold.protocol import ids
 
-# An instance that leads alone stops this long after the last list that showed
-# it.
+# An instance that leads alone stops this long after the last list that
+# contained it.
 FRESH_SECONDS = 1.5
 
-# How far lists read at the same time may differ.
+# Maximum difference in age of lists that are read at the same time.
 SKEW_SECONDS = 1.0
 
-# An instance that the list lacks for so long no longer leads alone.
+# An instance that the list has lacked for this long no longer leads alone.
 MATURE_SECONDS = FRESH_SECONDS + SKEW_SECONDS
 
-# Longer than copies of the list lag.
+# Exceeds the lag between copies of the list.
 SETTLED_SECONDS = 10.0
 
 FORGET_SECONDS = 600.0
@@ -33,20 +33,20 @@
 
 
 class Listing:
-    """The last list, and since when it has shown or not shown addresses."""
+    """The last list, and since when addresses are on it or missing."""
 
     def __init__(self, *, self_id: ids.InstanceId) -> None:
         self._self_id = self_id
-        self._seen_seconds = float("-inf")
+        self._read_seconds = float("-inf")
         self._steady_since_seconds = float("inf")
-        self._first_seconds: dict[str, float] = {}
-        self._last_seconds: dict[str, float] = {}
-        self._absent_seconds: dict[str, float] = {}
+        self._first_shown_seconds: dict[str, float] = {}
+        self._last_shown_seconds: dict[str, float] = {}
+        self._missing_since_seconds: dict[str, float] = {}
         self._data_centres: dict[str, str] = {}
         self.entries: tuple[ListEntry, ...] = ()
 
     def update(self, entries: Iterable[ListEntry], now_seconds: float) -> None:
-        """Take in a list as it was read.
+        """Store a list that was read.
 
         :param entries: all instances of all data centres
         :param now_seconds: when it was read
@@ -57,32 +57,32 @@
             self._steady_since_seconds = float("inf")
         elif has_gap or self._steady_since_seconds == float("inf"):
             self._steady_since_seconds = now_seconds
-        self._seen_seconds = now_seconds
+        self._read_seconds = now_seconds
         shown = {entry.address for entry in self.entries}
         for address in shown:
-            self._first_seconds.setdefault(address, now_seconds)
-            self._last_seconds[address] = now_seconds
-            self._absent_seconds.pop(address, None)
-        for address in self._last_seconds.keys() - shown:
-            self._absent_seconds.setdefault(address, now_seconds)
+            self._first_shown_seconds.setdefault(address, now_seconds)
+            self._last_shown_seconds[address] = now_seconds
+            self._missing_since_seconds.pop(address, None)
+        for address in self._last_shown_seconds.keys() - shown:
+            self._missing_since_seconds.setdefault(address, now_seconds)
         self._data_centres.update(
             (entry.address, entry.data_centre) for entry in self.entries
         )
         self._forget(now_seconds)
 
     def fresh_until_seconds(self) -> float:
-        """Tell how long the last list counts as fresh.
+        """Return until when the last list counts as fresh.
 
         :return: a reading of the clock
         """
-        return self._seen_seconds + FRESH_SECONDS
+        return self._read_seconds + FRESH_SECONDS
 
     def is_steady(self, now_seconds: float) -> bool:
-        """Tell whether lists have shown us for long without a gap.
+        """Return whether the lists have long shown this instance without gap.
 
         :param now_seconds: the time
-        :return: whether all lists show us, and whether an instance that ours
-            never showed can't lead alone on the strength of its own
+        :return: whether all lists show this instance, and no instance that
+            its list never showed can lead alone by a list of its own
         """
         return (
             now_seconds <= self.fresh_until_seconds()
@@ -90,13 +90,13 @@
         )
 
     def peers(self, now_seconds: float) -> tuple[str, ...]:
-        """List the other addresses of our data centre.
+        """List the other addresses of this data centre.
 
-        One that was dropped a moment ago counts: its own list may still show
-        it, and let it lead alone.
+        A recently dropped instance counts: its own list may still show it and
+        so let it lead alone.
 
         :param now_seconds: the time
-        :return: addresses that are live or leaving, or were until lately
+        :return: addresses that are live or leaving, or were until recently
         """
         return tuple(
             sorted(
@@ -121,7 +121,7 @@
         return found
 
     def shows(self, address: str) -> bool:
-        """Tell whether the last list shows an address.
+        """Return whether the last list contains an address.
 
         :param address: the address
         :return: whether it is live or leaving
@@ -131,16 +131,16 @@
     def gone(
         self, address: str, known_since_seconds: float, now_seconds: float
     ) -> bool:
-        """Tell whether the platform has dropped an instance for good.
+        """Return whether the platform has removed an instance for good.
 
-        :param address: where it listened
-        :param known_since_seconds: since when we know it
+        :param address: the address of the instance
+        :param known_since_seconds: when this instance learned of it
         :param now_seconds: the time
-        :return: whether the list has not shown it for long enough
+        :return: whether the list has lacked it for long enough
         """
         if now_seconds > self.fresh_until_seconds() or self.shows(address):
             return False
-        absent_seconds = now_seconds - self._absent_seconds.get(
+        absent_seconds = now_seconds - self._missing_since_seconds.get(
             address, known_since_seconds
         )
         if self.settled(address):
@@ -148,32 +148,33 @@
         return absent_seconds >= SETTLED_SECONDS
 
     def settled(self, address: str) -> bool:
-        """Tell whether an address was shown for longer than copies lag.
+        """Return whether an address was listed for longer than copies lag.
 
         :param address: the address
         :return: whether its absence means that it is gone
         """
-        if address not in self._first_seconds:
+        if address not in self._first_shown_seconds:
             return False
         shown_for_seconds = (
-            self._last_seconds[address] - self._first_seconds[address]
+            self._last_shown_seconds[address]
+            - self._first_shown_seconds[address]
         )
         return shown_for_seconds >= SETTLED_SECONDS
 
     def _is_dropped(self, address: str, now_seconds: float) -> bool:
-        absent_seconds = self._absent_seconds.get(address, float("inf"))
+        absent_seconds = self._missing_since_seconds.get(address, float("inf"))
         return now_seconds - absent_seconds >= MATURE_SECONDS
 
     def _forget(self, now_seconds: float) -> None:
         forgotten = [
             address
-            for address, since_seconds in self._absent_seconds.items()
+            for address, since_seconds in self._missing_since_seconds.items()
             if now_seconds - since_seconds >= FORGET_SECONDS
         ]
         for address in forgotten:
-            del self._absent_seconds[address]
-            del self._first_seconds[address]
-            del self._last_seconds[address]
+            del self._missing_since_seconds[address]
+            del self._first_shown_seconds[address]
+            del self._last_shown_seconds[address]
             del self._data_centres[address]
 
 
--- a/src/boragefold/coordination/membership.py
+++ b/src/boragefold/coordination/membership.py
@@ -1,4 +1,4 @@
-"""A member's side: heartbeats, the lease, promises and joining."""
+"""The member's role in a view: heartbeats, lease, promises and joining."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from boragefold.protocol import view_messages as messages
 from boragefold.telemetry import counters as telemetry
 
-# A lease survives one lost heartbeat.
+# With this period a lease survives one lost heartbeat.
 BEAT_SECONDS = 0.5
 SLOW_BEAT_SECONDS = 1.0
 UNANSWERED_SECONDS = 0.25
@@ -26,7 +26,7 @@
 
 
 class Membership:
-    """Follows the steward, or looks for one."""
+    """Follows the leader of the view, or looks for a view to join."""
 
     def __init__(
         self,
@@ -49,9 +49,9 @@
         self._counters = counters
         self._on_suspect = on_suspect
         self._echo_seconds = 0.0
-        self._beat_seconds = float("-inf")
-        self._answered_seconds = float("-inf")
-        self._joined_seconds = float("-inf")
+        self._heartbeat_sent_seconds = float("-inf")
+        self._heartbeat_answered_seconds = float("-inf")
+        self._join_sent_seconds = float("-inf")
         self._suspected = False
 
     def tick(self) -> None:
@@ -61,23 +61,27 @@
         if state.is_outdated() or steward is None or steward == state.self_id:
             return
         now_seconds = state.now_seconds()
-        since_seconds = now_seconds - self._beat_seconds
-        answered = self._answered_seconds >= self._beat_seconds
+        since_seconds = now_seconds - self._heartbeat_sent_seconds
+        answered = (
+            self._heartbeat_answered_seconds >= self._heartbeat_sent_seconds
+        )
         if since_seconds >= (
-            self._period_seconds() if answered else UNANSWERED_SECONDS
+            self._heartbeat_period_seconds()
+            if answered
+            else UNANSWERED_SECONDS
         ):
-            self._beat(self._beat_target(steward, answered))
-        silent_seconds = now_seconds - self._answered_seconds
+            self._send_heartbeat(self._heartbeat_target(steward, answered))
+        silent_seconds = now_seconds - self._heartbeat_answered_seconds
         if silent_seconds >= rosters.SUSPECT_SECONDS:
-            self._suspect(steward)
+            self._report_suspect(steward)
 
     def on_renewal(
         self, sender: ids.InstanceId, renewal: messages.Renewal
     ) -> None:
-        """Follow the steward, and take the lease that it gives.
+        """Follow the leader, and apply the lease that it grants.
 
-        :param sender: the steward
-        :param renewal: its answer to a heartbeat, for our view
+        :param sender: the leader
+        :param renewal: its answer to a heartbeat, for the current view
         """
         state = self._state
         ballot = messages.Ballot(renewal.round, sender.incarnation)
@@ -85,10 +89,10 @@
             self._refuse(sender)
             return
         if renewal.echo_seconds <= 0:
-            self._beat(sender)
+            self._send_heartbeat(sender)
             return
-        if renewal.echo_seconds >= self._beat_seconds:
-            self._answered_seconds = state.now_seconds()
+        if renewal.echo_seconds >= self._heartbeat_sent_seconds:
+            self._heartbeat_answered_seconds = state.now_seconds()
         if renewal.lease_seconds > 0:
             lease_seconds = quorum.shortened_seconds(renewal.lease_seconds)
             state.take_lease(renewal.echo_seconds + lease_seconds)
@@ -96,26 +100,26 @@
     def on_relayed(
         self, sender: ids.InstanceId, relayed: messages.Relayed
     ) -> None:
-        """Take a lease that a relay passes on from our steward.
+        """Apply a lease that a relay grants on behalf of the leader.
 
         :param sender: the relay
-        :param relayed: its answer to a heartbeat, for our view
+        :param relayed: its answer to a heartbeat, for the current view
         """
         state = self._state
         if relayed.ballot != state.promised:
             return
-        if relayed.echo_seconds >= self._beat_seconds:
-            self._answered_seconds = state.now_seconds()
+        if relayed.echo_seconds >= self._heartbeat_sent_seconds:
+            self._heartbeat_answered_seconds = state.now_seconds()
         lease_seconds = quorum.shortened_seconds(relayed.lease_seconds)
         state.take_lease(relayed.echo_seconds + lease_seconds)
 
     def on_prepare(
         self, sender: ids.InstanceId, prepare: messages.Prepare
     ) -> None:
-        """Give a candidate our promise, or refuse it.
+        """Give a candidate the promise of this instance, or refuse it.
 
         :param sender: the candidate
-        :param prepare: its request, for our view
+        :param prepare: its request, for the current view
         """
         state = self._state
         ballot = messages.Ballot(prepare.round, sender.incarnation)
@@ -145,10 +149,10 @@
     def on_change(
         self, sender: ids.InstanceId, change: messages.Change
     ) -> None:
-        """Accept a successor of our view, and stop using its rights.
+        """Accept a successor of the view, and stop using the view's rights.
 
-        :param sender: the steward
-        :param change: its proposal, for our view
+        :param sender: the leader
+        :param change: its proposal, for the current view
         """
         state = self._state
         ballot = messages.Ballot(change.round, sender.incarnation)
@@ -162,7 +166,9 @@
         state.steward = sender
         state.accept(ballot, successor)
         now_seconds = state.now_seconds()
-        self._beat_seconds = self._answered_seconds = now_seconds
+        self._heartbeat_sent_seconds = self._heartbeat_answered_seconds = (
+            now_seconds
+        )
         ack = messages.ChangeAck(
             state.view_id(), change.round, now_seconds, self._relaying.left()
         )
@@ -171,15 +177,16 @@
     def on_install(
         self, sender: ids.InstanceId, install: messages.Install
     ) -> None:
-        """Take over a decided view.
+        """Install a decided view.
 
-        :param sender: somebody who has it
+        :param sender: an instance that has it
         :param install: the view
         """
         state = self._state
         view = rights.View(*install.view)
         if state.self_id not in view.members:
-            # We keep our old view, which has ended, and ask to join.
+            # This instance keeps its old view, which has ended, and asks to
+            # join.
             state.hear_of(quorum.view_id(view))
             return
         if quorum.view_id(view) < state.view_id():
@@ -189,15 +196,15 @@
             state.release(install.ballot)
         elif install.leading and quorum.view_id(view) == state.view_id():
             if self._follow(sender, install.ballot, install.sent_seconds):
-                self._beat(sender)
+                self._send_heartbeat(sender)
 
     def on_standing(
         self, sender: ids.InstanceId, standing: messages.Standing
     ) -> None:
-        """Bring the sender forward, or find the view that we lack.
+        """Update a sender with an older view, or ask to join a later view.
 
-        :param sender: an instance of our data centre
-        :param standing: what it takes part in
+        :param sender: an instance of this data centre
+        :param standing: its view and the latest view that it knows of
         """
         state = self._state
         state.hear_of(standing.highest_id)
@@ -216,8 +223,8 @@
         ):
             return
         now_seconds = state.now_seconds()
-        if now_seconds - self._joined_seconds >= JOIN_SECONDS:
-            self._joined_seconds = now_seconds
+        if now_seconds - self._join_sent_seconds >= JOIN_SECONDS:
+            self._join_sent_seconds = now_seconds
             to = standing.steward or sender
             if to != state.self_id:
                 self._link.send(to=to, body=messages.Join())
@@ -236,7 +243,7 @@
             self._stewardship.step_down()
         if is_new:
             self._echo_seconds = 0.0
-            self._answered_seconds = state.now_seconds()
+            self._heartbeat_answered_seconds = state.now_seconds()
         state.steward = sender
         self._suspected = False
         self._echo_seconds = max(self._echo_seconds, sent_seconds)
@@ -247,35 +254,35 @@
         refusal = messages.Refusal(state.view_id(), state.promised)
         self._link.send(to=sender, body=refusal)
 
-    def _beat(self, steward: ids.InstanceId) -> None:
+    def _send_heartbeat(self, steward: ids.InstanceId) -> None:
         state = self._state
-        self._beat_seconds = state.now_seconds()
+        self._heartbeat_sent_seconds = state.now_seconds()
         self._link.send(
             to=steward,
             body=messages.Beat(
                 view_id=state.view_id(),
                 round=state.promised.round,
                 echo_seconds=self._echo_seconds,
-                sent_seconds=self._beat_seconds,
+                sent_seconds=self._heartbeat_sent_seconds,
                 quiet=self._relaying.quiet(),
             ),
         )
 
-    def _beat_target(
+    def _heartbeat_target(
         self, steward: ids.InstanceId, answered: bool
     ) -> ids.InstanceId:
-        # The relay may be dead.
+        # An unanswered heartbeat goes to the leader, as the relay may be dead.
         view = self._state.view
         relay = view and quorum.relay_of(view, self._state.self_id)
         return relay if relay and answered else steward
 
-    def _period_seconds(self) -> float:
+    def _heartbeat_period_seconds(self) -> float:
         view = self._state.view
         if view is None or self._state.self_id in quorum.electorate(view):
             return BEAT_SECONDS
         return SLOW_BEAT_SECONDS
 
-    def _suspect(self, steward: ids.InstanceId) -> None:
+    def _report_suspect(self, steward: ids.InstanceId) -> None:
         if not self._suspected:
             self._suspected = True
             self._counters.add("view_suspects", "steward_silent")
--- a/src/boragefold/coordination/view_changes.py
+++ b/src/boragefold/coordination/view_changes.py
@@ -1,4 +1,4 @@
-"""How the steward decides on the successor of a view and installs it."""
+"""Decides on the successor of a view and installs it, for the leader."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ViewChanges:
-    """Stops the rights of a view everywhere before the next begins."""
+    """Ends the rights of a view everywhere before the next view begins."""
 
     def __init__(
         self,
@@ -54,18 +54,18 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether a successor is being decided.
+        """Return whether a successor is being decided.
 
         :return: whether one is
         """
-        return self._current() is not None
+        return self._current_pending() is not None
 
     def propose(self, successor: rights.View, *, recovered: bool) -> None:
-        """Propose a successor, and stop using our own rights.
+        """Propose a successor, and stop using the rights of this instance.
 
         :param successor: the next view
-        :param recovered: whether it was found with a voter after an
-            election, and only has to be finished
+        :param recovered: whether a voter had accepted it before the
+            election, so that it only has to be completed
         """
         self._state.accept(self._leadership.ballot, successor)
         self._leadership.granting = False
@@ -84,17 +84,17 @@
         self.tick()
 
     def tick(self) -> None:
-        """Send the proposal again, and finish it if it is time."""
+        """Resend the proposal if it is due, and complete it if possible."""
         self._resend()
-        self._conclude()
+        self._install_if_decided()
 
     def on_ack(self, sender: ids.InstanceId, ack: messages.ChangeAck) -> None:
-        """Count a member that has accepted and stopped.
+        """Count a member that has accepted and stopped using its rights.
 
         :param sender: the member
-        :param ack: its acknowledgement, for our view
+        :param ack: its acknowledgement, for the current view
         """
-        pending = self._current()
+        pending = self._current_pending()
         view = self._state.view
         if (
             not self._leadership.holds()
@@ -105,12 +105,12 @@
             return
         self._roster.hear(sender)
         if sender not in pending.accepted:
-            for place, left_seconds in ack.relayed:
-                member = view.members[place]
+            for position, left_seconds in ack.relayed:
+                member = view.members[position]
                 self._leadership.note_relayed(member, left_seconds)
         pending.accepted.add(sender)
         pending.echoes[sender] = ack.sent_seconds
-        self._conclude()
+        self._install_if_decided()
 
     def send_view(
         self,
@@ -119,11 +119,11 @@
         *,
         released: bool = False,
     ) -> None:
-        """Send a decided view to one that may not have it.
+        """Send a decided view to an instance that may not have it.
 
         :param to: the receiver
         :param view: the view
-        :param released: whether we end the promises that we were given
+        :param released: whether it ends the promises given to this instance
         """
         self._link.send(
             to=to,
@@ -136,8 +136,8 @@
             ),
         )
 
-    def _current(self) -> Pending | None:
-        # After a lost lead and another election the view is another one.
+    def _current_pending(self) -> Pending | None:
+        # After a lost leadership and another election the view may differ.
         pending = self._pending
         if (
             pending is None
@@ -149,7 +149,7 @@
         return self._pending
 
     def _resend(self) -> None:
-        pending = self._current()
+        pending = self._current_pending()
         view = self._state.view
         now_seconds = self._state.now_seconds()
         if pending is None or view is None:
@@ -166,8 +166,8 @@
             if member not in pending.accepted:
                 self._link.send(to=member, body=change)
 
-    def _conclude(self) -> None:
-        pending = self._current()
+    def _install_if_decided(self) -> None:
+        pending = self._current_pending()
         view = self._state.view
         if pending is None or view is None:
             return
