--- a/src/boragefold/coordination/rates/account.py
+++ b/src/boragefold/coordination/rates/account.py
@@ -1,4 +1,4 @@
-"""What a stock knows of one workspace."""
+"""State of one workspace's tokens on this instance."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from boragefold.policy import stock
 from boragefold.timing import timers as timing
 
-# A request that found too few tokens waits at most this long.
+# A shortfall counts as current demand for this long.
 WANT_SECONDS = 3.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class Charged(stock.Reservation):
-    """A reservation that knows which grants it was charged to."""
+    """A reservation with the grants that it is charged to."""
 
     draft: grants.Draft
 
 
 @dataclasses.dataclass(kw_only=True)
 class Account:
-    """What is known of one workspace that was used of late."""
+    """Tokens, recent use and unmet demand of a recently used workspace."""
 
     grant_pool: grant_pools.GrantPool
     use: usage.RecentUse
@@ -35,18 +35,18 @@
     retry: timing.Subscription | None = None
 
     def covers(self, tokens: float) -> bool:
-        """Tell whether there are enough tokens now.
+        """Return whether enough tokens are available now.
 
-        :param tokens: how many are needed
-        :return: whether they are there
+        :param tokens: required tokens
+        :return: whether they are available
         """
         return self.grant_pool.left_tokens() + limits.TINY_TOKENS >= tokens
 
     def is_wanted(self, now_seconds: float) -> bool:
-        """Tell whether a request waits that found too few tokens.
+        """Return whether a request recently failed for lack of tokens.
 
-        :param now_seconds: the clock
-        :return: whether one did of late
+        :param now_seconds: current time
+        :return: whether the demand of that request is still current
         """
         age_seconds = now_seconds - self.wanted_at_seconds
         return self.wanted_tokens > 0 and age_seconds < WANT_SECONDS
--- a/src/boragefold/coordination/rates/bucket.py
+++ b/src/boragefold/coordination/rates/bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket at one moment, and the events that change it."""
+"""State of a token bucket at one moment, and the events that change it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Entry:
-    """Tokens that answered one request."""
+    """Tokens granted to one request."""
 
     given_at_seconds: float
     charged_tokens: float
@@ -19,7 +19,7 @@
 
 
 class Event(NamedTuple):
-    """The moment an entry was given, or gives up its place."""
+    """The moment at which an entry is granted or stops occupying tokens."""
 
     at_seconds: float
     order: int
@@ -36,10 +36,10 @@
     occupied_tokens: float = 0.0
 
     def refill(self, limit: limits.Limit, now_seconds: float) -> None:
-        """Move to a later moment.
+        """Advance to a later moment and add the refill.
 
         :param limit: rate and burst
-        :param now_seconds: the moment; an earlier one changes nothing
+        :param now_seconds: the new moment; an earlier one adds nothing
         """
         elapsed_seconds = now_seconds - self.at_seconds
         if elapsed_seconds > 0:
@@ -48,7 +48,7 @@
         self.fit(limit)
 
     def fit(self, limit: limits.Limit) -> None:
-        """Keep level and occupied tokens within the burst.
+        """Limit the sum of level and occupied tokens to the burst.
 
         :param limit: rate and burst
         """
@@ -56,10 +56,10 @@
         self.level_tokens = min(self.level_tokens, room)
 
     def apply(self, limit: limits.Limit, event: Event) -> None:
-        """Move to an event and account for it.
+        """Advance to an event and apply it.
 
         :param limit: rate and burst
-        :param event: not earlier than the bucket
+        :param event: event that is not earlier than the bucket
         """
         self.refill(limit, event.at_seconds)
         tokens = event.entry.charged_tokens
--- a/src/boragefold/coordination/rates/grant_pool.py
+++ b/src/boragefold/coordination/rates/grant_pool.py
@@ -1,4 +1,4 @@
-"""The receiving side of grants and loans: tokens from one source."""
+"""Tokens of one workspace received as grants or loans from one holder."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class GrantPool:
-    """Tokens of one workspace from one holder.
+    """Grants of one workspace from one holder.
 
-    A grant ends on our own clock, counted from when we asked, so it ends
-    before the holder thinks so however late the answer was.
+    A grant expires by the receiver's clock, counted from the moment the
+    request was sent. It therefore expires here before it expires at the
+    holder, however late the response arrives.
     """
 
     def __init__(
@@ -27,12 +28,12 @@
         send: Callable[[rate_messages.TokensAsked], None],
         numbers: itertools.count[int],
     ) -> None:
-        """Start empty.
+        """Create an empty pool.
 
-        :param workspace: whose tokens
-        :param now_seconds: the clock
-        :param send: sends a request to the present holder
-        :param numbers: the numbers of requests, never used twice
+        :param workspace: workspace of the tokens
+        :param now_seconds: clock
+        :param send: sends a request to the current holder
+        :param numbers: source of unique request numbers
         """
         self._workspace = workspace
         self._now_seconds = now_seconds
@@ -49,9 +50,9 @@
 
     @property
     def in_flight(self) -> bool:
-        """Tell whether a request waits for its answer.
+        """Return whether a request awaits its response.
 
-        :return: whether it does, and is not overdue
+        :return: whether a request is pending and not overdue
         """
         return (
             self._asked_at_seconds is not None
@@ -61,24 +62,24 @@
 
     @property
     def overdue(self) -> bool:
-        """Tell whether a request waited too long for its answer.
+        """Return whether the response to a request is overdue.
 
-        :return: whether it should be sent anew
+        :return: whether the request should be sent again
         """
         return self._asked_at_seconds is not None and not self.in_flight
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing is left to spend, to settle or to report.
+        """Return whether nothing is left to spend, settle or report.
 
-        :return: whether the pool can be forgotten
+        :return: whether the pool can be removed
         """
         return not (self._grants or self._outbox)
 
     def left_tokens(self, *, life_seconds: float = 0.0) -> float:
-        """Count what may be charged now.
+        """Count the tokens that can be charged now.
 
-        :param life_seconds: for how long it must stay so
+        :param life_seconds: minimum remaining validity of the grants
         :return: tokens
         """
         needed_seconds = self._now_seconds() + life_seconds
@@ -89,10 +90,10 @@
         )
 
     def life_seconds(self, draft: grants.Draft) -> float:
-        """Tell how long the grants under a draft still live.
+        """Return how long the grants of a draft remain valid.
 
-        :param draft: from :meth:`take`
-        :return: seconds until the first of them ends
+        :param draft: result of :meth:`take`
+        :return: seconds until the first of them expires
         """
         ends = [self._grants[number].ends_at_seconds for number in draft.parts]
         left_seconds = min(ends, default=0.0) - self._now_seconds()
@@ -101,12 +102,13 @@
     def take(
         self, tokens: float, *, life_seconds: float = 0.0, loose: bool = False
     ) -> grants.Draft:
-        """Charge tokens, those that end first before the others.
+        """Charge tokens, starting with the grants that expire first.
 
-        :param tokens: how many; at most :meth:`left_tokens`
-        :param life_seconds: how long the grants must still live
-        :param loose: whether they are granted on; see :meth:`pin`
-        :return: what was charged
+        :param tokens: at most :meth:`left_tokens`
+        :param life_seconds: minimum remaining validity of the grants
+        :param loose: whether the tokens are granted on to another instance;
+            see :meth:`pin`
+        :return: the charged grants
         """
         needed_seconds = self._now_seconds() + life_seconds
         usable = sorted(
@@ -124,10 +126,10 @@
         return draft
 
     def pin(self, draft: grants.Draft, *, kept_tokens: float) -> None:
-        """Note that nobody can charge a loose draft any more.
+        """Record that the receiver of a loose draft charges no more of it.
 
-        :param draft: from :meth:`take`
-        :param kept_tokens: what was charged; it may still fall
+        :param draft: result of :meth:`take`
+        :param kept_tokens: charged tokens; settling may lower them
         """
         if draft.settled:
             return
@@ -139,10 +141,10 @@
             self._give_back(number, tokens - kept, pinned=was_loose)
 
     def settle(self, draft: grants.Draft, *, used_tokens: float) -> None:
-        """Give back what a draft did not use; a second time does nothing.
+        """Return the unused tokens of a draft; a repeated call is ignored.
 
-        :param draft: from :meth:`take`
-        :param used_tokens: what was used of it
+        :param draft: result of :meth:`take`
+        :param used_tokens: tokens that were used
         """
         if draft.settled:
             return
@@ -155,10 +157,10 @@
             )
 
     def ask(self, *, needed_tokens: float, ahead_tokens: float) -> None:
-        """Ask the holder.
+        """Send a request to the holder.
 
-        :param needed_tokens: wanted whole
-        :param ahead_tokens: wanted if there are plenty
+        :param needed_tokens: tokens that are granted in full or not at all
+        :param ahead_tokens: additional tokens, granted if there are enough
         """
         now_seconds = self._now_seconds()
         if self._asked_at_seconds is not None:
@@ -173,16 +175,16 @@
         self._post(number, needed_tokens, ahead_tokens)
 
     def forget_request(self) -> None:
-        """Stop waiting for an answer, because the holder has changed."""
+        """Stop waiting for a response because the holder has changed."""
         self._asked_at_seconds = None
         self.unanswered = 0
         self.ready_at_seconds = 0.0
 
     def answer(self, given: rate_messages.TokensGiven) -> bool:
-        """Take in an answer; doubled and late ones change nothing.
+        """Process a response; duplicate and late ones grant nothing.
 
-        :param given: the answer
-        :return: whether there are more tokens now
+        :param given: the response
+        :return: whether more tokens are available now
         """
         now_seconds = self._now_seconds()
         for number in self._outbox.arrived(given.number):
@@ -207,7 +209,7 @@
         return True
 
     def tick(self) -> None:
-        """Close what has ended, and forget what is too old to settle."""
+        """Close expired grants and drop those that are too old to settle."""
         now_seconds = self._now_seconds()
         for number, grant in list(self._grants.items()):
             if not grant.ended and now_seconds >= grant.ends_at_seconds:
@@ -219,19 +221,19 @@
     def due_usages(
         self, *, after_seconds: float
     ) -> tuple[rate_messages.Usage, ...]:
-        """Take the reports that waited long enough for a request to go with.
+        """Return the reports that no request has carried in time.
 
-        :param after_seconds: how long a report waits
-        :return: reports to send; they come again until acknowledged
+        :param after_seconds: how long a report waits for a request
+        :return: reports to send; they are repeated until acknowledged
         """
         return self._outbox.due(
             after_seconds=after_seconds, now_seconds=self._now_seconds()
         )
 
     def noted(self, usages: Iterable[rate_messages.Usage]) -> None:
-        """Stop repeating reports that have arrived.
+        """Stop repeating acknowledged reports.
 
-        :param usages: as they were sent
+        :param usages: the reports as they were sent
         """
         for number in self._outbox.noted(usages):
             self._drop(number)
@@ -261,8 +263,8 @@
             grant.left_tokens += tokens
 
     def _close(self, number: int, grant: grants.Grant) -> None:
-        # A closed grant takes no late answer, so nobody can spend these
-        # tokens.
+        # A closed grant ignores a late response, so its remaining tokens
+        # can't be spent after they were reported as unused.
         grant.closed = True
         grant.left_tokens = 0.0
         self._report(number, grant)
--- a/src/boragefold/coordination/rates/grants.py
+++ b/src/boragefold/coordination/rates/grants.py
@@ -1,4 +1,4 @@
-"""Grants as their receiver keeps them, and what is charged to them."""
+"""Grants as kept by their receiver, and the charges to them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Grant:
-    """What answered one request of ours."""
+    """Tokens requested and received with one request."""
 
     sent_at_seconds: float
     ends_at_seconds: float
@@ -22,10 +22,10 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Draft:
-    """Tokens charged to one or more grants, until it is settled.
+    """Tokens charged to one or more grants, until they are settled.
 
-    A draft that was granted on is *loose*: somebody else may still charge it,
-    so its source must not take it for charged yet.
+    A draft that was granted on to another instance is *loose*: that instance
+    may still charge it, so it must not be reported to its source as charged.
     """
 
     parts: dict[int, float]
--- a/src/boragefold/coordination/rates/holders.py
+++ b/src/boragefold/coordination/rates/holders.py
@@ -1,4 +1,4 @@
-"""Which rates this instance holds, and their change of hands."""
+"""The rates that this instance holds, and their transfer to others."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from boragefold.protocol import rate_messages
 from boragefold.telemetry import counters as counting
 
-# A bucket that was handed over early waits this long for the next view.
+# A bucket received ahead of the view that assigns it is kept this long.
 PENDING_SECONDS = 30.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class _Held:
-    """A tenure, and the views that it has lasted for."""
+    """A tenure and the range of views in which it was held."""
 
     tenure: tenures.Tenure
     epoch: int
@@ -34,7 +34,7 @@
 
 
 class _Pending(NamedTuple):
-    """A bucket that came before its right did."""
+    """A bucket received before this instance became its holder."""
 
     sender: ids.InstanceId
     bucket: rate_messages.BucketHandedOver
@@ -42,7 +42,7 @@
 
 
 class Holders:
-    """The tenures of this instance, by workspace."""
+    """The tenures of this instance by workspace."""
 
     def __init__(
         self,
@@ -54,13 +54,13 @@
         begin: Callable[[str, ledgers.Ledger], tenures.Tenure],
         send: Callable[[ids.InstanceId, rate_messages.BucketHandedOver], None],
     ) -> None:
-        """Hold nothing yet.
+        """Start without any held rates.
 
-        :param rights: the views
-        :param holding: tells what is ours
-        :param now_seconds: the clock
-        :param counters: where gains and losses are counted
-        :param begin: makes a tenure of a workspace with a bucket
+        :param rights: views of the data centres
+        :param holding: looks up the holders of rates
+        :param now_seconds: clock
+        :param counters: receives the counts of gained and lost rates
+        :param begin: creates the tenure of a workspace with a bucket
         :param send: sends a bucket to its next holder
         """
         self._rights = rights
@@ -77,9 +77,9 @@
         return iter([held.tenure for held in self._held.values()])
 
     def update(self, parts: dict[str, limits.Limit]) -> None:
-        """Put other rates in force, at once.
+        """Apply changed limits immediately.
 
-        :param parts: our data centre's part by workspace
+        :param parts: this data centre's part of each limit by workspace
         """
         self._parts = parts
         for workspace in self._held.keys() - parts.keys():
@@ -91,15 +91,15 @@
         self.review()
 
     def review(self) -> None:
-        """Begin and end tenures as the valid view says."""
+        """Start and end tenures to match the valid view."""
         for workspace in self._parts:
             self.tenure(workspace)
 
     def tenure(self, workspace: str) -> tenures.Tenure | None:
-        """Find the tenure of a rate that is ours at this moment.
+        """Return the tenure of a rate that this instance holds now.
 
-        :param workspace: whose rate
-        :return: the tenure, or None when another instance holds the rate
+        :param workspace: workspace of the rate
+        :return: the tenure, or None if another instance holds the rate
         """
         view = self._rights.valid_view()
         if view is None:
@@ -117,7 +117,7 @@
         return None if held.given_up else held.tenure
 
     def give_up(self) -> None:
-        """Hand every bucket to whoever comes next, before a planned stop."""
+        """Hand all buckets over before a planned stop."""
         view = self._rights.valid_view()
         for workspace, held in self._held.items():
             if view is None or held.given_up:
@@ -136,10 +136,10 @@
     def handed_over(
         self, sender: ids.InstanceId, bucket: rate_messages.BucketHandedOver
     ) -> None:
-        """Take in a bucket, at once or when its right comes to us.
+        """Receive a bucket; it is kept until this instance is its holder.
 
-        :param sender: the former holder
-        :param bucket: what it gave up
+        :param sender: previous holder
+        :param bucket: state of the bucket when it was released
         """
         self._pending[bucket.workspace] = _Pending(
             sender, bucket, self._now_seconds()
@@ -149,15 +149,16 @@
             self._inherit(bucket.workspace, held)
 
     def _unbroken(self, held: _Held, view: membership.View) -> bool:
-        # In a gap between views another holder may have filled the bucket.
+        # Between views that don't follow each other another instance may have
+        # held the rate and granted from a bucket of its own.
         return (
             held.epoch == view.epoch
             and held.last_number <= view.number <= held.last_number + 1
         )
 
     def _gain(self, workspace: str, view: membership.View) -> _Held:
-        # A former holder's grants may be charged until their end, so the
-        # refill begins afterwards.
+        # Grants of a previous holder may be charged until they expire, so the
+        # bucket starts to refill only afterwards.
         part = self._parts[workspace]
         ledger = ledgers.Ledger(
             limit=part,
@@ -192,7 +193,8 @@
             return
         del self._pending[workspace]
         if not held.tenure.ledger.starts_in_seconds(now_seconds):
-            # What filled since would come on top of this level.
+            # The bucket already refills; adding the received level would
+            # count that refill twice.
             self._counters.add("rate_tenures", "inherited_too_late")
             return
         held.tenure.ledger.inherit(
@@ -203,7 +205,7 @@
         self._counters.add("rate_tenures", "inherited")
 
     def _end_if_succeeded(self, workspace: str) -> None:
-        """End a tenure when a later view than its last one is known."""
+        """End a tenure if a later view without this instance is known."""
         held = self._held.get(workspace)
         own_name = self._rights.self_id.data_centre
         latest = self._rights.directory().get(own_name)
@@ -226,12 +228,12 @@
     def _hand_over(
         self, workspace: str, held: _Held, view: membership.View
     ) -> None:
-        """Send the bucket, as it was while we held it, to the next holder."""
+        """Send the bucket's last state to the next holder."""
         ledger = held.tenure.ledger
         if ledger.starts_in_seconds(self._now_seconds()) > 0:
             return
         successor = membership.holder(view, limits.right_of(workspace))
-        logging.info("handing the rate of %s to %s", workspace, successor)
+        logging.info("handing the rate of %s over to %s", workspace, successor)
         self._counters.add("rate_tenures", "handed_over")
         self._send(
             successor,
--- a/src/boragefold/coordination/rates/holding.py
+++ b/src/boragefold/coordination/rates/holding.py
@@ -1,4 +1,4 @@
-"""Who holds a rate, remembered for as long as a view lasts."""
+"""Lookup of the instance that holds a rate, cached per view."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 import boragefold.coordination.rights as membership
 from boragefold.protocol import ids
 
-# Bounds the memory.
+# Bounds the memory of the cache.
 MOST_REMEMBERED = 100_000
 
 
 class Holding:
-    """Looks holders up; hashing a right over a view costs 20 microseconds."""
+    """Caches the holders of rates; hashing a rate costs 20 microseconds."""
 
     def __init__(self, *, rights: membership.Rights) -> None:
-        """Remember nothing yet.
+        """Create an empty cache.
 
-        :param rights: the views
+        :param rights: views of the data centres
         """
         self._rights = rights
         self._found: dict[tuple[str, int, int, str], ids.InstanceId] = {}
 
     def here(self, workspace: str) -> ids.InstanceId | None:
-        """Find the holder in our own data centre.
+        """Find the holder in this instance's data centre.
 
-        Without a lease of our own we may still ask: whoever holds the rate
+        An instance without a valid lease may still send requests: the holder
         checks its own lease before it grants.
 
-        :param workspace: whose rate
-        :return: the holder, or None when no view is known
+        :param workspace: workspace of the rate
+        :return: the holder, or None if no view is known
         """
         view = self._rights.valid_view()
         if view is not None:
@@ -38,11 +38,11 @@
     def elsewhere(
         self, data_centre: str, workspace: str
     ) -> ids.InstanceId | None:
-        """Find the holder in a data centre, by its latest known view.
+        """Find the holder in a data centre by its latest known view.
 
-        :param data_centre: where
-        :param workspace: whose rate
-        :return: the holder, or None when no view is known
+        :param data_centre: name of the data centre
+        :param workspace: workspace of the rate
+        :return: the holder, or None if no view is known
         """
         view = self._rights.directory().get(data_centre)
         if view is None or not view.members:
@@ -50,10 +50,10 @@
         return self.in_view(view, workspace)
 
     def ours(self, workspace: str) -> bool:
-        """Tell whether a rate is ours at this moment.
+        """Return whether this instance holds a rate now.
 
-        :param workspace: whose rate
-        :return: whether our lease is valid and the hash names us
+        :param workspace: workspace of the rate
+        :return: whether its lease is valid and the hash selects it
         """
         view = self._rights.valid_view()
         if view is None:
@@ -63,8 +63,8 @@
     def in_view(self, view: membership.View, workspace: str) -> ids.InstanceId:
         """Find the holder in one view.
 
-        :param view: with at least one member
-        :param workspace: whose rate
+        :param view: view with at least one member
+        :param workspace: workspace of the rate
         :return: the holder
         """
         key = (view.data_centre, view.epoch, view.number, workspace)
--- a/src/boragefold/coordination/rates/ledger.py
+++ b/src/boragefold/coordination/rates/ledger.py
@@ -1,14 +1,14 @@
-"""One bucket, and the account of what was given out of it.
+"""A token bucket together with the record of the tokens granted from it.
 
-Tokens that were given out *occupy* the bucket while somebody may still charge
-them: at every instant ``level + occupied <= burst``. Whatever is charged in a
-window therefore comes out of at most one burst and the window's refill.
+Granted tokens *occupy* the bucket while their receiver may still charge them:
+``level + occupied <= burst`` holds at all times. The tokens charged in any
+time window are therefore limited to one burst plus the refill of the window.
 
-What a request reserved but did not use comes back when it ends, often many
-seconds after it was charged. Adding it to the level would allow more than one
-burst if the bucket was full in between. So the bucket is replayed from the
-moment of the charge with the smaller amount: the level becomes what it would
-have been, had the use been known.
+The unused part of a reservation is returned when its request ends, often many
+seconds after the charge. Adding it to the level would allow more than one
+burst if the bucket was full in between. Instead the bucket is replayed from
+the time of the charge with the smaller amount, so that the level is the one
+that would have resulted if the use had been known from the start.
 """
 
 from __future__ import annotations
@@ -21,7 +21,8 @@
 from boragefold.coordination.rates import limits
 from boragefold.protocol import ids
 
-# Bounds a replay; older requests lose their remainder.
+# Bounds the cost of a replay; the oldest entries beyond it are finished, and
+# their unused tokens are no longer returned.
 MOST_EVENTS = 1000
 
 
@@ -34,11 +35,11 @@
     def __init__(
         self, *, limit: limits.Limit, now_seconds: float, wait_seconds: float
     ) -> None:
-        """Start empty; the refill begins after a wait.
+        """Create an empty bucket that refills after a delay.
 
         :param limit: rate and burst of this bucket
-        :param now_seconds: the moment the right was gained
-        :param wait_seconds: how long a former holder's tokens may live
+        :param now_seconds: time at which this instance became the holder
+        :param wait_seconds: how long tokens of a previous holder stay valid
         """
         self._limit = limit
         self._starts_at_seconds = now_seconds + wait_seconds
@@ -52,15 +53,15 @@
 
     @property
     def limit(self) -> limits.Limit:
-        """Tell what the bucket allows.
+        """Return the limit in force.
 
-        :return: rate and burst in force
+        :return: rate and burst
         """
         return self._limit
 
     @property
     def level_tokens(self) -> float:
-        """Tell how much can be given, as of the last :meth:`advance`.
+        """Return what can be granted as of the last :meth:`advance`.
 
         :return: tokens
         """
@@ -68,31 +69,32 @@
 
     @property
     def occupied_tokens(self) -> float:
-        """Tell how much was given and may still be charged.
+        """Return what was granted and may still be charged.
 
         :return: tokens
         """
         return max(0.0, self._now.occupied_tokens)
 
     def starts_in_seconds(self, now_seconds: float) -> float:
-        """Tell how long the wait of a new holder still lasts.
+        """Return the remaining time until the bucket of a new holder refills.
 
-        :param now_seconds: the clock
-        :return: seconds, zero when the bucket refills
+        :param now_seconds: current time
+        :return: seconds, zero if the bucket already refills
         """
         return max(0.0, self._starts_at_seconds - now_seconds)
 
     def change(self, limit: limits.Limit, *, now_seconds: float) -> None:
-        """Put another rate and burst in force at once.
+        """Apply another rate and burst immediately.
 
-        :param limit: the new ones
-        :param now_seconds: the clock
+        :param limit: the new rate and burst
+        :param now_seconds: current time
         """
         if limit == self._limit:
             return
         self.advance(now_seconds)
         self.recount()
-        # Open requests lose their remainder; what may still be charged stays.
+        # Entries of running requests are dropped, so their unused tokens are
+        # not returned. Tokens that may still be charged stay occupied.
         self._open.clear()
         self._fold(now_seconds)
         self._limit = limit
@@ -100,9 +102,9 @@
         self._now.fit(limit)
 
     def advance(self, now_seconds: float) -> None:
-        """Refill, and let what has ended give up its place.
+        """Refill the bucket and free the tokens of expired grants.
 
-        :param now_seconds: the clock
+        :param now_seconds: current time
         """
         while self._applied < len(self._events):
             event = self._events[self._applied]
@@ -122,10 +124,10 @@
     ) -> None:
         """Debit tokens before they are sent.
 
-        :param asker: who gets them
-        :param number: the number of its request, never used before
+        :param asker: instance that receives the tokens
+        :param number: unique number of its request
         :param tokens: at most the level
-        :param now_seconds: the clock, as last given to :meth:`advance`
+        :param now_seconds: time of the last :meth:`advance`
         """
         self._open[asker, number] = self._occupy(tokens, now_seconds)
 
@@ -138,13 +140,13 @@
         final: bool,
         now_seconds: float,
     ) -> None:
-        """Take back what was not charged; unknown entries are ignored.
+        """Return tokens that were not charged; ignores unknown entries.
 
-        :param asker: who got the tokens
-        :param number: the number of its request
-        :param charged_tokens: what was charged, and not given back
-        :param final: whether no more will come back
-        :param now_seconds: the clock, as last given to :meth:`advance`
+        :param asker: instance that received the tokens
+        :param number: number of its request
+        :param charged_tokens: tokens that were charged and not returned
+        :param final: whether no more tokens will be returned
+        :param now_seconds: time of the last :meth:`advance`
         """
         entry = self._open.get((asker, number))
         if entry is None:
@@ -159,9 +161,9 @@
         self.advance(now_seconds)
 
     def recount(self) -> None:
-        """Replay the bucket with what was reported since the last time.
+        """Replay the bucket with the reports since the last replay.
 
-        Until then the level is too low, never too high.
+        Without the replay the level is too low, never too high.
         """
         if not self._stale:
             return
@@ -172,9 +174,9 @@
         self.advance(now_seconds)
 
     def settle_old(self, now_seconds: float) -> None:
-        """Stop waiting for what is too old to come back.
+        """Finish entries that are too old for their tokens to be returned.
 
-        :param now_seconds: the clock, as last given to :meth:`advance`
+        :param now_seconds: time of the last :meth:`advance`
         """
         oldest_seconds = now_seconds - limits.REFUND_SECONDS
         many = len(self._events) - MOST_EVENTS
@@ -198,11 +200,11 @@
         occupied_tokens: float,
         now_seconds: float,
     ) -> None:
-        """Go on from where a former holder gave up; ends the wait.
+        """Continue from a previous holder's bucket without the initial delay.
 
-        :param level_tokens: its level
-        :param occupied_tokens: what it gave out and may still be charged
-        :param now_seconds: the clock
+        :param level_tokens: level of that bucket
+        :param occupied_tokens: its granted tokens that may still be charged
+        :param now_seconds: current time
         """
         self._starts_at_seconds = now_seconds
         whole_tokens = level_tokens + occupied_tokens
@@ -244,7 +246,7 @@
         self._free(entry, now_seconds)
 
     def _fold(self, now_seconds: float) -> None:
-        """Forget the events before the oldest open entry."""
+        """Apply events before the oldest open entry to the past bucket."""
         self.advance(now_seconds)
         oldest = next(iter(self._open.values()), None)
         until_seconds = now_seconds
--- a/src/boragefold/coordination/rates/lenders.py
+++ b/src/boragefold/coordination/rates/lenders.py
@@ -1,4 +1,4 @@
-"""Loans: tokens of one workspace from its holders in other data centres."""
+"""Tokens of one workspace borrowed from holders in other data centres."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from boragefold.coordination.rates import limits
 from boragefold.protocol import rate_messages
 
-# So that a grant survives the way to the instance.
+# Borrowed tokens must still be valid when a grant of them arrives.
 LEAST_LIFE_SECONDS = 0.3
 
-# Multiplied by the number of lenders, so that not all are asked at once.
+# The delay grows with the number of lenders to spread the requests to them.
 AGAIN_SECONDS = 0.1
 AGAIN_PER_LENDER_SECONDS = 0.02
 
-# From then on a lender is asked only now and then.
+# After this many unanswered requests a lender is asked at the longer interval.
 UNREACHABLE_AFTER = 2
 UNREACHABLE_SECONDS = 4.0
 
@@ -36,7 +36,7 @@
 
 
 class Lenders:
-    """What the other data centres lent us, and when to ask for more."""
+    """Tokens borrowed from other data centres, and requests for more."""
 
     def __init__(
         self,
@@ -46,12 +46,12 @@
         send: Callable[[str, rate_messages.TokensAsked], None],
         numbers: itertools.count[int],
     ) -> None:
-        """Start with nothing borrowed.
+        """Start without borrowed tokens.
 
-        :param workspace: whose tokens
-        :param now_seconds: the clock
-        :param send: sends a request to a data centre's holder
-        :param numbers: the numbers of requests, never used twice
+        :param workspace: workspace of the tokens
+        :param now_seconds: clock
+        :param send: sends a request to the holder in a data centre
+        :param numbers: source of unique request numbers
         """
         self._workspace = workspace
         self._now_seconds = now_seconds
@@ -61,7 +61,7 @@
         self._again_at_seconds: dict[str, float] = {}
 
     def left_tokens(self) -> float:
-        """Count what is borrowed and may be granted on.
+        """Count the borrowed tokens that can be granted on.
 
         :return: tokens
         """
@@ -71,9 +71,9 @@
         )
 
     def in_flight(self) -> bool:
-        """Tell whether a lender that answers has been asked.
+        """Return whether a request to a responsive lender is pending.
 
-        :return: whether an answer is to be expected
+        :return: whether a response can be expected
         """
         return any(
             grant_pool.in_flight and grant_pool.unanswered < UNREACHABLE_AFTER
@@ -81,10 +81,10 @@
         )
 
     def rate(self, parts: dict[str, limits.Limit]) -> float:
-        """Sum the rates of the lenders that answered of late.
+        """Sum the rates of the lenders that answer requests.
 
-        :param parts: the lenders and their parts of the rate
-        :return: tokens per second; a lender never asked counts for nothing
+        :param parts: part of the limit by lender
+        :return: tokens per second; lenders that were never asked add nothing
         """
         return sum(
             (
@@ -103,11 +103,11 @@
         short_tokens: float,
         ahead_tokens: float,
     ) -> None:
-        """Ask as many lenders as it takes, those that have most first.
+        """Request tokens from as many lenders as needed, largest level first.
 
-        :param parts: the lenders and their parts of the rate
-        :param short_tokens: how much is missing
-        :param ahead_tokens: how much more will be needed soon
+        :param parts: part of the limit by lender
+        :param short_tokens: missing tokens
+        :param ahead_tokens: additional tokens that will be needed soon
         """
         now_seconds = self._now_seconds()
         able = sorted(
@@ -136,9 +136,9 @@
                 short_tokens -= estimate_tokens
 
     def next_ask_seconds(self) -> float:
-        """Tell when the next lender may be asked again.
+        """Return when the next lender can be asked again.
 
-        :return: a reading of the clock; infinite when none has to wait
+        :return: time by the clock; infinite if no lender is delayed
         """
         now_seconds = self._now_seconds()
         times = self._again_at_seconds.values()
@@ -148,7 +148,7 @@
         """Charge borrowed tokens.
 
         :param tokens: at most :meth:`left_tokens`
-        :return: what was charged, by lender
+        :return: the charged tokens by lender
         """
         loans = []
         for name, grant_pool in self._grant_pools.items():
@@ -166,10 +166,10 @@
         return loans
 
     def life_seconds(self, loans: list[Loan]) -> float:
-        """Tell how long loans may still be charged.
+        """Return how long loans remain valid.
 
-        :param loans: from :meth:`take`
-        :return: seconds, no longer than a grant's life
+        :param loans: result of :meth:`take`
+        :return: seconds, at most the validity of a grant
         """
         return min(
             (
@@ -180,20 +180,20 @@
         )
 
     def settle(self, loan: Loan, *, used_tokens: float) -> None:
-        """Give back what was not used of a loan.
+        """Return the unused tokens of a loan.
 
-        :param loan: from :meth:`take`
-        :param used_tokens: what was used
+        :param loan: result of :meth:`take`
+        :param used_tokens: tokens that were used
         """
         self._grant_pools[loan.data_centre].settle(
             loan.draft, used_tokens=used_tokens
         )
 
     def pin(self, loan: Loan, *, kept_tokens: float) -> None:
-        """Note that nobody can charge a loan any more.
+        """Record that the receiver of a loan charges no more of it.
 
-        :param loan: from :meth:`take`
-        :param kept_tokens: what was charged of it
+        :param loan: result of :meth:`take`
+        :param kept_tokens: tokens that were charged
         """
         self._grant_pools[loan.data_centre].pin(
             loan.draft, kept_tokens=kept_tokens
@@ -202,27 +202,27 @@
     def answer(
         self, data_centre: str, given: rate_messages.TokensGiven
     ) -> None:
-        """Take in a lender's answer.
+        """Process a lender's response.
 
-        :param data_centre: the lender's
-        :param given: its answer
+        :param data_centre: data centre of the lender
+        :param given: the response
         """
         self._grant_pool(data_centre).answer(given)
 
     def tick(self) -> None:
-        """Close what has ended."""
+        """Close expired grants."""
         for grant_pool in self._grant_pools.values():
             grant_pool.tick()
 
     def items(self) -> Iterable[tuple[str, grant_pools.GrantPool]]:
-        """Go through what was borrowed.
+        """List the borrowed tokens.
 
-        :return: pools of grants by the lender's data centre
+        :return: grant pools by the lender's data centre
         """
         return self._grant_pools.items()
 
     def _estimate_tokens(self, name: str, part: limits.Limit) -> float:
-        """Guess a lender's level from its last answer and its refill."""
+        """Estimate a lender's level from its last grant and its refill."""
         grant_pool = self._grant_pool(name)
         if grant_pool.given_at_seconds is None:
             return part.burst_tokens
--- a/src/boragefold/coordination/rates/lent_on.py
+++ b/src/boragefold/coordination/rates/lent_on.py
@@ -1,4 +1,4 @@
-"""Grants that were made of loans, until they are settled."""
+"""Grants that contain borrowed tokens, kept until they are settled."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Part:
-    """The loans in one grant."""
+    """The loans contained in one grant."""
 
     loans: list[lending.Loan]
     given_at_seconds: float
 
 
 class LentOn:
-    """Passes on to the lenders what becomes of their tokens."""
+    """Forwards the reported use of borrowed tokens to their lenders."""
 
     def __init__(self, *, lenders: lending.Lenders) -> None:
-        """Start with nothing lent on.
+        """Start without any grants.
 
-        :param lenders: where the loans come from
+        :param lenders: source of the loans
         """
         self._lenders = lenders
         self._parts: dict[tuple[ids.InstanceId, int], _Part] = {}
@@ -37,12 +37,12 @@
         loans: list[lending.Loan],
         now_seconds: float,
     ) -> None:
-        """Remember the loans in a grant.
+        """Record the loans contained in a grant.
 
-        :param asker: who got it
-        :param number: the number of its request
-        :param loans: may be none
-        :param now_seconds: the clock
+        :param asker: instance that received the grant
+        :param number: number of its request
+        :param loans: loans in the grant, possibly none
+        :param now_seconds: current time
         """
         if loans:
             self._parts[asker, number] = _Part(
@@ -52,13 +52,14 @@
     def report(
         self, asker: ids.InstanceId, usage: rate_messages.Usage
     ) -> float:
-        """Share a report between the loans and our own tokens.
+        """Split a report between the loans and the holder's own tokens.
 
-        Loans count as charged first, so that what comes back is ours.
+        Loans are counted as charged first, so that unused tokens return to
+        the holder's own bucket.
 
-        :param asker: who reported
+        :param asker: instance that sent the report
         :param usage: its report
-        :return: what is left for our own tokens
+        :return: charged tokens of the holder's own bucket
         """
         key = (asker, usage.number)
         charged_tokens = usage.charged_tokens
@@ -75,9 +76,9 @@
         return charged_tokens
 
     def forget_old(self, now_seconds: float) -> None:
-        """Forget grants that are too old to be settled.
+        """Remove grants that are too old to be settled.
 
-        :param now_seconds: the clock
+        :param now_seconds: current time
         """
         oldest_seconds = now_seconds - limits.REFUND_SECONDS
         self._parts = {
--- a/src/boragefold/coordination/rates/limits.py
+++ b/src/boragefold/coordination/rates/limits.py
@@ -1,40 +1,41 @@
-"""What a rate allows, and the times that all parts of it agree on."""
+"""Limits of rates, and the timing constants shared by the rate modules."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
-# Bounds what a crash takes away; outlasts a request to another region.
+# Bounds the tokens lost in a crash; exceeds a round trip to another region.
 GRANT_SECONDS = 2.0
 
-# Clock drift over a grant's life.
+# Allows for clock drift during the validity of a grant.
 MARGIN_SECONDS = 0.05
 
-# Half a grant's life, so that what is granted can still be used.
+# Half of a grant's validity, so that a grant can still be used after queueing.
 QUEUE_SECONDS = 1.0
 
-# Several round trips inside a data centre.
+# Covers several round trips within a data centre.
 RETRY_SECONDS = 0.5
 
-# The estimate for a caller while a message is under way.
+# Estimated wait while a request for tokens is pending.
 IN_FLIGHT_SECONDS = 0.05
 
-# Longer than the deadline of a long request.
+# Exceeds the deadline of a long request.
 REFUND_SECONDS = 120.0
 
-# More than rounding errors.
+# Exceeds the rounding errors of token sums.
 TINY_TOKENS = 1e-6
 
 
 class Limit(NamedTuple):
-    """A rate and a burst.
-
-    Tokens that were charged keep their place in the bucket until they are
-    settled, for ``hold_seconds`` at most after their grant's end. Zero counts
-    them when they are charged; more makes a limit on what is in flight.
-    ``fetch_ahead`` lets an instance keep a few more tokens than it needs.
-    ``whole`` splits the burst into whole numbers, for what comes in units.
+    """Rate and burst of a token bucket.
+
+    Charged tokens occupy the bucket until they are settled, for at most
+    ``hold_seconds`` after their grant expires. With zero, tokens stop
+    occupying the bucket when they are charged; a larger value limits the
+    tokens of running requests.
+    ``fetch_ahead`` lets an instance request a few more tokens than it needs.
+    ``whole`` splits the burst into integers, for tokens that count units.
     """
 
     rate_tokens_per_second: float
@@ -44,10 +45,10 @@
     whole: bool = False
 
     def part(self, share: float) -> Limit:
-        """Take a data centre's part.
+        """Return a data centre's part of the limit.
 
-        :param share: from 0 to 1
-        :return: the part of rate and burst
+        :param share: fraction from 0 to 1
+        :return: that fraction of rate and burst
         """
         return self._replace(
             rate_tokens_per_second=self.rate_tokens_per_second * share,
@@ -56,11 +57,12 @@
 
 
 def split(limit: Limit, shares: Mapping[str, float]) -> dict[str, Limit]:
-    """Split a limit over data centres.
+    """Split a limit between data centres.
 
-    :param limit: of the whole fleet
-    :param shares: parts by data centre, with the sum one
-    :return: limits by data centre; whole bursts go by largest remainder
+    :param limit: limit of the whole fleet
+    :param shares: fraction by data centre; the fractions add up to one
+    :return: limits by data centre; integer bursts follow the largest
+        remainder method
     """
     parts = {name: limit.part(share) for name, share in shares.items()}
     if not limit.whole:
@@ -80,10 +82,10 @@
 
 
 def right_of(workspace: str) -> str:
-    """Name the right to grant a workspace's tokens in one data centre.
+    """Return the name of a workspace's rate for the choice of its holder.
 
-    :param workspace: its name
-    :return: the name for :meth:`rights.Rights.holds`
+    :param workspace: name of the workspace
+    :return: name for :meth:`rights.Rights.holds`
     """
     return f"rate/{workspace}"
 
--- a/src/boragefold/coordination/rates/outbox.py
+++ b/src/boragefold/coordination/rates/outbox.py
@@ -1,4 +1,4 @@
-"""Reports on used tokens, repeated until the holder has them."""
+"""Reports of used tokens, repeated until the holder acknowledges them."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 
 from boragefold.protocol import rate_messages
 
-# Reports in one message; more wait for the next one.
+# Bounds the reports in one message; the others follow in the next one.
 MOST_USAGES = 40
 
-# Requests that may still be answered; the reports of older ones are repeated.
+# Bounds the requests whose response acknowledges reports; reports carried by
+# older requests are repeated.
 MOST_CARRIERS = 20
 
 
 class Outbox:
-    """The reports of one pool that nobody has acknowledged yet."""
+    """Unacknowledged reports of one grant pool."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty outbox."""
         self._usages: dict[int, rate_messages.Usage] = {}
         self._carried: dict[int, tuple[rate_messages.Usage, ...]] = {}
         self._since_seconds: float | None = None
@@ -27,29 +28,29 @@
         return bool(self._usages)
 
     def put(self, usage: rate_messages.Usage, *, now_seconds: float) -> None:
-        """Report something; it replaces an earlier report of the same.
+        """Add a report; it replaces an earlier one on the same grant.
 
         :param usage: the report
-        :param now_seconds: the clock
+        :param now_seconds: current time
         """
         self._usages[usage.number] = usage
         if self._since_seconds is None:
             self._since_seconds = now_seconds
 
     def drop(self, number: int) -> None:
-        """Give up a report.
+        """Remove a report that was not acknowledged.
 
-        :param number: of the grant
+        :param number: number of its grant
         """
         self._usages.pop(number, None)
 
     def carry(
         self, carrier: int, *, now_seconds: float
     ) -> tuple[rate_messages.Usage, ...]:
-        """Take the reports that a request carries along.
+        """Return the reports to attach to a request.
 
-        :param carrier: the number of the request
-        :param now_seconds: the clock
+        :param carrier: number of the request
+        :param now_seconds: current time
         :return: reports
         """
         usages = tuple(itertools.islice(self._usages.values(), MOST_USAGES))
@@ -63,14 +64,14 @@
     def due(
         self, *, after_seconds: float, now_seconds: float
     ) -> tuple[rate_messages.Usage, ...]:
-        """Take the final reports that waited long enough for a request.
+        """Return the final reports that no request has carried in time.
 
-        What may still change waits on: the holder takes it for charged when
-        the grant ends, without being told.
+        Reports that may still change are not sent alone: without one the
+        holder counts the tokens as charged when the grant expires.
 
-        :param after_seconds: how long a report waits
-        :param now_seconds: the clock
-        :return: reports; they come again until acknowledged
+        :param after_seconds: how long a report waits for a request
+        :param now_seconds: current time
+        :return: reports; they are repeated until acknowledged
         """
         since_seconds = self._since_seconds
         if (
@@ -83,10 +84,10 @@
         return tuple(itertools.islice(final, MOST_USAGES))
 
     def arrived(self, carrier: int) -> list[int]:
-        """Take in the answer to a request that may have carried reports.
+        """Process the response to a request that may have carried reports.
 
-        :param carrier: the number of the request
-        :return: the grants that are done with
+        :param carrier: number of the request
+        :return: numbers of the grants that need no more reports
         """
         done = self.noted(self._carried.pop(carrier, ()))
         self._carried = {
@@ -97,10 +98,10 @@
         return done
 
     def noted(self, usages: Iterable[rate_messages.Usage]) -> list[int]:
-        """Stop repeating reports that have arrived.
+        """Stop repeating acknowledged reports.
 
-        :param usages: as they were sent; what changed since is kept
-        :return: the grants that are done with
+        :param usages: reports as sent; one that changed since then is kept
+        :return: numbers of the grants that need no more reports
         """
         same = [
             usage
--- a/src/boragefold/coordination/rates/reports.py
+++ b/src/boragefold/coordination/rates/reports.py
@@ -1,4 +1,4 @@
-"""Sends the reports that no request carried, many workspaces at once."""
+"""Sends the reports that no request carried, batched over workspaces."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 from boragefold.protocol import ids
 from boragefold.protocol import rate_messages
 
-# Bounds a message.
+# Bounds the size of a message.
 MOST_WORKSPACES = 100
 
-# Reports that nobody acknowledged are repeated anyway.
+# Bounds the messages that await acknowledgement; the reports of a dropped one
+# are repeated.
 MOST_UNNOTED = 200
 
 
 class Due(NamedTuple):
-    """A pool of grants that may have something to report, and to whom."""
+    """A grant pool that may have reports to send, and their receiver."""
 
     find_holder: Callable[[], ids.InstanceId | None]
     workspace: str
@@ -27,7 +28,7 @@
 
 
 class Reports:
-    """Collects reports by holder, and repeats them until acknowledged."""
+    """Batches reports by holder and repeats them until acknowledged."""
 
     def __init__(
         self,
@@ -35,10 +36,10 @@
         send: Callable[[ids.InstanceId, rate_messages.UsagesReported], None],
         numbers: itertools.count[int],
     ) -> None:
-        """Start with nothing sent.
+        """Start without sent messages.
 
         :param send: sends a message to a holder
-        :param numbers: the numbers of messages, never used twice
+        :param numbers: source of unique message numbers
         """
         self._send = send
         self._numbers = numbers
@@ -50,9 +51,9 @@
         ] = {}
 
     def flush(self, due: Iterable[Due], *, after_seconds: float) -> None:
-        """Send what waited long enough.
+        """Send the reports that no request has carried in time.
 
-        :param due: the pools of grants
+        :param due: the grant pools to check
         :param after_seconds: how long a report waits for a request
         """
         by_holder: dict[
@@ -68,9 +69,9 @@
                 self._send_some(holder, found[start : start + MOST_WORKSPACES])
 
     def noted(self, number: int) -> None:
-        """Take in an acknowledgement.
+        """Process an acknowledgement.
 
-        :param number: of the message that arrived
+        :param number: number of the acknowledged message
         """
         for grant_pool, usages in self._sent.pop(number, ()):
             grant_pool.noted(usages)
--- a/src/boragefold/coordination/rates/service.py
+++ b/src/boragefold/coordination/rates/service.py
@@ -1,4 +1,4 @@
-"""The fleet-wide rates of one instance: its stock and what it holds."""
+"""Fleet-wide rates of one instance: its own tokens and the rates it holds."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Rates:
-    """Grants the rates that are ours to grant, and spends what we get."""
+    """Grants tokens of the held rates and spends tokens granted by others."""
 
     def __init__(
         self,
@@ -44,12 +44,12 @@
         timers: timing.TimerService,
         counters: counting.Counters,
     ) -> None:
-        """Know no workspaces and no weights yet.
+        """Start without workspaces and weights.
 
-        :param peers: to other instances
-        :param rights: tells which rates we hold
-        :param timers: the timer service
-        :param counters: where refusals and changes are counted
+        :param peers: connection to other instances
+        :param rights: views that determine the holder of a rate
+        :param timers: timer service
+        :param counters: receives the counts of shortfalls and transfers
         """
         self._link = peers
         self._rights = rights
@@ -100,17 +100,17 @@
         timers.every(period_seconds=TICK_SECONDS, callback=self._tick)
 
     def update_workspaces(self, rates: Mapping[str, limits.Limit]) -> None:
-        """Put the published rates in force at once.
+        """Apply the published rates immediately.
 
-        :param rates: the fleet's rate and burst of every workspace
+        :param rates: fleet-wide rate and burst by workspace
         """
         self._workspaces = dict(rates)
         self._put_in_force()
 
     def update_budgets(self, budgets: Mapping[str, limits.Limit]) -> None:
-        """Put other limits of the fleet in force, handled like rates.
+        """Apply other fleet-wide limits, which are handled like rates.
 
-        :param budgets: limits by a name that no workspace has
+        :param budgets: limits by a name that differs from all workspaces
         """
         self._budgets = dict(budgets)
         self._put_in_force()
@@ -118,22 +118,22 @@
     def update_data_centres(
         self, *, revision: int, weights: Mapping[str, float]
     ) -> None:
-        """Take in the published weights; a raise waits until it is safe.
+        """Apply published weights; an increase waits until it is safe.
 
-        :param revision: of the document; it rises with every change
+        :param revision: revision of the document; rises with every change
         :param weights: weight by data centre
         """
         self._shares.update(revision=revision, weights=weights)
 
     def leave(self) -> None:
-        """Hand over every bucket; call it when a planned stop begins."""
+        """Hand over all buckets at the start of a planned stop."""
         self._holders.give_up()
 
     def buckets(self, now_seconds: float) -> list[ledgers.Ledger]:
-        """List the buckets that are ours at this moment, for inspection.
+        """List the buckets that this instance holds now, for inspection.
 
-        :param now_seconds: the clock
-        :return: buckets, refilled up to now
+        :param now_seconds: current time
+        :return: buckets, refilled up to that time
         """
         held = [
             tenure.ledger
--- a/src/boragefold/coordination/rates/shares.py
+++ b/src/boragefold/coordination/rates/shares.py
@@ -1,15 +1,17 @@
-"""Which part of every rate is ours, while the published weights change.
-
-Two data centres may read a change of the weights at different times, and one
-that is cut off may not read it for hours. If the one whose part grew used it
-at once, the parts in use would add up to more than the rate. A raise waits
-until every member of the views of those whose part fell has said that it knows
-just this revision: whichever of them is or becomes the holder uses the lower
-part. A later one won't do: who missed ours may use more than ours leaves it.
-
-A fresh process knows no earlier weights, one that was paused only old ones.
-With every view a process asks its own data centre's members which part they
-use, and takes the smallest.
+"""This data centre's part of every rate, while published weights change.
+
+Two data centres may read a change of the weights at different times, and a
+partitioned one may not read it for hours. If a data centre whose part grows
+used the larger part immediately, the parts in use would add up to more than
+the rate. An increase therefore waits until all view members of the data
+centres whose part shrinks have confirmed that they know exactly this revision:
+whichever of them is or becomes the holder then uses the smaller part. A later
+revision does not count, because a data centre that missed this revision may
+use more than this revision leaves for it.
+
+A new process knows no earlier weights, and a process that was paused knows
+only old ones. After every view change a process asks the members of its own
+data centre which part they use, and takes the smallest.
 """
 
 from __future__ import annotations
@@ -29,7 +31,7 @@
 
 
 class Shares:
-    """The parts of the data centres, lowered at once and raised when safe."""
+    """Parts of the data centres, decreased at once and increased when safe."""
 
     def __init__(
         self,
@@ -40,13 +42,13 @@
         counters: counting.Counters,
         changed: Callable[[], None],
     ) -> None:
-        """Know no weights yet.
+        """Start without weights.
 
-        :param peers: to other instances
-        :param rights: for the members of the data centres
-        :param timers: the timer service
-        :param counters: where raises are counted
-        :param changed: called when our part has changed
+        :param peers: connection to other instances
+        :param rights: views with the members of the data centres
+        :param timers: timer service
+        :param counters: receives the counts of increases
+        :param changed: called after this data centre's part has changed
         """
         self._link = peers
         self._rights = rights
@@ -62,7 +64,7 @@
         self._learned: set[ids.InstanceId] = set()
         self._learning: timing.Subscription | None = None
         self._asking: timing.Subscription | None = None
-        # Until our data centre's members have said which part they use.
+        # True until the members of this data centre have reported their part.
         self._holding = False
         self._least_part = float("inf")
         peers.subscribe(rate_messages.SharesAsked, self._asked)
@@ -70,15 +72,15 @@
         rights.subscribe(lambda view: self._learn_anew())
 
     def own_limit(self, limit: limits.Limit) -> limits.Limit:
-        """Take our data centre's part in force.
+        """Return this data centre's part of a limit.
 
-        :param limit: of the whole fleet
-        :return: our part; nothing before any weights are known
+        :param limit: limit of the whole fleet
+        :return: the part in force; zero before any weights are known
         """
         nothing = limit.part(0.0)
         published = limits.split(limit, self._parts)
         in_force = limits.split(limit, self._in_force)
-        # Both are the same unless a raise waits.
+        # They differ only while an increase waits.
         one = published.get(self._own_name, nothing)
         other = in_force.get(self._own_name, nothing)
         return one._replace(
@@ -89,18 +91,18 @@
         )
 
     def parts(self, limit: limits.Limit) -> dict[str, limits.Limit]:
-        """Split a limit as published.
+        """Split a limit by the published weights.
 
-        :param limit: of the whole fleet
+        :param limit: limit of the whole fleet
         :return: parts by data centre
         """
         return limits.split(limit, self._parts)
 
     def update(self, *, revision: int, weights: Mapping[str, float]) -> None:
-        """Take in published weights; older revisions are ignored.
+        """Apply published weights; older revisions are ignored.
 
-        :param revision: rises with every change
-        :param weights: weights by data centre
+        :param revision: revision that rises with every change
+        :param weights: weight by data centre
         """
         if revision <= self._revision:
             return
@@ -119,7 +121,7 @@
             if self._parts.get(name, 0.0) < part and name != self._own_name
         }
         if missed:
-            # A revision in between may have raised any of the others.
+            # A missed revision may have increased the part of any other one.
             self._lowered |= self._parts.keys() - {self._own_name}
         if first:
             self._holding = True
@@ -167,7 +169,7 @@
         self._learn()
 
     def _learn(self) -> None:
-        """Ask the members of our view which part they use, once each."""
+        """Ask members that have not answered yet which part they use."""
         if self._learning is None:
             return
         view = self._rights.directory().get(self._own_name)
@@ -187,7 +189,7 @@
     def _learn_from(
         self, sender: ids.InstanceId, known: rate_messages.SharesKnown
     ) -> None:
-        # Members may hold back a raise; a restart must not undo that.
+        # Members may be delaying an increase; a restart must not skip it.
         if self._learning is None:
             return
         if self._holding:
@@ -209,7 +211,7 @@
     def _learn_while_holding(
         self, sender: ids.InstanceId, known: rate_messages.SharesKnown
     ) -> None:
-        # A member that is as fresh as we are knows of no raise that waits.
+        # A member that has just started too knows of no delayed increase.
         self._learned.add(sender)
         if known.revision >= 0:
             self._newest_revision = max(self._newest_revision, known.revision)
@@ -217,11 +219,11 @@
         self._learn()
 
     def _stop_holding(self) -> None:
-        """Use the part that the members of our data centre use, at most.
+        """Start with at most the part that members of the data centre use.
 
-        A paused member can't say that a raise waits. If a fresh process used
-        the published part before it has answered or left the view, the parts
-        in use would add up to more than the rate.
+        A paused member can't report a delayed increase. If a new process used
+        the published part before that member has answered or left the view,
+        the parts in use would add up to more than the rate.
         """
         if not self._holding:
             return
@@ -238,10 +240,10 @@
         self._ask()
 
     def _everybody_knows(self) -> bool:
-        # A partitioned data centre without a view may still grant by the old
-        # weights.
+        # A partitioned data centre without a known view may still grant by
+        # the old weights.
         if self._revision < self._newest_revision:
-            # Our peers know newer weights.
+            # Members of this data centre know newer weights.
             return False
         waited_for = self._lowered & self._parts.keys()
         if not waited_for <= self._rights.directory().keys():
@@ -272,7 +274,8 @@
         if sender.data_centre == self._own_name:
             self._learn_from(sender, known)
             return
-        # Whoever read a later revision may use a larger part than ours leaves.
+        # A sender with a later revision may use a larger part than this
+        # revision leaves for it.
         if self._asking is None or known.revision != self._revision:
             return
         self._knowing.add(sender)
@@ -281,7 +284,7 @@
         self._raise_later()
 
     def _raise_later(self) -> None:
-        # Grants and loans by the old weights may be charged until they end.
+        # Grants and loans by the old weights are valid until they expire.
         if self._asking is not None:
             self._asking.cancel()
         self._asking = self._timers.once(
--- a/src/boragefold/coordination/rates/stock.py
+++ b/src/boragefold/coordination/rates/stock.py
@@ -1,4 +1,4 @@
-"""The tokens that this instance may spend: grants from the holders."""
+"""Tokens that this instance may spend, granted by the holders of the rates."""
 
 from __future__ import annotations
 
@@ -14,25 +14,26 @@
 from boragefold.telemetry import counters as counting
 from boragefold.timing import timers as timing
 
-# Tokens are fetched ahead, so that most requests find them here.
+# Tokens are requested ahead of need, so that most requests need not wait.
 AHEAD_SECONDS = 0.5
 LOW_SECONDS = 0.2
 
-# Tokens fetched ahead for fewer would mostly go back unused.
+# With fewer recent requests most tokens fetched ahead would remain unused.
 FETCH_REQUESTS = 3
 
-# Another request was being sent.
+# Delay after a response without tokens to a request that only fetched ahead.
 AGAIN_SECONDS = 0.005
 
-# The holder is then taken for dead until the next view names one.
+# After this many unanswered requests the holder is considered dead until the
+# next view selects one.
 UNANSWERED = 2
 
-# The usual time that a view takes.
+# Usual duration of a view change.
 NO_HOLDER_SECONDS = 1.0
 
 
 class LeasedStock(stock.Stock):
-    """Spends grants, and asks the holder for the next ones."""
+    """Spends granted tokens and requests more from the holder."""
 
     def __init__(
         self,
@@ -43,13 +44,13 @@
         open_grant_pool: Callable[[str], grant_pools.GrantPool],
         has_holder: Callable[[str], bool],
     ) -> None:
-        """Start with no tokens.
+        """Start without tokens.
 
-        :param timers: the timer service
-        :param counters: where refusals are counted
-        :param limit_of: the fleet's rate and burst of a workspace
-        :param open_grant_pool: makes the pool of a workspace
-        :param has_holder: tells whether anybody could be asked
+        :param timers: timer service
+        :param counters: receives the counts of shortfalls
+        :param limit_of: returns the fleet-wide limit of a workspace
+        :param open_grant_pool: creates the grant pool of a workspace
+        :param has_holder: returns whether a holder of the rate is known
         """
         self._timers = timers
         self._counters = counters
@@ -63,11 +64,11 @@
     def reserve(
         self, *, workspace: str, tokens: float
     ) -> stock.Reservation | stock.Shortfall:
-        """Set tokens aside, or say why not and when to come back.
+        """Reserve tokens, or return a shortfall with the expected wait.
 
-        :param workspace: whose rate is charged
-        :param tokens: prompt tokens plus the most that may be generated
-        :return: a reservation, or the shortfall
+        :param workspace: workspace whose rate is charged
+        :param tokens: prompt tokens plus the maximum of generated tokens
+        :return: a reservation or a shortfall
         """
         limit = self._limit_of(workspace)
         if limit is None:
@@ -92,10 +93,10 @@
     def settle(
         self, reservation: stock.Reservation, *, used_tokens: float
     ) -> None:
-        """Give back what a finished, failed or abandoned request left over.
+        """Return the unused tokens of a request that has ended.
 
-        :param reservation: from :meth:`reserve`
-        :param used_tokens: prompt and generated tokens really spent
+        :param reservation: result of :meth:`reserve`
+        :param used_tokens: prompt and generated tokens that were used
         """
         if reservation.settled or not isinstance(
             reservation, accounts.Charged
@@ -105,7 +106,7 @@
         account = self._account(reservation.workspace)
         excess_tokens = used_tokens - reservation.tokens
         if excess_tokens > 0:
-            # Charged here, the excess isn't granted a second time.
+            # Charging the excess prevents it from being granted again.
             self._counters.add("rate_overruns", "", excess_tokens)
             left_tokens = account.grant_pool.left_tokens()
             extra = account.grant_pool.take(min(excess_tokens, left_tokens))
@@ -116,16 +117,16 @@
             self._wake(reservation.workspace, account)
 
     def subscribe(self, callback: Callable[[str], None]) -> None:
-        """Be told when a workspace has got more tokens.
+        """Register a callback for workspaces that received tokens.
 
         :param callback: called with the workspace
         """
         self._callbacks.append(callback)
 
     def answer(self, given: rate_messages.TokensGiven) -> None:
-        """Take in the holder's answer.
+        """Process the holder's response.
 
-        :param given: tokens, or why there are none
+        :param given: tokens, or a refusal
         """
         account = self._accounts.get(given.workspace)
         if account is None:
@@ -140,18 +141,19 @@
             account.refused_tokens = account.wanted_tokens
             self._retry_later(given.workspace, account, given.ready_in_seconds)
         else:
-            # The answer was to a fetch ahead; a request needs tokens now.
+            # This refused a request that only fetched ahead; a waiting
+            # request needs tokens now.
             self._retry_later(given.workspace, account, AGAIN_SECONDS)
 
     def holder_changed(self) -> None:
-        """Ask anew, because earlier requests went to a former holder."""
+        """Repeat requests that were sent to a previous holder."""
         for workspace, account in self._accounts.items():
             account.grant_pool.forget_request()
             account.refused_tokens = 0.0
             self._retry_later(workspace, account, 0.0)
 
     def tick(self) -> None:
-        """Close ended grants, repeat overdue requests, forget idle pools."""
+        """Close expired grants, repeat overdue requests, drop idle pools."""
         for workspace, account in list(self._accounts.items()):
             account.grant_pool.tick()
             if account.grant_pool.overdue:
@@ -161,9 +163,9 @@
                 del self._accounts[workspace]
 
     def items(self) -> Iterable[tuple[str, grant_pools.GrantPool]]:
-        """Go through the grants of this instance.
+        """List the grants of this instance.
 
-        :return: pools of grants by workspace
+        :return: grant pools by workspace
         """
         return [
             (workspace, account.grant_pool)
@@ -237,8 +239,8 @@
     def _ask_quietly(
         self, account: accounts.Account, needed_tokens: float
     ) -> None:
-        # The answer may come inside the caller's own call, which must not
-        # reserve twice.
+        # The response may arrive within the caller's own call; waking
+        # subscribers then would make it reserve twice.
         use_tokens = account.use.tokens(self._timers.now_seconds())
         was_reserving, self._reserving = self._reserving, True
         try:
--- a/src/boragefold/coordination/rates/surroundings.py
+++ b/src/boragefold/coordination/rates/surroundings.py
@@ -1,4 +1,4 @@
-"""What the holder of a rate asks its instance for."""
+"""Functions of the instance that the holder of a rate calls."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Surroundings:
-    """What a tenure asks its instance for."""
+    """Functions and names that a tenure needs from its instance."""
 
     def __init__(
         self,
@@ -23,14 +23,14 @@
         holds: Callable[[], bool],
         lender_parts: Callable[[], dict[str, limits.Limit]],
     ) -> None:
-        """Bind the questions to their answers.
-
-        :param workspace: whose rate is held
-        :param data_centre: our own
-        :param send: sends an answer
-        :param holds: tells whether the right is ours at this moment
-        :param lender_parts: the other data centres that have a holder, and
-            their parts of the rate
+        """Store the functions.
+
+        :param workspace: workspace whose rate is held
+        :param data_centre: data centre of this instance
+        :param send: sends a response
+        :param holds: returns whether this instance holds the rate now
+        :param lender_parts: returns the parts of the limit by data centre, of
+            the other data centres that have a holder
         """
         self.workspace = workspace
         self.data_centre = data_centre
--- a/src/boragefold/coordination/rates/tenure.py
+++ b/src/boragefold/coordination/rates/tenure.py
@@ -1,4 +1,4 @@
-"""The time during which one instance holds the rate of one workspace."""
+"""Granting, lending and borrowing by the holder of one workspace's rate."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from boragefold.protocol import ids
 from boragefold.protocol import rate_messages
 
-# So that one instance can't empty the bucket ahead of need.
+# Prevents one instance from emptying the bucket with tokens fetched ahead.
 AHEAD_PART = 0.25
 
 LEAST_WAIT_SECONDS = 0.01
 
 
 class Tenure:
-    """Owns one bucket; grants, lends and borrows."""
+    """Owns the bucket of a rate while this instance holds that rate."""
 
     def __init__(
         self,
@@ -31,12 +31,12 @@
         around: surroundings.Surroundings,
         now_seconds: Callable[[], float],
     ) -> None:
-        """Begin to hold the right.
+        """Start to hold the rate.
 
-        :param ledger: the bucket of this data centre's part
-        :param lenders: for loans from other data centres
-        :param around: what the instance knows
-        :param now_seconds: the clock
+        :param ledger: bucket of this data centre's part
+        :param lenders: loans from other data centres
+        :param around: functions of the instance
+        :param now_seconds: clock
         """
         self.workspace = around.workspace
         self.ledger = ledger
@@ -50,15 +50,16 @@
     def asked(
         self, asker: ids.InstanceId, request: rate_messages.TokensAsked
     ) -> None:
-        """Take in reports, then grant, lend, queue or refuse.
+        """Process the reports, then grant, lend, queue or refuse tokens.
 
-        :param asker: an instance of ours, or another data centre's holder
+        :param asker: instance of this data centre, or holder in another one
         :param request: its message
         """
         now_seconds = self._now_seconds()
         self.reported(asker, request.usages)
         if request.number <= self._newest.get(asker, -1):
-            # The asker ignores a second answer, so the tokens would be lost.
+            # The asker ignores a second response, and the tokens in it would
+            # be lost.
             return
         self._newest[asker] = request.number
         if asker.data_centre != self._around.data_centre:
@@ -75,10 +76,9 @@
         self.serve()
 
     def serve(self) -> float | None:
-        """Grant what can be granted, in the order of arrival.
+        """Serve waiting requests in order of arrival.
 
-        :return: seconds until the next try is worth while, None when nobody
-            waits
+        :return: seconds until the next attempt, or None if no request waits
         """
         now_seconds = self._now_seconds()
         self.ledger.advance(now_seconds)
@@ -100,19 +100,19 @@
     def answered(
         self, lender: ids.InstanceId, given: rate_messages.TokensGiven
     ) -> None:
-        """Take in a loan, or the refusal of one.
+        """Process a loan or its refusal.
 
-        :param lender: another data centre's holder
-        :param given: its answer
+        :param lender: holder in another data centre
+        :param given: its response
         """
         self.lenders.answer(lender.data_centre, given)
 
     def reported(
         self, asker: ids.InstanceId, usages: Iterable[rate_messages.Usage]
     ) -> None:
-        """Take in what became of tokens that were granted or lent.
+        """Process reports on granted or lent tokens.
 
-        :param asker: who got them
+        :param asker: instance that received the tokens
         :param usages: its reports
         """
         self.ledger.advance(self._now_seconds())
@@ -120,7 +120,7 @@
             self._report(asker, usage)
 
     def tick(self) -> None:
-        """Forget what is too old to come back."""
+        """Drop entries that are too old for their tokens to be returned."""
         self.ledger.advance(self._now_seconds())
         self.ledger.settle_old(self._now_seconds())
         self.lenders.tick()
@@ -133,7 +133,7 @@
         return have_tokens + limits.TINY_TOKENS >= tokens
 
     def _grant(self, waiting: queues.Waiting) -> None:
-        # Loans expire, so they are spent first.
+        # Loans expire, so they are spent before the own bucket's tokens.
         level_tokens = self.ledger.level_tokens
         have_tokens = level_tokens + self.lenders.left_tokens()
         spare_tokens = max(0.0, have_tokens - waiting.needed_tokens)
@@ -162,7 +162,7 @@
     def _lend(
         self, asker: ids.InstanceId, request: rate_messages.TokensAsked
     ) -> None:
-        # The own data centre's requests come before loans.
+        # Requests of the own data centre take precedence over loans.
         self.ledger.recount()
         spare_tokens = max(
             0.0, self.ledger.level_tokens - self._waiting.needed_tokens
@@ -186,8 +186,8 @@
         tokens: float,
         life_seconds: float,
     ) -> None:
-        # After a pause the right may be another's: check right before the
-        # debit.
+        # Another instance may hold the rate after a pause of this process, so
+        # the check comes right before the debit.
         if not self._around.holds():
             return
         if tokens <= limits.TINY_TOKENS:
@@ -237,7 +237,7 @@
 
     def _borrow(self) -> None:
         have_tokens = self.ledger.level_tokens + self.lenders.left_tokens()
-        # Fetches ahead, rather than borrow for each request.
+        # Borrows ahead of need instead of once for each request.
         self.lenders.ask(
             self._around.lender_parts(),
             short_tokens=self._waiting.needed_tokens - have_tokens,
@@ -245,9 +245,9 @@
         )
 
     def _tell_waiting(self) -> float | None:
-        """Refuse those who would wait too long, tell the others how long.
+        """Refuse requests with too long a wait and announce it to the others.
 
-        :return: seconds until the first of the others can be served
+        :return: seconds until the first remaining request can be served
         """
         now_seconds = self._now_seconds()
         in_flight = self.lenders.in_flight()
--- a/src/boragefold/coordination/rates/usage.py
+++ b/src/boragefold/coordination/rates/usage.py
@@ -1,4 +1,4 @@
-"""How much was used of late."""
+"""Estimate of the recent token use."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class RecentUse:
-    """An exponentially decaying sum of tokens."""
+    """Exponentially decaying sum of tokens."""
 
     def __init__(self) -> None:
         self._tokens = 0.0
         self._at_seconds = 0.0
 
     def add(self, tokens: float, now_seconds: float) -> None:
-        """Count tokens.
+        """Add used tokens.
 
-        :param tokens: what was used
-        :param now_seconds: the clock
+        :param tokens: used tokens
+        :param now_seconds: current time
         """
         self._tokens = self.tokens(now_seconds) + tokens
         self._at_seconds = now_seconds
 
     def tokens(self, now_seconds: float) -> float:
-        """Estimate what is used in one second.
+        """Estimate the tokens used per second.
 
-        :param now_seconds: the clock
+        :param now_seconds: current time
         :return: tokens
         """
         elapsed_seconds = now_seconds - self._at_seconds
--- a/src/boragefold/coordination/rates/waiting.py
+++ b/src/boragefold/coordination/rates/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait at a holder, in the order of arrival."""
+"""Token requests queued at a holder, in order of arrival."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class Queue:
-    """One request per asker; a repeated one keeps its place."""
+    """Queue with one request per asker; a repeated one keeps its position."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self._waiting: dict[ids.InstanceId, Waiting] = {}
 
     def __iter__(self) -> Iterator[Waiting]:
@@ -35,7 +35,7 @@
 
     @property
     def needed_tokens(self) -> float:
-        """Sum what is needed.
+        """Sum the tokens that the requests need.
 
         :return: tokens
         """
@@ -43,28 +43,28 @@
 
     @property
     def ahead_tokens(self) -> float:
-        """Sum what is wanted if there are plenty.
+        """Sum the additional tokens that the requests fetch ahead.
 
         :return: tokens
         """
         return sum(each.ahead_tokens for each in self._waiting.values())
 
     def put(self, waiting: Waiting) -> None:
-        """Add a request, or replace an earlier one of the same asker.
+        """Add a request or replace an earlier one of the same asker.
 
         :param waiting: the request
         """
         self._waiting[waiting.asker] = waiting
 
     def first(self) -> Waiting:
-        """Look at the request that came first.
+        """Return the request that arrived first; the queue must not be empty.
 
-        :return: the request; the queue must not be empty
+        :return: the request
         """
         return next(iter(self._waiting.values()))
 
     def remove(self, waiting: Waiting) -> None:
-        """Take a request out.
+        """Remove a request.
 
         :param waiting: the request
         """
