--- a/tests/coordination/rates/test_faults.py
+++ b/tests/coordination/rates/test_faults.py
@@ -1,4 +1,4 @@
-"""Random walks through faults; the rate has to hold on every one."""
+"""Randomized fault tests; the rate must hold in every run."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Walk:
-    """Draws one event after another from a seed."""
+    """Draws a sequence of events from a seed."""
 
     def __init__(self, *, seed: int) -> None:
         self.random = random.Random(seed)
@@ -131,7 +131,7 @@
         self.start_instead(name, process)
 
     def start_instead(self, name: str, process: fakes.Process) -> None:
-        """Replace a process; the fresh one boots from its neighbours."""
+        """Replace a process; the new one starts with its neighbours' state."""
         newest = max(
             self.known.get(each.node.self_id.incarnation, 0)
             for each in self.fleet.processes[name]
@@ -143,7 +143,7 @@
         self.known[fresh.node.self_id.incarnation] = newest
 
     def weigh(self) -> None:
-        """Publish other weights; only some processes read them at once."""
+        """Publish other weights, which only some processes read at once."""
         self.published.append(
             {
                 name: self.random.choice((1.0, 2.0, 4.0))
@@ -196,10 +196,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_window_exceeds_burst_and_rate(seed: int) -> None:
-    # Messages get lost, doubled and late, processes are killed, paused and
-    # woken, views change with and without a hand-over, data centres are cut
-    # off. A caller would see more tokens than the workspace has, if any
-    # token came into the world twice.
+    # Messages are lost, duplicated and delayed, processes are killed, paused
+    # and resumed, views change with and without a hand-over, and data centres
+    # are partitioned. If any token was created twice, a caller would get more
+    # tokens than the workspace's rate allows.
     walk = Walk(seed=seed)
     for _ in range(STEPS):
         walk.random.choice(walk.events)()
@@ -210,7 +210,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_callers_get_most_of_a_rate_that_is_not_disturbed(seed: int) -> None:
-    # The counterpart: a stock that never grants would pass the other test.
+    # A stock that never grants anything would pass the test above.
     fleet = fakes.Fleet(seed=seed, per_data_centre=3, loss=0.01)
     fleet.run_for(10.0)
     start = fleet.network.clock.now_seconds()
--- a/tests/coordination/rates/test_grant_pool.py
+++ b/tests/coordination/rates/test_grant_pool.py
@@ -11,7 +11,7 @@
 
 
 class Source:
-    """A pool of grants, and what it sent."""
+    """A grant pool that records the requests it sends."""
 
     def __init__(self) -> None:
         self.clock = clocks.VirtualClock()
@@ -31,7 +31,7 @@
         )
 
     def usages(self) -> tuple[rate_messages.Usage, ...]:
-        """Look at what a request would carry now."""
+        """Return the reports that a request carries now."""
         self.grant_pool.tick()
         self.grant_pool.ask(needed_tokens=1.0, ahead_tokens=0.0)
         return self.sent[-1].usages
@@ -45,7 +45,7 @@
 
 
 def test_a_doubled_grant_counts_once(source) -> None:
-    # The network delivers a grant twice; the holder debited it once.
+    # The network delivers a grant twice, but the holder debited it once.
     assert source.give(100.0)
     source.grant_pool.take(60.0)
     assert not source.give(100.0)
@@ -53,9 +53,9 @@
 
 
 def test_a_grant_ends_counted_from_its_request(source) -> None:
-    # The answer takes most of a grant's life. The holder lets the tokens
-    # refill once a life has passed since it debited them, so the receiver
-    # must not count from the arrival.
+    # The response takes most of a grant's validity. The holder refills the
+    # tokens one validity period after it debited them, so the receiver must
+    # not count from the arrival of the response.
     source.clock.move_to(limits.GRANT_SECONDS - 0.1)
     assert source.give(100.0)
     source.clock.move_to(limits.GRANT_SECONDS + 0.1)
@@ -63,7 +63,7 @@
 
 
 def test_an_answer_after_the_end_is_worthless(source) -> None:
-    # It was reported as never received, so the holder has it back already.
+    # The grant was reported as unused, so the holder already took it back.
     source.clock.move_to(limits.GRANT_SECONDS)
     assert source.usages() == (rate_messages.Usage(0, 0.0, True),)
     assert not source.give(100.0)
@@ -72,8 +72,8 @@
 
 def test_what_was_granted_on_is_not_reported_as_charged(source) -> None:
     # A borrower grants a loan on to an instance, which may still charge it.
-    # If the lender took it for charged, it would refill its place at once,
-    # and both amounts could be charged in one instant.
+    # If the lender counted it as charged, it would stop occupying the bucket
+    # at once, and refill and loan could both be charged at the same time.
     source.give(100.0)
     draft = source.grant_pool.take(100.0, loose=True)
     assert source.usages() == ()
@@ -92,7 +92,7 @@
 
 
 def test_reports_are_repeated_until_acknowledged(source) -> None:
-    # The message that gives tokens back is lost.
+    # The message that returns tokens is lost.
     source.give(100.0)
     draft = source.grant_pool.take(100.0)
     assert source.grant_pool.due_usages(after_seconds=0.0) == ()
--- a/tests/coordination/rates/test_ledger.py
+++ b/tests/coordination/rates/test_ledger.py
@@ -36,9 +36,9 @@
 
 
 def test_a_late_remainder_can_not_exceed_the_burst() -> None:
-    # A request reserves the burst and runs for a minute; meanwhile the
-    # bucket fills again. Were its remainder added to the level, two bursts
-    # could be charged in one instant.
+    # A request reserves the whole burst and runs for a minute, while the
+    # bucket refills. If its unused tokens were added to the level, two bursts
+    # could be charged at the same time.
     ledger = full()
     give(ledger, 0, 300.0, 10.0)
     report(ledger, 0, 300.0, 10.1, final=False)
@@ -75,7 +75,7 @@
 
 
 def test_held_tokens_keep_their_place_until_settled() -> None:
-    # A limit on what is in flight: nothing refills what is still running.
+    # A limit on running requests: their tokens do not refill.
     limit = limits.Limit(1e6, 8.0, 10.0)
     ledger = ledgers.Ledger(limit=limit, now_seconds=0.0, wait_seconds=0.0)
     ledger.advance(1.0)
@@ -131,8 +131,8 @@
 
 
 def test_a_changed_rate_leaves_live_grants_their_place() -> None:
-    # The operators change a rate while tokens are out that may still be
-    # charged. Were their place given up, the refill would come on top.
+    # The rate changes while granted tokens may still be charged. If they
+    # stopped occupying the bucket, the refill would be granted on top of them.
     ledger = full()
     give(ledger, 0, 250.0, 10.0)
     ledger.change(limits.Limit(110.0, 300.0), now_seconds=10.5)
--- a/tests/coordination/rates/test_service.py
+++ b/tests/coordination/rates/test_service.py
@@ -25,9 +25,9 @@
 
 
 def test_the_whole_burst_in_one_data_centre(fleet) -> None:
-    # All callers of a workspace sit in one data centre, and one of them sends
-    # a request as large as the burst. The local part is a third of it; the
-    # others must lend theirs.
+    # All callers of a workspace are in one data centre, and one of them sends
+    # a request as large as the burst. The local part is a third of it, so the
+    # other data centres must lend theirs.
     assert fleet.obtain(fleet.other("north"), 900.0, within_seconds=0.5)
     assert fleet.excess_tokens() <= TINY
 
@@ -51,9 +51,9 @@
 
 
 def test_a_cut_leaves_the_own_part(fleet) -> None:
-    # The regions lose each other while every data centre is asked for more
-    # than the whole rate. Each goes on with its own part, and the parts
-    # together stay within the rate.
+    # The data centres are partitioned while each is asked for more than the
+    # whole rate. Each continues with its own part, and the parts together stay
+    # within the rate.
     fleet.network.is_cut = lambda one, other: (
         one.data_centre != other.data_centre
     )
@@ -70,7 +70,7 @@
 
 def test_a_new_holder_starts_empty(fleet) -> None:
     # The holder is killed right after it granted a whole burst, part of which
-    # is not charged yet. Its successor must not grant on top of that.
+    # is not charged yet. The next holder must not grant more on top of that.
     killed = fleet.holder("north")
     fleet.obtain(fleet.other("north"), 100.0, within_seconds=0.1)
     fleet.kill(killed)
@@ -95,9 +95,9 @@
 
 
 def test_a_paused_holder_grants_nothing_when_it_wakes(fleet) -> None:
-    # The holder stops for a minute; its lease ends and another takes over.
-    # When it wakes, the requests that waited in its socket are handled before
-    # it hears of the new view.
+    # The holder is paused for a minute; its lease expires and another instance
+    # becomes the holder. After the pause the process handles the requests in
+    # its socket buffer before it learns of the new view.
     paused = fleet.holder("north")
     process = fleet.other("north")
     fleet.network.pause(paused.node)
@@ -115,9 +115,9 @@
 
 
 def test_a_holder_again_after_a_gap_starts_empty(fleet) -> None:
-    # A holder with a full bucket is paused. Another one takes over, grants
-    # all that refills, and the right falls back to the first, which wakes
-    # with the bucket it had.
+    # A holder with a full bucket is paused. Another instance becomes the
+    # holder and grants the whole refill. Then the first one is the holder
+    # again and resumes with its old bucket.
     paused = fleet.holder("north")
     fleet.network.is_cut = lambda one, other: (
         one.data_centre != other.data_centre
@@ -137,8 +137,8 @@
 
 
 def test_a_right_that_ends_within_a_handler(fleet) -> None:
-    # The process is stopped between the start of a handler and the debit,
-    # and its lease ends meanwhile. The grant must not go out.
+    # The process is paused between the start of a handler and the debit, and
+    # its lease expires meanwhile. The grant must not be sent.
     holder = fleet.holder("north")
     process = fleet.other("north")
     bucket = holder.rates.buckets(FULL_SECONDS)[0]
@@ -155,9 +155,9 @@
 
 
 def test_a_raised_weight_waits_for_those_that_fall(fleet) -> None:
-    # The operators move weight to one data centre while another is cut off
-    # and has not read it. If the first used its new part at once, both
-    # together would grant more than the rate.
+    # The weight of one data centre is increased while another one is
+    # partitioned and has not read the change. If the first used its new part
+    # at once, both together would grant more than the rate.
     weights = {"north": 4.0, "south": 1.0, "west": 1.0}
     fleet.network.is_cut = lambda one, other: (
         (one.data_centre == "south") != (other.data_centre == "south")
@@ -178,8 +178,8 @@
 
 
 def test_a_restart_does_not_cut_the_wait_for_a_raise_short(fleet) -> None:
-    # While a raise waits for a data centre that is cut off, instances of the
-    # one that gains are restarted. The fresh ones know only the new weights.
+    # While an increase waits for a partitioned data centre, the instances of
+    # the gaining data centre restart. The new ones know only the new weights.
     weights = {"north": 4.0, "south": 1.0, "west": 1.0}
     fleet.network.is_cut = lambda one, other: (
         (one.data_centre == "south") != (other.data_centre == "south")
@@ -211,9 +211,9 @@
 
 
 def test_unused_tokens_come_back_late(fleet) -> None:
-    # Requests reserve ten times what they use and run for longer than a
-    # grant lives. In any four seconds 21 of them fit into burst and refill
-    # at their full size; were the remainders lost, 12 would.
+    # Requests reserve ten times what they use and run longer than a grant is
+    # valid. In any four seconds 21 of them fit into burst and refill at their
+    # full size; without the return of unused tokens, 12 would.
     process = fleet.other("north")
     start = fleet.network.clock.now_seconds()
     running: list[tuple[float, stock.Reservation]] = []
@@ -232,7 +232,7 @@
 
 
 def test_a_reservation_is_settled_once(fleet) -> None:
-    # A caller hangs up while its answer ends; both paths settle.
+    # A caller disconnects as its response ends, and both code paths settle.
     fleet.network.is_cut = lambda one, other: (
         one.data_centre != other.data_centre
     )
@@ -259,8 +259,8 @@
 
 
 def test_a_silent_holder_is_not_taken_for_a_prompt_one(fleet) -> None:
-    # The holder died and no view has noticed yet. Callers are told to come
-    # back in an instant, again and again, and hold their connections open.
+    # The holder has died but is still in the view. Callers were told to retry
+    # almost immediately, again and again, and kept their connections open.
     process = fleet.other("north")
     fleet.kill(fleet.holder("north"))
     for _ in range(20):
--- a/tests/coordination/rates/test_shares.py
+++ b/tests/coordination/rates/test_shares.py
@@ -1,4 +1,4 @@
-"""Parts of a rate while the published weights change more than once."""
+"""Parts of a rate while the published weights change several times."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 def test_newer_weights_elsewhere_do_not_allow_an_older_raise() -> None:
-    # A caller would see 964 tokens out of a burst of 900. The weights change
-    # twice: one data centre reads the first change, by which it gets more;
-    # the others miss it and read the second, by which they give up less.
-    # Their answer "we know something newer" was taken for a yes.
+    # A caller got 964 tokens out of a burst of 900. The weights change twice:
+    # one data centre reads the first change, which increases its part; the
+    # others miss it and read the second one, which takes less from them.
+    # Their reply with a newer revision was counted as a confirmation.
     fleet = fakes.Fleet()
     fleet.run_for(3.0)
     read(fleet, "north", 2, FIRST)
@@ -45,9 +45,10 @@
 
 
 def test_a_revision_that_was_missed_may_have_raised_anybody() -> None:
-    # As above, but the raise by the first change was in force before: it
-    # took nothing from west, which misses it and sees only that south falls.
-    # West must not raise before north has read the second change as well.
+    # Like the test above, but the increase by the first change was already in
+    # force: it took nothing from west, which misses it and sees only that the
+    # part of south shrinks. West must not increase its part before north has
+    # read the second change as well.
     fleet = fakes.Fleet()
     for name in fakes.DATA_CENTRES:
         read(fleet, name, 2, {"north": 11.0, "south": 16.0, "west": 3.0})
@@ -65,10 +66,10 @@
 
 
 def test_a_fresh_process_without_an_answer_does_not_raise() -> None:
-    # A caller would see up to 1,200 tokens out of a burst of 900. South is to
-    # get more, but the others have not read the change. One process of south
-    # restarts while the other one there is paused: nobody tells the fresh one
-    # that the raise waits, and it uses the published part at once.
+    # A caller got up to 1,200 tokens out of a burst of 900. The part of south
+    # is to grow, but the others have not read the change. One process of south
+    # restarts while the other one there is paused, so nobody tells the new
+    # process that the increase waits, and it used the published part at once.
     fleet = fakes.Fleet(seed=2)
     fleet.run_for(3.0)
     weights = {"north": 1.0, "south": 4.0, "west": 1.0}
