--- a/src/boragefold/coordination/rates/account.py
+++ b/src/boragefold/coordination/rates/account.py
@@ -12,7 +12,7 @@
 from boragefold.timing import timers as timing
 
 # A shortfall counts as current demand for this long.
-WANT_SECONDS = 3.0
+DEMAND_SECONDS = 3.0
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -49,7 +49,7 @@
         :return: whether the demand of that request is still current
         """
         age_seconds = now_seconds - self.wanted_at_seconds
-        return self.wanted_tokens > 0 and age_seconds < WANT_SECONDS
+        return self.wanted_tokens > 0 and age_seconds < DEMAND_SECONDS
 
 
 __all__ = [
--- a/src/boragefold/coordination/rates/grant_pool.py
+++ b/src/boragefold/coordination/rates/grant_pool.py
@@ -138,7 +138,7 @@
             kept = min(tokens, kept_tokens)
             kept_tokens -= kept
             draft.parts[number] = kept
-            self._give_back(number, tokens - kept, pinned=was_loose)
+            self._return_tokens(number, tokens - kept, pinned=was_loose)
 
     def settle(self, draft: grants.Draft, *, used_tokens: float) -> None:
         """Return the unused tokens of a draft; a repeated call is ignored.
@@ -152,7 +152,7 @@
         for number, tokens in draft.parts.items():
             used = min(tokens, used_tokens)
             used_tokens -= used
-            self._give_back(
+            self._return_tokens(
                 number, tokens - used, pinned=draft.loose, final=True
             )
 
@@ -172,7 +172,7 @@
         )
         self._asked_at_seconds = now_seconds
         self._asked_number = number
-        self._post(number, needed_tokens, ahead_tokens)
+        self._send_request(number, needed_tokens, ahead_tokens)
 
     def forget_request(self) -> None:
         """Stop waiting for a response because the holder has changed."""
@@ -248,7 +248,7 @@
         if grant.left_tokens <= limits.TINY_TOKENS:
             self._close(number, grant)
 
-    def _give_back(
+    def _return_tokens(
         self, number: int, tokens: float, *, pinned: bool, final: bool = False
     ) -> None:
         grant = self._grants.get(number)
@@ -277,7 +277,7 @@
         )
         self._outbox.put(usage, now_seconds=self._now_seconds())
 
-    def _post(self, number: int, needed: float, ahead: float) -> None:
+    def _send_request(self, number: int, needed: float, ahead: float) -> None:
         usages = self._outbox.carry(number, now_seconds=self._now_seconds())
         self._send(
             rate_messages.TokensAsked(
--- a/src/boragefold/coordination/rates/holders.py
+++ b/src/boragefold/coordination/rates/holders.py
@@ -23,22 +23,22 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Held:
+class _HeldRate:
     """A tenure and the range of views in which it was held."""
 
     tenure: tenures.Tenure
     epoch: int
     first_number: int
     last_number: int
-    given_up: bool = False
+    released: bool = False
 
 
-class _Pending(NamedTuple):
+class _PendingBucket(NamedTuple):
     """A bucket received before this instance became its holder."""
 
     sender: ids.InstanceId
     bucket: rate_messages.BucketHandedOver
-    came_at_seconds: float
+    received_at_seconds: float
 
 
 class Holders:
@@ -69,12 +69,12 @@
         self._counters = counters
         self._begin = begin
         self._send = send
-        self._held: dict[str, _Held] = {}
+        self._held_rates: dict[str, _HeldRate] = {}
         self._parts: dict[str, limits.Limit] = {}
-        self._pending: dict[str, _Pending] = {}
+        self._pending: dict[str, _PendingBucket] = {}
 
     def __iter__(self) -> Iterator[tenures.Tenure]:
-        return iter([held.tenure for held in self._held.values()])
+        return iter([held.tenure for held in self._held_rates.values()])
 
     def update(self, parts: dict[str, limits.Limit]) -> None:
         """Apply changed limits immediately.
@@ -82,9 +82,9 @@
         :param parts: this data centre's part of each limit by workspace
         """
         self._parts = parts
-        for workspace in self._held.keys() - parts.keys():
-            del self._held[workspace]
-        for workspace, held in self._held.items():
+        for workspace in self._held_rates.keys() - parts.keys():
+            del self._held_rates[workspace]
+        for workspace, held in self._held_rates.items():
             held.tenure.ledger.change(
                 parts[workspace], now_seconds=self._now_seconds()
             )
@@ -103,32 +103,32 @@
         """
         view = self._rights.valid_view()
         if view is None:
-            self._end_if_succeeded(workspace)
+            self._end_if_replaced(workspace)
             return None
         if workspace not in self._parts:
             return None
         if not self._holding.ours(workspace):
-            self._end(workspace, view)
+            self._end_tenure(workspace, view)
             return None
-        held = self._held.get(workspace)
-        if held is None or not self._unbroken(held, view):
-            held = self._gain(workspace, view)
+        held = self._held_rates.get(workspace)
+        if held is None or not self._is_continuous(held, view):
+            held = self._start_tenure(workspace, view)
         held.last_number = view.number
-        return None if held.given_up else held.tenure
+        return None if held.released else held.tenure
 
     def give_up(self) -> None:
         """Hand all buckets over before a planned stop."""
         view = self._rights.valid_view()
-        for workspace, held in self._held.items():
-            if view is None or held.given_up:
+        for workspace, held in self._held_rates.items():
+            if view is None or held.released:
                 continue
             others = tuple(
                 member
                 for member in view.members
                 if member != self._rights.self_id
             )
-            held.given_up = True
-            if others and self._unbroken(held, view):
+            held.released = True
+            if others and self._is_continuous(held, view):
                 held.last_number = view.number
                 held.tenure.ledger.advance(self._now_seconds())
                 self._hand_over(workspace, held, view._replace(members=others))
@@ -141,14 +141,14 @@
         :param sender: previous holder
         :param bucket: state of the bucket when it was released
         """
-        self._pending[bucket.workspace] = _Pending(
+        self._pending[bucket.workspace] = _PendingBucket(
             sender, bucket, self._now_seconds()
         )
-        held = self._held.get(bucket.workspace)
+        held = self._held_rates.get(bucket.workspace)
         if held is not None:
-            self._inherit(bucket.workspace, held)
+            self._apply_pending(bucket.workspace, held)
 
-    def _unbroken(self, held: _Held, view: membership.View) -> bool:
+    def _is_continuous(self, held: _HeldRate, view: membership.View) -> bool:
         # Between views that don't follow each other another instance may have
         # held the rate and granted from a bucket of its own.
         return (
@@ -156,7 +156,9 @@
             and held.last_number <= view.number <= held.last_number + 1
         )
 
-    def _gain(self, workspace: str, view: membership.View) -> _Held:
+    def _start_tenure(
+        self, workspace: str, view: membership.View
+    ) -> _HeldRate:
         # Grants of a previous holder may be charged until they expire, so the
         # bucket starts to refill only afterwards.
         part = self._parts[workspace]
@@ -167,18 +169,18 @@
             + limits.MARGIN_SECONDS
             + part.hold_seconds,
         )
-        held = _Held(
+        held = _HeldRate(
             tenure=self._begin(workspace, ledger),
             epoch=view.epoch,
             first_number=view.number,
             last_number=view.number,
         )
-        self._held[workspace] = held
+        self._held_rates[workspace] = held
         self._counters.add("rate_tenures", "gained")
-        self._inherit(workspace, held)
+        self._apply_pending(workspace, held)
         return held
 
-    def _inherit(self, workspace: str, held: _Held) -> None:
+    def _apply_pending(self, workspace: str, held: _HeldRate) -> None:
         now_seconds = self._now_seconds()
         pending = self._pending.get(workspace)
         if pending is None:
@@ -188,7 +190,7 @@
             bucket.epoch,
             bucket.view_number + 1,
         )
-        age_seconds = now_seconds - pending.came_at_seconds
+        age_seconds = now_seconds - pending.received_at_seconds
         if not follows or age_seconds > PENDING_SECONDS:
             return
         del self._pending[workspace]
@@ -204,9 +206,9 @@
         )
         self._counters.add("rate_tenures", "inherited")
 
-    def _end_if_succeeded(self, workspace: str) -> None:
+    def _end_if_replaced(self, workspace: str) -> None:
         """End a tenure if a later view without this instance is known."""
-        held = self._held.get(workspace)
+        held = self._held_rates.get(workspace)
         own_name = self._rights.self_id.data_centre
         latest = self._rights.directory().get(own_name)
         if held is None or latest is None:
@@ -215,18 +217,18 @@
         if (latest.epoch, latest.number) > last and (
             self._rights.self_id not in latest.members
         ):
-            self._end(workspace, latest)
+            self._end_tenure(workspace, latest)
 
-    def _end(self, workspace: str, view: membership.View) -> None:
-        held = self._held.pop(workspace, None)
+    def _end_tenure(self, workspace: str, view: membership.View) -> None:
+        held = self._held_rates.pop(workspace, None)
         if held is None:
             return
         self._counters.add("rate_tenures", "lost")
-        if not held.given_up and self._unbroken(held, view):
+        if not held.released and self._is_continuous(held, view):
             self._hand_over(workspace, held, view)
 
     def _hand_over(
-        self, workspace: str, held: _Held, view: membership.View
+        self, workspace: str, held: _HeldRate, view: membership.View
     ) -> None:
         """Send the bucket's last state to the next holder."""
         ledger = held.tenure.ledger
--- a/src/boragefold/coordination/rates/holding.py
+++ b/src/boragefold/coordination/rates/holding.py
@@ -7,7 +7,7 @@
 from boragefold.protocol import ids
 
 # Bounds the memory of the cache.
-MOST_REMEMBERED = 100_000
+MAX_CACHED = 100_000
 
 
 class Holding:
@@ -19,7 +19,7 @@
         :param rights: views of the data centres
         """
         self._rights = rights
-        self._found: dict[tuple[str, int, int, str], ids.InstanceId] = {}
+        self._cache: dict[tuple[str, int, int, str], ids.InstanceId] = {}
 
     def here(self, workspace: str) -> ids.InstanceId | None:
         """Find the holder in this instance's data centre.
@@ -68,12 +68,12 @@
         :return: the holder
         """
         key = (view.data_centre, view.epoch, view.number, workspace)
-        found = self._found.get(key)
+        found = self._cache.get(key)
         if found is None:
-            if len(self._found) >= MOST_REMEMBERED:
-                self._found.clear()
+            if len(self._cache) >= MAX_CACHED:
+                self._cache.clear()
             found = membership.holder(view, limits.right_of(workspace))
-            self._found[key] = found
+            self._cache[key] = found
         return found
 
 
--- a/src/boragefold/coordination/rates/ledger.py
+++ b/src/boragefold/coordination/rates/ledger.py
@@ -23,7 +23,7 @@
 
 # Bounds the cost of a replay; the oldest entries beyond it are finished, and
 # their unused tokens are no longer returned.
-MOST_EVENTS = 1000
+MAX_EVENTS = 1000
 
 
 _Key = tuple[ids.InstanceId, int]
@@ -43,12 +43,12 @@
         """
         self._limit = limit
         self._starts_at_seconds = now_seconds + wait_seconds
-        self._past = buckets.Bucket(at_seconds=self._starts_at_seconds)
-        self._now = dataclasses.replace(self._past)
-        self._open: dict[_Key, buckets.Entry] = {}
+        self._base = buckets.Bucket(at_seconds=self._starts_at_seconds)
+        self._current = dataclasses.replace(self._base)
+        self._open_entries: dict[_Key, buckets.Entry] = {}
         self._events: list[buckets.Event] = []
         self._applied = 0
-        self._stale = False
+        self._needs_replay = False
         self._order = itertools.count()
 
     @property
@@ -65,7 +65,7 @@
 
         :return: tokens
         """
-        return max(0.0, self._now.level_tokens)
+        return max(0.0, self._current.level_tokens)
 
     @property
     def occupied_tokens(self) -> float:
@@ -73,7 +73,7 @@
 
         :return: tokens
         """
-        return max(0.0, self._now.occupied_tokens)
+        return max(0.0, self._current.occupied_tokens)
 
     def starts_in_seconds(self, now_seconds: float) -> float:
         """Return the remaining time until the bucket of a new holder refills.
@@ -95,11 +95,11 @@
         self.recount()
         # Entries of running requests are dropped, so their unused tokens are
         # not returned. Tokens that may still be charged stay occupied.
-        self._open.clear()
-        self._fold(now_seconds)
+        self._open_entries.clear()
+        self._fold_events(now_seconds)
         self._limit = limit
-        self._past.fit(limit)
-        self._now.fit(limit)
+        self._base.fit(limit)
+        self._current.fit(limit)
 
     def advance(self, now_seconds: float) -> None:
         """Refill the bucket and free the tokens of expired grants.
@@ -110,9 +110,9 @@
             event = self._events[self._applied]
             if event.at_seconds > now_seconds:
                 break
-            self._now.apply(self._limit, event)
+            self._current.apply(self._limit, event)
             self._applied += 1
-        self._now.refill(self._limit, now_seconds)
+        self._current.refill(self._limit, now_seconds)
 
     def give(
         self,
@@ -129,7 +129,7 @@
         :param tokens: at most the level
         :param now_seconds: time of the last :meth:`advance`
         """
-        self._open[asker, number] = self._occupy(tokens, now_seconds)
+        self._open_entries[asker, number] = self._occupy(tokens, now_seconds)
 
     def report(
         self,
@@ -148,12 +148,12 @@
         :param final: whether no more tokens will be returned
         :param now_seconds: time of the last :meth:`advance`
         """
-        entry = self._open.get((asker, number))
+        entry = self._open_entries.get((asker, number))
         if entry is None:
             return
         if charged_tokens < entry.charged_tokens:
             entry.charged_tokens = max(0.0, charged_tokens)
-            self._stale = True
+            self._needs_replay = True
         if final:
             self._finish((asker, number), now_seconds)
         elif not self._limit.hold_seconds:
@@ -165,11 +165,11 @@
 
         Without the replay the level is too low, never too high.
         """
-        if not self._stale:
+        if not self._needs_replay:
             return
-        self._stale = False
-        now_seconds = self._now.at_seconds
-        self._now = dataclasses.replace(self._past)
+        self._needs_replay = False
+        now_seconds = self._current.at_seconds
+        self._current = dataclasses.replace(self._base)
         self._applied = 0
         self.advance(now_seconds)
 
@@ -179,19 +179,21 @@
         :param now_seconds: time of the last :meth:`advance`
         """
         oldest_seconds = now_seconds - limits.REFUND_SECONDS
-        many = len(self._events) - MOST_EVENTS
-        if many > 0:
-            oldest_seconds = max(oldest_seconds, self._events[many].at_seconds)
+        excess_events = len(self._events) - MAX_EVENTS
+        if excess_events > 0:
+            oldest_seconds = max(
+                oldest_seconds, self._events[excess_events].at_seconds
+            )
         old = [
             key
-            for key, entry in self._open.items()
+            for key, entry in self._open_entries.items()
             if entry.given_at_seconds < oldest_seconds
             and entry.free_at_seconds <= now_seconds
         ]
         for key in old:
             self._finish(key, now_seconds)
         self.recount()
-        self._fold(now_seconds)
+        self._fold_events(now_seconds)
 
     def inherit(
         self,
@@ -208,12 +210,14 @@
         """
         self._starts_at_seconds = now_seconds
         whole_tokens = level_tokens + occupied_tokens
-        self._past = buckets.Bucket(
+        self._base = buckets.Bucket(
             at_seconds=now_seconds, level_tokens=whole_tokens
         )
-        self._past.fit(self._limit)
-        self._now = dataclasses.replace(self._past)
-        self._occupy(min(occupied_tokens, self._now.level_tokens), now_seconds)
+        self._base.fit(self._limit)
+        self._current = dataclasses.replace(self._base)
+        self._occupy(
+            min(occupied_tokens, self._current.level_tokens), now_seconds
+        )
 
     def _occupy(self, tokens: float, now_seconds: float) -> buckets.Entry:
         life_seconds = limits.GRANT_SECONDS + limits.MARGIN_SECONDS
@@ -224,12 +228,12 @@
             + life_seconds
             + self._limit.hold_seconds,
         )
-        self._insert(now_seconds, entry, given=True)
-        self._insert(entry.free_at_seconds, entry, given=False)
+        self._insert_event(now_seconds, entry, given=True)
+        self._insert_event(entry.free_at_seconds, entry, given=False)
         self.advance(now_seconds)
         return entry
 
-    def _insert(
+    def _insert_event(
         self, at_seconds: float, entry: buckets.Entry, *, given: bool
     ) -> None:
         event = buckets.Event(at_seconds, next(self._order), entry, given)
@@ -238,17 +242,17 @@
     def _free(self, entry: buckets.Entry, now_seconds: float) -> None:
         if entry.free_at_seconds > now_seconds:
             entry.free_at_seconds = now_seconds
-            self._insert(now_seconds, entry, given=False)
+            self._insert_event(now_seconds, entry, given=False)
 
     def _finish(self, key: _Key, now_seconds: float) -> None:
-        entry = self._open.pop(key)
+        entry = self._open_entries.pop(key)
         entry.final = True
         self._free(entry, now_seconds)
 
-    def _fold(self, now_seconds: float) -> None:
+    def _fold_events(self, now_seconds: float) -> None:
         """Apply events before the oldest open entry to the past bucket."""
         self.advance(now_seconds)
-        oldest = next(iter(self._open.values()), None)
+        oldest = next(iter(self._open_entries.values()), None)
         until_seconds = now_seconds
         if oldest is not None:
             until_seconds = min(until_seconds, oldest.given_at_seconds)
@@ -256,7 +260,7 @@
         for event in self._events[: self._applied]:
             if event.at_seconds >= until_seconds:
                 break
-            self._past.apply(self._limit, event)
+            self._base.apply(self._limit, event)
             count += 1
         del self._events[:count]
         self._applied -= count
@@ -264,5 +268,5 @@
 
 __all__ = [
     "Ledger",
-    "MOST_EVENTS",
+    "MAX_EVENTS",
 ]
--- a/src/boragefold/coordination/rates/lenders.py
+++ b/src/boragefold/coordination/rates/lenders.py
@@ -16,15 +16,15 @@
 from boragefold.protocol import rate_messages
 
 # Borrowed tokens must still be valid when a grant of them arrives.
-LEAST_LIFE_SECONDS = 0.3
+MIN_LIFE_SECONDS = 0.3
 
 # The delay grows with the number of lenders to spread the requests to them.
-AGAIN_SECONDS = 0.1
-AGAIN_PER_LENDER_SECONDS = 0.02
+ASK_INTERVAL_SECONDS = 0.1
+ASK_INTERVAL_PER_LENDER_SECONDS = 0.02
 
 # After this many unanswered requests a lender is asked at the longer interval.
 UNREACHABLE_AFTER = 2
-UNREACHABLE_SECONDS = 4.0
+UNREACHABLE_INTERVAL_SECONDS = 4.0
 
 
 class Loan(NamedTuple):
@@ -58,7 +58,7 @@
         self._send = send
         self._numbers = numbers
         self._grant_pools: dict[str, grant_pools.GrantPool] = {}
-        self._again_at_seconds: dict[str, float] = {}
+        self._next_ask_at_seconds: dict[str, float] = {}
 
     def left_tokens(self) -> float:
         """Count the borrowed tokens that can be granted on.
@@ -66,7 +66,7 @@
         :return: tokens
         """
         return sum(
-            grant_pool.left_tokens(life_seconds=LEAST_LIFE_SECONDS)
+            grant_pool.left_tokens(life_seconds=MIN_LIFE_SECONDS)
             for grant_pool in self._grant_pools.values()
         )
 
@@ -110,29 +110,31 @@
         :param ahead_tokens: additional tokens that will be needed soon
         """
         now_seconds = self._now_seconds()
-        able = sorted(
+        available = sorted(
             (
                 (self._estimate_tokens(name, part), name)
                 for name, part in parts.items()
-                if now_seconds >= self._again_at_seconds.get(name, 0.0)
+                if now_seconds >= self._next_ask_at_seconds.get(name, 0.0)
                 and not self._grant_pool(name).in_flight
             ),
-            key=lambda pair: (-pair[0], self._preference(pair[1])),
+            key=lambda pair: (-pair[0], self._tie_break(pair[1])),
         )
-        wait_seconds = AGAIN_SECONDS + AGAIN_PER_LENDER_SECONDS * len(parts)
-        for estimate_tokens, name in able:
+        wait_seconds = (
+            ASK_INTERVAL_SECONDS + ASK_INTERVAL_PER_LENDER_SECONDS * len(parts)
+        )
+        for estimate_tokens, name in available:
             if short_tokens <= limits.TINY_TOKENS:
                 return
             grant_pool = self._grant_pool(name)
-            lost = grant_pool.unanswered >= UNREACHABLE_AFTER
-            self._again_at_seconds[name] = now_seconds + (
-                UNREACHABLE_SECONDS if lost else wait_seconds
+            unreachable = grant_pool.unanswered >= UNREACHABLE_AFTER
+            self._next_ask_at_seconds[name] = now_seconds + (
+                UNREACHABLE_INTERVAL_SECONDS if unreachable else wait_seconds
             )
             grant_pool.ask(
                 needed_tokens=min(short_tokens, parts[name].burst_tokens),
                 ahead_tokens=ahead_tokens,
             )
-            if not lost:
+            if not unreachable:
                 short_tokens -= estimate_tokens
 
     def next_ask_seconds(self) -> float:
@@ -141,7 +143,7 @@
         :return: time by the clock; infinite if no lender is delayed
         """
         now_seconds = self._now_seconds()
-        times = self._again_at_seconds.values()
+        times = self._next_ask_at_seconds.values()
         return min((at for at in times if at > now_seconds), default=math.inf)
 
     def take(self, tokens: float) -> list[Loan]:
@@ -152,14 +154,12 @@
         """
         loans = []
         for name, grant_pool in self._grant_pools.items():
-            left_tokens = grant_pool.left_tokens(
-                life_seconds=LEAST_LIFE_SECONDS
-            )
+            left_tokens = grant_pool.left_tokens(life_seconds=MIN_LIFE_SECONDS)
             part = min(tokens, left_tokens)
             if part <= 0:
                 continue
             draft = grant_pool.take(
-                part, life_seconds=LEAST_LIFE_SECONDS, loose=True
+                part, life_seconds=MIN_LIFE_SECONDS, loose=True
             )
             loans.append(Loan(name, draft, part))
             tokens -= part
@@ -230,7 +230,7 @@
         refill_tokens = elapsed_seconds * part.rate_tokens_per_second
         return min(part.burst_tokens, grant_pool.given_tokens + refill_tokens)
 
-    def _preference(self, name: str) -> int:
+    def _tie_break(self, name: str) -> int:
         return xxhash.xxh3_64_intdigest(f"{self._workspace}\0{name}".encode())
 
     def _grant_pool(self, data_centre: str) -> grant_pools.GrantPool:
@@ -245,7 +245,7 @@
 
 
 __all__ = [
-    "LEAST_LIFE_SECONDS",
     "Lenders",
     "Loan",
+    "MIN_LIFE_SECONDS",
 ]
--- a/src/boragefold/coordination/rates/lent_on.py
+++ b/src/boragefold/coordination/rates/lent_on.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Part:
+class _LentGrant:
     """The loans contained in one grant."""
 
     loans: list[lending.Loan]
@@ -27,7 +27,7 @@
         :param lenders: source of the loans
         """
         self._lenders = lenders
-        self._parts: dict[tuple[ids.InstanceId, int], _Part] = {}
+        self._lent_grants: dict[tuple[ids.InstanceId, int], _LentGrant] = {}
 
     def add(
         self,
@@ -45,7 +45,7 @@
         :param now_seconds: current time
         """
         if loans:
-            self._parts[asker, number] = _Part(
+            self._lent_grants[asker, number] = _LentGrant(
                 loans=loans, given_at_seconds=now_seconds
             )
 
@@ -63,8 +63,8 @@
         """
         key = (asker, usage.number)
         charged_tokens = usage.charged_tokens
-        part = self._parts.get(key)
-        for loan in part.loans if part else ():
+        lent_grant = self._lent_grants.get(key)
+        for loan in lent_grant.loans if lent_grant else ():
             tokens = min(loan.tokens, charged_tokens)
             charged_tokens -= tokens
             if usage.final:
@@ -72,7 +72,7 @@
             else:
                 self._lenders.pin(loan, kept_tokens=tokens)
         if usage.final:
-            self._parts.pop(key, None)
+            self._lent_grants.pop(key, None)
         return charged_tokens
 
     def forget_old(self, now_seconds: float) -> None:
@@ -81,10 +81,10 @@
         :param now_seconds: current time
         """
         oldest_seconds = now_seconds - limits.REFUND_SECONDS
-        self._parts = {
-            key: part
-            for key, part in self._parts.items()
-            if part.given_at_seconds > oldest_seconds
+        self._lent_grants = {
+            key: lent_grant
+            for key, lent_grant in self._lent_grants.items()
+            if lent_grant.given_at_seconds > oldest_seconds
         }
 
 
--- a/src/boragefold/coordination/rates/limits.py
+++ b/src/boragefold/coordination/rates/limits.py
@@ -68,12 +68,12 @@
     if not limit.whole:
         return parts
     floors = {name: int(part.burst_tokens) for name, part in parts.items()}
-    left_over = int(limit.burst_tokens) - sum(floors.values())
+    remaining = int(limit.burst_tokens) - sum(floors.values())
     by_remainder = sorted(
         parts,
         key=lambda name: (floors[name] - parts[name].burst_tokens, name),
     )
-    for name in by_remainder[:left_over]:
+    for name in by_remainder[:remaining]:
         floors[name] += 1
     return {
         name: part._replace(burst_tokens=float(floors[name]))
--- a/src/boragefold/coordination/rates/outbox.py
+++ b/src/boragefold/coordination/rates/outbox.py
@@ -8,11 +8,11 @@
 from boragefold.protocol import rate_messages
 
 # Bounds the reports in one message; the others follow in the next one.
-MOST_USAGES = 40
+MAX_USAGES = 40
 
 # Bounds the requests whose response acknowledges reports; reports carried by
 # older requests are repeated.
-MOST_CARRIERS = 20
+MAX_CARRIERS = 20
 
 
 class Outbox:
@@ -22,7 +22,7 @@
         """Create an empty outbox."""
         self._usages: dict[int, rate_messages.Usage] = {}
         self._carried: dict[int, tuple[rate_messages.Usage, ...]] = {}
-        self._since_seconds: float | None = None
+        self._waiting_since_seconds: float | None = None
 
     def __bool__(self) -> bool:
         return bool(self._usages)
@@ -34,8 +34,8 @@
         :param now_seconds: current time
         """
         self._usages[usage.number] = usage
-        if self._since_seconds is None:
-            self._since_seconds = now_seconds
+        if self._waiting_since_seconds is None:
+            self._waiting_since_seconds = now_seconds
 
     def drop(self, number: int) -> None:
         """Remove a report that was not acknowledged.
@@ -53,11 +53,11 @@
         :param now_seconds: current time
         :return: reports
         """
-        usages = tuple(itertools.islice(self._usages.values(), MOST_USAGES))
+        usages = tuple(itertools.islice(self._usages.values(), MAX_USAGES))
         if usages:
-            self._since_seconds = now_seconds
+            self._waiting_since_seconds = now_seconds
             self._carried[carrier] = usages
-            if len(self._carried) > MOST_CARRIERS:
+            if len(self._carried) > MAX_CARRIERS:
                 del self._carried[next(iter(self._carried))]
         return usages
 
@@ -73,15 +73,15 @@
         :param now_seconds: current time
         :return: reports; they are repeated until acknowledged
         """
-        since_seconds = self._since_seconds
+        waiting_since_seconds = self._waiting_since_seconds
         if (
-            since_seconds is None
-            or now_seconds < since_seconds + after_seconds
+            waiting_since_seconds is None
+            or now_seconds < waiting_since_seconds + after_seconds
         ):
             return ()
-        self._since_seconds = now_seconds
+        self._waiting_since_seconds = now_seconds
         final = (usage for usage in self._usages.values() if usage.final)
-        return tuple(itertools.islice(final, MOST_USAGES))
+        return tuple(itertools.islice(final, MAX_USAGES))
 
     def arrived(self, carrier: int) -> list[int]:
         """Process the response to a request that may have carried reports.
@@ -111,7 +111,7 @@
         for usage in same:
             del self._usages[usage.number]
         if not self._usages:
-            self._since_seconds = None
+            self._waiting_since_seconds = None
         return [usage.number for usage in same if usage.final]
 
 
--- a/src/boragefold/coordination/rates/reports.py
+++ b/src/boragefold/coordination/rates/reports.py
@@ -12,11 +12,11 @@
 from boragefold.protocol import rate_messages
 
 # Bounds the size of a message.
-MOST_WORKSPACES = 100
+MAX_WORKSPACES = 100
 
 # Bounds the messages that await acknowledgement; the reports of a dropped one
 # are repeated.
-MOST_UNNOTED = 200
+MAX_UNACKNOWLEDGED = 200
 
 
 class Due(NamedTuple):
@@ -43,7 +43,7 @@
         """
         self._send = send
         self._numbers = numbers
-        self._sent: dict[
+        self._unacknowledged: dict[
             int,
             list[
                 tuple[grant_pools.GrantPool, tuple[rate_messages.Usage, ...]]
@@ -65,28 +65,28 @@
             if holder is not None:
                 by_holder.setdefault(holder, []).append((each, usages))
         for holder, found in by_holder.items():
-            for start in range(0, len(found), MOST_WORKSPACES):
-                self._send_some(holder, found[start : start + MOST_WORKSPACES])
+            for start in range(0, len(found), MAX_WORKSPACES):
+                self._send_batch(holder, found[start : start + MAX_WORKSPACES])
 
     def noted(self, number: int) -> None:
         """Process an acknowledgement.
 
         :param number: number of the acknowledged message
         """
-        for grant_pool, usages in self._sent.pop(number, ()):
+        for grant_pool, usages in self._unacknowledged.pop(number, ()):
             grant_pool.noted(usages)
 
-    def _send_some(
+    def _send_batch(
         self,
         holder: ids.InstanceId,
         found: list[tuple[Due, tuple[rate_messages.Usage, ...]]],
     ) -> None:
         number = next(self._numbers)
-        self._sent[number] = [
+        self._unacknowledged[number] = [
             (each.grant_pool, usages) for each, usages in found
         ]
-        if len(self._sent) > MOST_UNNOTED:
-            del self._sent[next(iter(self._sent))]
+        if len(self._unacknowledged) > MAX_UNACKNOWLEDGED:
+            del self._unacknowledged[next(iter(self._unacknowledged))]
         reports = tuple(
             rate_messages.WorkspaceUsages(each.workspace, usages)
             for each, usages in found
--- a/src/boragefold/coordination/rates/service.py
+++ b/src/boragefold/coordination/rates/service.py
@@ -58,13 +58,13 @@
         self._budgets: dict[str, limits.Limit] = {}
         self._limits: dict[str, limits.Limit] = {}
         self._numbers = itertools.count()
-        self._wakes: dict[str, timing.Subscription] = {}
+        self._wake_timers: dict[str, timing.Subscription] = {}
         self._shares = sharing.Shares(
             peers=peers,
             rights=rights,
             timers=timers,
             counters=counters,
-            changed=self._put_in_force,
+            changed=self._apply_limits,
         )
         self._holding = holding.Holding(rights=rights)
         self._holders = holders.Holders(
@@ -72,7 +72,7 @@
             holding=self._holding,
             now_seconds=timers.now_seconds,
             counters=counters,
-            begin=self._begin,
+            begin=self._create_tenure,
             send=self._send,
         )
         self.stock = stocks.LeasedStock(
@@ -88,10 +88,10 @@
             send=self._send, numbers=self._numbers
         )
         self._handlers: dict[type, Callable[[ids.InstanceId, Any], None]] = {
-            rate_messages.TokensAsked: self._asked,
-            rate_messages.TokensGiven: self._given,
-            rate_messages.UsagesReported: self._reported,
-            rate_messages.UsagesNoted: self._noted,
+            rate_messages.TokensAsked: self._receive_request,
+            rate_messages.TokensGiven: self._receive_grant,
+            rate_messages.UsagesReported: self._receive_reports,
+            rate_messages.UsagesNoted: self._receive_acknowledgement,
             rate_messages.BucketHandedOver: self._holders.handed_over,
         }
         for kind, handler in self._handlers.items():
@@ -105,7 +105,7 @@
         :param rates: fleet-wide rate and burst by workspace
         """
         self._workspaces = dict(rates)
-        self._put_in_force()
+        self._apply_limits()
 
     def update_budgets(self, budgets: Mapping[str, limits.Limit]) -> None:
         """Apply other fleet-wide limits, which are handled like rates.
@@ -113,7 +113,7 @@
         :param budgets: limits by a name that differs from all workspaces
         """
         self._budgets = dict(budgets)
-        self._put_in_force()
+        self._apply_limits()
 
     def update_data_centres(
         self, *, revision: int, weights: Mapping[str, float]
@@ -145,7 +145,7 @@
             ledger.recount()
         return held
 
-    def _put_in_force(self) -> None:
+    def _apply_limits(self) -> None:
         self._limits = {**self._workspaces, **self._budgets}
         self._holders.update(
             {
@@ -163,16 +163,16 @@
             tenure.tick()
         self.stock.tick()
         self._reports.flush(
-            itertools.chain(self._granted(), self._borrowed()),
+            itertools.chain(self._granted_pools(), self._borrowed_pools()),
             after_seconds=REPORT_SECONDS,
         )
 
-    def _granted(self) -> Iterator[reporting.Due]:
+    def _granted_pools(self) -> Iterator[reporting.Due]:
         for workspace, grant_pool in self.stock.items():
             find = functools.partial(self._holding.here, workspace)
             yield reporting.Due(find, workspace, grant_pool)
 
-    def _borrowed(self) -> Iterator[reporting.Due]:
+    def _borrowed_pools(self) -> Iterator[reporting.Due]:
         for tenure in self._holders:
             for data_centre, grant_pool in tenure.lenders.items():
                 find = functools.partial(
@@ -180,7 +180,9 @@
                 )
                 yield reporting.Due(find, tenure.workspace, grant_pool)
 
-    def _begin(self, workspace: str, ledger: ledgers.Ledger) -> tenures.Tenure:
+    def _create_tenure(
+        self, workspace: str, ledger: ledgers.Ledger
+    ) -> tenures.Tenure:
         return tenures.Tenure(
             ledger=ledger,
             lenders=lending.Lenders(
@@ -238,7 +240,7 @@
         else:
             self._handlers[type(body)](to, body)
 
-    def _reported(
+    def _receive_reports(
         self, sender: ids.InstanceId, reported: rate_messages.UsagesReported
     ) -> None:
         for report in reported.reports:
@@ -247,12 +249,12 @@
                 tenure.reported(sender, report.usages)
         self._send(sender, rate_messages.UsagesNoted(reported.number))
 
-    def _noted(
+    def _receive_acknowledgement(
         self, sender: ids.InstanceId, noted: rate_messages.UsagesNoted
     ) -> None:
         self._reports.noted(noted.number)
 
-    def _asked(
+    def _receive_request(
         self, sender: ids.InstanceId, asked: rate_messages.TokensAsked
     ) -> None:
         tenure = self._holders.tenure(asked.workspace)
@@ -260,7 +262,7 @@
             tenure.asked(sender, asked)
             self._serve(asked.workspace, tenure)
 
-    def _given(
+    def _receive_grant(
         self, sender: ids.InstanceId, given: rate_messages.TokensGiven
     ) -> None:
         if sender.data_centre == self._link.self_id.data_centre:
@@ -273,11 +275,11 @@
 
     def _serve(self, workspace: str, tenure: tenures.Tenure) -> None:
         delay_seconds = tenure.serve()
-        wake = self._wakes.pop(workspace, None)
+        wake = self._wake_timers.pop(workspace, None)
         if wake is not None:
             wake.cancel()
         if delay_seconds is not None:
-            self._wakes[workspace] = self._timers.once(
+            self._wake_timers[workspace] = self._timers.once(
                 delay_seconds=delay_seconds,
                 callback=lambda: self._wake(workspace),
             )
--- a/src/boragefold/coordination/rates/shares.py
+++ b/src/boragefold/coordination/rates/shares.py
@@ -58,18 +58,18 @@
         self._revision = -1
         self._newest_revision = -1
         self._parts: dict[str, float] = {}
-        self._in_force: dict[str, float] = {}
-        self._lowered: set[str] = set()
-        self._knowing: set[ids.InstanceId] = set()
-        self._learned: set[ids.InstanceId] = set()
-        self._learning: timing.Subscription | None = None
-        self._asking: timing.Subscription | None = None
+        self._active_parts: dict[str, float] = {}
+        self._decreased: set[str] = set()
+        self._confirmed: set[ids.InstanceId] = set()
+        self._answered: set[ids.InstanceId] = set()
+        self._query_timer: timing.Subscription | None = None
+        self._raise_timer: timing.Subscription | None = None
         # True until the members of this data centre have reported their part.
-        self._holding = False
-        self._least_part = float("inf")
-        peers.subscribe(rate_messages.SharesAsked, self._asked)
-        peers.subscribe(rate_messages.SharesKnown, self._known)
-        rights.subscribe(lambda view: self._learn_anew())
+        self._starting = False
+        self._smallest_part = float("inf")
+        peers.subscribe(rate_messages.SharesAsked, self._receive_query)
+        peers.subscribe(rate_messages.SharesKnown, self._receive_known)
+        rights.subscribe(lambda view: self._restart_query())
 
     def own_limit(self, limit: limits.Limit) -> limits.Limit:
         """Return this data centre's part of a limit.
@@ -79,10 +79,10 @@
         """
         nothing = limit.part(0.0)
         published = limits.split(limit, self._parts)
-        in_force = limits.split(limit, self._in_force)
+        in_force = limits.split(limit, self._active_parts)
         # They differ only while an increase waits.
-        one = published.get(self._own_name, nothing)
-        other = in_force.get(self._own_name, nothing)
+        one = published.get(self._own_data_centre, nothing)
+        other = in_force.get(self._own_data_centre, nothing)
         return one._replace(
             rate_tokens_per_second=min(
                 one.rate_tokens_per_second, other.rate_tokens_per_second
@@ -114,188 +114,194 @@
         self._parts = {
             name: weight / total for name, weight in weights.items() if total
         }
-        self._knowing.clear()
-        self._lowered |= {
+        self._confirmed.clear()
+        self._decreased |= {
             name
             for name, part in before.items()
-            if self._parts.get(name, 0.0) < part and name != self._own_name
+            if self._parts.get(name, 0.0) < part
+            and name != self._own_data_centre
         }
         if missed:
             # A missed revision may have increased the part of any other one.
-            self._lowered |= self._parts.keys() - {self._own_name}
+            self._decreased |= self._parts.keys() - {self._own_data_centre}
         if first:
-            self._holding = True
-            self._learn_anew()
-        if self._holding:
+            self._starting = True
+            self._restart_query()
+        if self._starting:
             return
-        target = self._parts.get(self._own_name, 0.0)
-        if target <= self._in_force.get(self._own_name, 0.0):
-            self._put_in_force()
+        target = self._parts.get(self._own_data_centre, 0.0)
+        if target <= self._active_parts.get(self._own_data_centre, 0.0):
+            self._activate_parts()
             return
         self._counters.add("rate_share_raises", "waiting")
-        self._ask()
+        self._request_confirmations()
 
     @property
-    def _own_name(self) -> str:
+    def _own_data_centre(self) -> str:
         return self._link.self_id.data_centre
 
-    def _put_in_force(self) -> None:
-        self._in_force = self._parts
-        if self._asking is not None:
-            self._asking.cancel()
-            self._asking = None
+    def _activate_parts(self) -> None:
+        self._active_parts = self._parts
+        if self._raise_timer is not None:
+            self._raise_timer.cancel()
+            self._raise_timer = None
         self._changed()
 
-    def _ask(self) -> None:
-        if self._asking is not None:
-            self._asking.cancel()
-        if self._everybody_knows():
-            self._raise_later()
+    def _request_confirmations(self) -> None:
+        if self._raise_timer is not None:
+            self._raise_timer.cancel()
+        if self._all_confirmed():
+            self._schedule_raise()
             return
-        self._asking = self._timers.once(
-            delay_seconds=ASK_SECONDS, callback=self._ask
+        self._raise_timer = self._timers.once(
+            delay_seconds=ASK_SECONDS, callback=self._request_confirmations
         )
-        for member in sorted(self._must_know() - self._knowing):
+        for member in sorted(self._required_members() - self._confirmed):
             self._link.send(
                 to=member, body=rate_messages.SharesAsked(self._revision)
             )
 
-    def _learn_anew(self) -> None:
-        self._learned.clear()
-        if self._learning is None and self._revision >= 0:
-            self._learning = self._timers.every(
-                period_seconds=ASK_SECONDS, callback=self._learn
+    def _restart_query(self) -> None:
+        self._answered.clear()
+        if self._query_timer is None and self._revision >= 0:
+            self._query_timer = self._timers.every(
+                period_seconds=ASK_SECONDS, callback=self._query_members
             )
-        self._learn()
+        self._query_members()
 
-    def _learn(self) -> None:
+    def _query_members(self) -> None:
         """Ask members that have not answered yet which part they use."""
-        if self._learning is None:
+        if self._query_timer is None:
             return
-        view = self._rights.directory().get(self._own_name)
+        view = self._rights.directory().get(self._own_data_centre)
         if view is None:
             return
         others = set(view.members) - {self._link.self_id}
-        if others <= self._learned:
-            self._stop_holding()
-        if others and others <= self._learned:
-            self._learning.cancel()
-            self._learning = None
-        for member in sorted(others - self._learned):
+        if others <= self._answered:
+            self._finish_start()
+        if others and others <= self._answered:
+            self._query_timer.cancel()
+            self._query_timer = None
+        for member in sorted(others - self._answered):
             self._link.send(
                 to=member, body=rate_messages.SharesAsked(self._revision)
             )
 
-    def _learn_from(
+    def _process_member_part(
         self, sender: ids.InstanceId, known: rate_messages.SharesKnown
     ) -> None:
         # Members may be delaying an increase; a restart must not skip it.
-        if self._learning is None:
+        if self._query_timer is None:
             return
-        if self._holding:
-            self._learn_while_holding(sender, known)
+        if self._starting:
+            self._collect_member_part(sender, known)
             return
         if known.revision < 0:
             return
-        self._learned.add(sender)
+        self._answered.add(sender)
         self._newest_revision = max(self._newest_revision, known.revision)
-        if known.own_part >= self._in_force.get(self._own_name, 0.0):
+        if known.own_part >= self._active_parts.get(
+            self._own_data_centre, 0.0
+        ):
             return
-        self._in_force = {**self._in_force, self._own_name: known.own_part}
-        self._lowered |= self._parts.keys() - {self._own_name}
+        self._active_parts = {
+            **self._active_parts,
+            self._own_data_centre: known.own_part,
+        }
+        self._decreased |= self._parts.keys() - {self._own_data_centre}
         self._changed()
-        if self._asking is None:
+        if self._raise_timer is None:
             self._counters.add("rate_share_raises", "waiting")
-            self._ask()
+            self._request_confirmations()
 
-    def _learn_while_holding(
+    def _collect_member_part(
         self, sender: ids.InstanceId, known: rate_messages.SharesKnown
     ) -> None:
         # A member that has just started too knows of no delayed increase.
-        self._learned.add(sender)
+        self._answered.add(sender)
         if known.revision >= 0:
             self._newest_revision = max(self._newest_revision, known.revision)
-            self._least_part = min(self._least_part, known.own_part)
-        self._learn()
+            self._smallest_part = min(self._smallest_part, known.own_part)
+        self._query_members()
 
-    def _stop_holding(self) -> None:
+    def _finish_start(self) -> None:
         """Start with at most the part that members of the data centre use.
 
         A paused member can't report a delayed increase. If a new process used
         the published part before that member has answered or left the view,
         the parts in use would add up to more than the rate.
         """
-        if not self._holding:
+        if not self._starting:
             return
-        self._holding = False
-        published = self._parts.get(self._own_name, 0.0)
-        if self._least_part >= published and not self._lowered:
-            self._put_in_force()
+        self._starting = False
+        published = self._parts.get(self._own_data_centre, 0.0)
+        if self._smallest_part >= published and not self._decreased:
+            self._activate_parts()
             return
-        part = 0.0 if self._lowered else self._least_part
-        self._in_force = {**self._parts, self._own_name: part}
-        self._lowered |= self._parts.keys() - {self._own_name}
+        part = 0.0 if self._decreased else self._smallest_part
+        self._active_parts = {**self._parts, self._own_data_centre: part}
+        self._decreased |= self._parts.keys() - {self._own_data_centre}
         self._changed()
         self._counters.add("rate_share_raises", "waiting")
-        self._ask()
+        self._request_confirmations()
 
-    def _everybody_knows(self) -> bool:
+    def _all_confirmed(self) -> bool:
         # A partitioned data centre without a known view may still grant by
         # the old weights.
         if self._revision < self._newest_revision:
             # Members of this data centre know newer weights.
             return False
-        waited_for = self._lowered & self._parts.keys()
-        if not waited_for <= self._rights.directory().keys():
+        decreased = self._decreased & self._parts.keys()
+        if not decreased <= self._rights.directory().keys():
             return False
-        return not self._must_know() - self._knowing
+        return not self._required_members() - self._confirmed
 
-    def _must_know(self) -> set[ids.InstanceId]:
+    def _required_members(self) -> set[ids.InstanceId]:
         directory = self._rights.directory()
         return {
             member
-            for name in self._lowered & self._parts.keys()
+            for name in self._decreased & self._parts.keys()
             if name in directory
             for member in directory[name].members
         }
 
-    def _asked(
+    def _receive_query(
         self, sender: ids.InstanceId, asked: rate_messages.SharesAsked
     ) -> None:
-        own_part = self._in_force.get(self._own_name, 0.0)
-        revision = -1 if self._holding else self._revision
+        own_part = self._active_parts.get(self._own_data_centre, 0.0)
+        revision = -1 if self._starting else self._revision
         self._link.send(
             to=sender, body=rate_messages.SharesKnown(revision, own_part)
         )
 
-    def _known(
+    def _receive_known(
         self, sender: ids.InstanceId, known: rate_messages.SharesKnown
     ) -> None:
-        if sender.data_centre == self._own_name:
-            self._learn_from(sender, known)
+        if sender.data_centre == self._own_data_centre:
+            self._process_member_part(sender, known)
             return
         # A sender with a later revision may use a larger part than this
         # revision leaves for it.
-        if self._asking is None or known.revision != self._revision:
+        if self._raise_timer is None or known.revision != self._revision:
             return
-        self._knowing.add(sender)
-        if not self._everybody_knows():
+        self._confirmed.add(sender)
+        if not self._all_confirmed():
             return
-        self._raise_later()
+        self._schedule_raise()
 
-    def _raise_later(self) -> None:
+    def _schedule_raise(self) -> None:
         # Grants and loans by the old weights are valid until they expire.
-        if self._asking is not None:
-            self._asking.cancel()
-        self._asking = self._timers.once(
+        if self._raise_timer is not None:
+            self._raise_timer.cancel()
+        self._raise_timer = self._timers.once(
             delay_seconds=limits.GRANT_SECONDS + limits.MARGIN_SECONDS,
-            callback=self._raise,
+            callback=self._apply_raise,
         )
 
-    def _raise(self) -> None:
+    def _apply_raise(self) -> None:
         self._counters.add("rate_share_raises", "in_force")
-        self._lowered.clear()
-        self._put_in_force()
+        self._decreased.clear()
+        self._activate_parts()
 
 
 __all__ = [
--- a/src/boragefold/coordination/rates/stock.py
+++ b/src/boragefold/coordination/rates/stock.py
@@ -19,14 +19,14 @@
 LOW_SECONDS = 0.2
 
 # With fewer recent requests most tokens fetched ahead would remain unused.
-FETCH_REQUESTS = 3
+MIN_FETCH_REQUESTS = 3
 
 # Delay after a response without tokens to a request that only fetched ahead.
-AGAIN_SECONDS = 0.005
+REPEAT_SECONDS = 0.005
 
 # After this many unanswered requests the holder is considered dead until the
 # next view selects one.
-UNANSWERED = 2
+MAX_UNANSWERED = 2
 
 # Usual duration of a view change.
 NO_HOLDER_SECONDS = 1.0
@@ -72,13 +72,13 @@
         """
         limit = self._limit_of(workspace)
         if limit is None:
-            return self._short("no_such_workspace", None)
+            return self._create_shortfall("no_such_workspace", None)
         if tokens > limit.burst_tokens + limits.TINY_TOKENS:
-            return self._short("larger_than_burst", None)
+            return self._create_shortfall("larger_than_burst", None)
         account = self._account(workspace)
         now_seconds = self._timers.now_seconds()
         if not account.covers(tokens):
-            self._want(workspace, account, tokens)
+            self._record_demand(workspace, account, tokens)
         if not account.covers(tokens):
             return self._shortfall(workspace, account)
         draft = account.grant_pool.take(tokens)
@@ -143,7 +143,7 @@
         else:
             # This refused a request that only fetched ahead; a waiting
             # request needs tokens now.
-            self._retry_later(given.workspace, account, AGAIN_SECONDS)
+            self._retry_later(given.workspace, account, REPEAT_SECONDS)
 
     def holder_changed(self) -> None:
         """Repeat requests that were sent to a previous holder."""
@@ -172,13 +172,13 @@
             for workspace, account in self._accounts.items()
         ]
 
-    def _short(
+    def _create_shortfall(
         self, reason: str, ready_in_seconds: float | None
     ) -> stock.Shortfall:
         self._counters.add("rate_shortfalls", reason)
         return stock.Shortfall(ready_in_seconds=ready_in_seconds)
 
-    def _unheld(self, reason: str) -> stock.Shortfall:
+    def _create_no_holder_shortfall(self, reason: str) -> stock.Shortfall:
         self._counters.add("rate_shortfalls", reason)
         return stock.Shortfall(
             ready_in_seconds=NO_HOLDER_SECONDS, no_holder=True
@@ -190,13 +190,13 @@
         now_seconds = self._timers.now_seconds()
         left_seconds = account.grant_pool.ready_at_seconds - now_seconds
         if not self._has_holder(workspace):
-            return self._unheld("no_holder")
-        if account.grant_pool.unanswered >= UNANSWERED:
-            return self._unheld("unanswered")
+            return self._create_no_holder_shortfall("no_holder")
+        if account.grant_pool.unanswered >= MAX_UNANSWERED:
+            return self._create_no_holder_shortfall("unanswered")
         if account.grant_pool.in_flight:
             wait_seconds = max(limits.IN_FLIGHT_SECONDS, left_seconds)
-            return self._short("asking", wait_seconds)
-        return self._short(
+            return self._create_shortfall("asking", wait_seconds)
+        return self._create_shortfall(
             "empty", max(limits.IN_FLIGHT_SECONDS, left_seconds)
         )
 
@@ -210,7 +210,7 @@
             )
         return self._accounts[workspace]
 
-    def _want(
+    def _record_demand(
         self, workspace: str, account: accounts.Account, tokens: float
     ) -> None:
         now_seconds = self._timers.now_seconds()
@@ -234,9 +234,9 @@
             self._retry_later(workspace, account, limits.RETRY_SECONDS)
             return
         needed_tokens = max(0.0, tokens - account.grant_pool.left_tokens())
-        self._ask_quietly(account, needed_tokens)
+        self._ask_without_waking(account, needed_tokens)
 
-    def _ask_quietly(
+    def _ask_without_waking(
         self, account: accounts.Account, needed_tokens: float
     ) -> None:
         # The response may arrive within the caller's own call; waking
@@ -255,7 +255,7 @@
     def _fetch_ahead(self, account: accounts.Account, tokens: float) -> None:
         now_seconds = self._timers.now_seconds()
         use_tokens = account.use.tokens(now_seconds)
-        if use_tokens < FETCH_REQUESTS * tokens:
+        if use_tokens < MIN_FETCH_REQUESTS * tokens:
             return
         if account.grant_pool.left_tokens() >= use_tokens * LOW_SECONDS:
             return
@@ -263,7 +263,7 @@
             return
         if now_seconds < account.grant_pool.ready_at_seconds:
             return
-        self._ask_quietly(account, 0.0)
+        self._ask_without_waking(account, 0.0)
 
     def _ask_if_wanted(
         self, workspace: str, account: accounts.Account
--- a/src/boragefold/coordination/rates/tenure.py
+++ b/src/boragefold/coordination/rates/tenure.py
@@ -15,9 +15,9 @@
 from boragefold.protocol import rate_messages
 
 # Prevents one instance from emptying the bucket with tokens fetched ahead.
-AHEAD_PART = 0.25
+AHEAD_FRACTION = 0.25
 
-LEAST_WAIT_SECONDS = 0.01
+MIN_WAIT_SECONDS = 0.01
 
 
 class Tenure:
@@ -41,10 +41,10 @@
         self.workspace = around.workspace
         self.ledger = ledger
         self.lenders = lenders
-        self._around = around
+        self._instance = around
         self._now_seconds = now_seconds
         self._waiting = queues.Queue()
-        self._newest: dict[ids.InstanceId, int] = {}
+        self._latest_numbers: dict[ids.InstanceId, int] = {}
         self._lent_on = lending_on.LentOn(lenders=lenders)
 
     def asked(
@@ -57,12 +57,12 @@
         """
         now_seconds = self._now_seconds()
         self.reported(asker, request.usages)
-        if request.number <= self._newest.get(asker, -1):
+        if request.number <= self._latest_numbers.get(asker, -1):
             # The asker ignores a second response, and the tokens in it would
             # be lost.
             return
-        self._newest[asker] = request.number
-        if asker.data_centre != self._around.data_centre:
+        self._latest_numbers[asker] = request.number
+        if asker.data_centre != self._instance.data_centre:
             self._lend(asker, request)
             return
         waiting = queues.Waiting(
@@ -84,18 +84,18 @@
         self.ledger.advance(now_seconds)
         while self._waiting:
             first = self._waiting.first()
-            if not self._affordable(first.needed_tokens):
+            if not self._can_grant(first.needed_tokens):
                 break
             self._waiting.remove(first)
             self._grant(first)
         if not self._waiting:
             return None
         self._borrow()
-        ready_seconds = self._tell_waiting()
+        ready_seconds = self._answer_waiting()
         if ready_seconds is None:
             return None
         ask_seconds = self.lenders.next_ask_seconds() - now_seconds
-        return max(LEAST_WAIT_SECONDS, min(ready_seconds, ask_seconds))
+        return max(MIN_WAIT_SECONDS, min(ready_seconds, ask_seconds))
 
     def answered(
         self, lender: ids.InstanceId, given: rate_messages.TokensGiven
@@ -126,7 +126,7 @@
         self.lenders.tick()
         self._lent_on.forget_old(self._now_seconds())
 
-    def _affordable(self, tokens: float) -> bool:
+    def _can_grant(self, tokens: float) -> bool:
         if self.ledger.level_tokens < tokens:
             self.ledger.recount()
         have_tokens = self.ledger.level_tokens + self.lenders.left_tokens()
@@ -138,7 +138,7 @@
         have_tokens = level_tokens + self.lenders.left_tokens()
         spare_tokens = max(0.0, have_tokens - waiting.needed_tokens)
         wanted_tokens = waiting.needed_tokens + min(
-            waiting.ahead_tokens, spare_tokens * AHEAD_PART
+            waiting.ahead_tokens, spare_tokens * AHEAD_FRACTION
         )
         loans = self.lenders.take(wanted_tokens)
         borrowed_tokens = sum(loan.tokens for loan in loans)
@@ -151,7 +151,7 @@
             loans=loans,
             now_seconds=self._now_seconds(),
         )
-        self._give(
+        self._debit_and_answer(
             waiting.asker,
             waiting.number,
             own_tokens=own_tokens,
@@ -169,7 +169,7 @@
         )
         wanted_tokens = request.needed_tokens + request.ahead_tokens
         tokens = min(wanted_tokens, spare_tokens)
-        self._give(
+        self._debit_and_answer(
             asker,
             request.number,
             own_tokens=tokens,
@@ -177,7 +177,7 @@
             life_seconds=limits.GRANT_SECONDS,
         )
 
-    def _give(
+    def _debit_and_answer(
         self,
         asker: ids.InstanceId,
         number: int,
@@ -188,7 +188,7 @@
     ) -> None:
         # Another instance may hold the rate after a pause of this process, so
         # the check comes right before the debit.
-        if not self._around.holds():
+        if not self._instance.holds():
             return
         if tokens <= limits.TINY_TOKENS:
             self._answer(asker, number)
@@ -211,10 +211,10 @@
         ready_in_seconds: float = 0.0,
         queued: bool = False,
     ) -> None:
-        self._around.send(
+        self._instance.send(
             asker,
             rate_messages.TokensGiven(
-                self._around.workspace,
+                self._instance.workspace,
                 number,
                 tokens,
                 life_seconds,
@@ -239,12 +239,12 @@
         have_tokens = self.ledger.level_tokens + self.lenders.left_tokens()
         # Borrows ahead of need instead of once for each request.
         self.lenders.ask(
-            self._around.lender_parts(),
+            self._instance.lender_parts(),
             short_tokens=self._waiting.needed_tokens - have_tokens,
             ahead_tokens=self._waiting.ahead_tokens,
         )
 
-    def _tell_waiting(self) -> float | None:
+    def _answer_waiting(self) -> float | None:
         """Refuse requests with too long a wait and announce it to the others.
 
         :return: seconds until the first remaining request can be served
@@ -281,7 +281,7 @@
 
     def _ready_in_seconds(self, tokens: float) -> float:
         rate = self.ledger.limit.rate_tokens_per_second
-        rate += self.lenders.rate(self._around.lender_parts())
+        rate += self.lenders.rate(self._instance.lender_parts())
         if rate <= 0:
             return limits.REFUND_SECONDS
         short = tokens - self.ledger.level_tokens - self.lenders.left_tokens()
--- a/src/boragefold/coordination/rates/waiting.py
+++ b/src/boragefold/coordination/rates/waiting.py
@@ -25,13 +25,13 @@
 
     def __init__(self) -> None:
         """Create an empty queue."""
-        self._waiting: dict[ids.InstanceId, Waiting] = {}
+        self._requests: dict[ids.InstanceId, Waiting] = {}
 
     def __iter__(self) -> Iterator[Waiting]:
-        return iter(list(self._waiting.values()))
+        return iter(list(self._requests.values()))
 
     def __bool__(self) -> bool:
-        return bool(self._waiting)
+        return bool(self._requests)
 
     @property
     def needed_tokens(self) -> float:
@@ -39,7 +39,7 @@
 
         :return: tokens
         """
-        return sum(each.needed_tokens for each in self._waiting.values())
+        return sum(each.needed_tokens for each in self._requests.values())
 
     @property
     def ahead_tokens(self) -> float:
@@ -47,28 +47,28 @@
 
         :return: tokens
         """
-        return sum(each.ahead_tokens for each in self._waiting.values())
+        return sum(each.ahead_tokens for each in self._requests.values())
 
     def put(self, waiting: Waiting) -> None:
         """Add a request or replace an earlier one of the same asker.
 
         :param waiting: the request
         """
-        self._waiting[waiting.asker] = waiting
+        self._requests[waiting.asker] = waiting
 
     def first(self) -> Waiting:
         """Return the request that arrived first; the queue must not be empty.
 
         :return: the request
         """
-        return next(iter(self._waiting.values()))
+        return next(iter(self._requests.values()))
 
     def remove(self, waiting: Waiting) -> None:
         """Remove a request.
 
         :param waiting: the request
         """
-        del self._waiting[waiting.asker]
+        del self._requests[waiting.asker]
 
 
 __all__ = [
--- a/tests/coordination/rates/test_faults.py
+++ b/tests/coordination/rates/test_faults.py
@@ -12,7 +12,7 @@
 
 STEPS = 5000
 TINY = 1e-3
-MOST_RUNNING = 60
+MAX_RUNNING = 60
 
 
 class Walk:
@@ -28,14 +28,14 @@
         self.published = [self.fleet.weights]
         self.known: dict[str, int] = {}
         self.waiting: dict[str, float] = {}
-        self.watched: set[str] = set()
+        self.subscribed: set[str] = set()
         self.events = (
             [self.reserve] * 200
             + [self.settle] * 120
             + [self.wait] * 120
             + [self.pause, self.resume, self.resume, self.change_view] * 2
-            + [self.weigh, self.catch_up, self.catch_up]
-            + [self.kill, self.leave, self.cut, self.heal, self.slow]
+            + [self.publish_weights, self.catch_up, self.catch_up]
+            + [self.kill, self.leave, self.partition, self.heal, self.slow]
         )
 
     def processes(self, *, paused: bool = False) -> list[fakes.Process]:
@@ -49,14 +49,14 @@
     def reserve(self) -> None:
         process = self.random.choice(self.processes())
         name = process.node.self_id.incarnation
-        if name not in self.watched:
-            self.watched.add(name)
-            process.rates.stock.subscribe(lambda _: self.woken(process))
+        if name not in self.subscribed:
+            self.subscribed.add(name)
+            process.rates.stock.subscribe(lambda _: self.retry(process))
         tokens = self.random.choice((5.0, 40.0, 100.0, 300.0, 900.0))
         self.waiting[name] = tokens
-        self.woken(process)
+        self.retry(process)
 
-    def woken(self, process: fakes.Process) -> None:
+    def retry(self, process: fakes.Process) -> None:
         name = process.node.self_id.incarnation
         if name not in self.waiting:
             return
@@ -69,13 +69,15 @@
         assert result.ready_in_seconds > 0
 
     def settle(self) -> None:
-        able = [
+        settleable = [
             pair
             for pair in self.running
             if not pair[0].node.paused and not pair[0].node.dead
         ]
-        if able and len(self.running) > self.random.randrange(MOST_RUNNING):
-            pair = self.random.choice(able)
+        if settleable and len(self.running) > self.random.randrange(
+            MAX_RUNNING
+        ):
+            pair = self.random.choice(settleable)
             self.running.remove(pair)
             used_tokens = pair[1].tokens * self.random.choice(self.parts)
             self.fleet.settle(*pair, used_tokens)
@@ -115,7 +117,7 @@
     def kill(self) -> None:
         process = self.random.choice(self.processes())
         name = process.node.self_id.data_centre
-        self.start_instead(name, process)
+        self.replace(name, process)
         self.wait()
         self.fleet.change_view(name)
 
@@ -128,9 +130,9 @@
         self.wait()
         self.fleet.change_view(name, without=(process,))
         self.wait()
-        self.start_instead(name, process)
+        self.replace(name, process)
 
-    def start_instead(self, name: str, process: fakes.Process) -> None:
+    def replace(self, name: str, process: fakes.Process) -> None:
         """Replace a process; the new one starts with its neighbours' state."""
         newest = max(
             self.known.get(each.node.self_id.incarnation, 0)
@@ -142,7 +144,7 @@
         fresh = self.fleet.start(name)
         self.known[fresh.node.self_id.incarnation] = newest
 
-    def weigh(self) -> None:
+    def publish_weights(self) -> None:
         """Publish other weights, which only some processes read at once."""
         self.published.append(
             {
@@ -152,22 +154,22 @@
         )
         for process in self.processes():
             if self.random.random() < 0.5:
-                self.read(process)
+                self.read_weights(process)
 
     def catch_up(self) -> None:
         name = self.random.choice(fakes.DATA_CENTRES)
         for process in self.processes():
             if process.node.self_id.data_centre == name:
-                self.read(process)
+                self.read_weights(process)
 
-    def read(self, process: fakes.Process) -> None:
+    def read_weights(self, process: fakes.Process) -> None:
         newest = len(self.published) - 1
         self.known[process.node.self_id.incarnation] = newest
         process.rates.update_data_centres(
             revision=newest + 1, weights=self.published[newest]
         )
 
-    def cut(self) -> None:
+    def partition(self) -> None:
         lost = self.random.choice(fakes.DATA_CENTRES)
         self.fleet.network.is_cut = lambda one, other: (
             (one.data_centre == lost) != (other.data_centre == lost)
@@ -182,16 +184,16 @@
 
     def check(self) -> None:
         now_seconds = self.fleet.network.clock.now_seconds()
-        whole = 0.0
+        total_tokens = 0.0
         for name in fakes.DATA_CENTRES:
             for process in self.fleet.processes[name]:
                 if process.node.paused:
                     continue
-                whole += sum(
+                total_tokens += sum(
                     ledger.level_tokens + ledger.occupied_tokens
                     for ledger in process.rates.buckets(now_seconds)
                 )
-        assert whole <= self.fleet.limit.burst_tokens + TINY
+        assert total_tokens <= self.fleet.limit.burst_tokens + TINY
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -225,8 +227,8 @@
         process = draw.choices(callers, weights)[0]
         fleet.reserve(process, draw.choice((10.0, 20.0, 60.0)))
         fleet.run_for(0.02)
-    whole = fleet.limit.burst_tokens + 30.0 * 300.0
-    assert fleet.charged_tokens(start) > 0.9 * whole
+    total_tokens = fleet.limit.burst_tokens + 30.0 * 300.0
+    assert fleet.charged_tokens(start) > 0.9 * total_tokens
     assert fleet.excess_tokens() <= TINY
 
 
--- a/tests/coordination/rates/test_ledger.py
+++ b/tests/coordination/rates/test_ledger.py
@@ -67,14 +67,14 @@
     assert ledger.level_tokens > 100.0
 
 
-def test_an_unreported_grant_is_taken_for_charged() -> None:
+def test_an_unreported_grant_counts_as_charged() -> None:
     ledger = full()
     give(ledger, 0, 300.0, 10.0)
     ledger.advance(12.5)
     assert 44.0 < ledger.level_tokens < 46.0
 
 
-def test_held_tokens_keep_their_place_until_settled() -> None:
+def test_held_tokens_occupy_the_bucket_until_settled() -> None:
     # A limit on running requests: their tokens do not refill.
     limit = limits.Limit(1e6, 8.0, 10.0)
     ledger = ledgers.Ledger(limit=limit, now_seconds=0.0, wait_seconds=0.0)
@@ -130,7 +130,7 @@
         assert total - 100.0 * at - lowest <= 300.0 + TINY
 
 
-def test_a_changed_rate_leaves_live_grants_their_place() -> None:
+def test_a_changed_rate_keeps_valid_grants_occupying_the_bucket() -> None:
     # The rate changes while granted tokens may still be charged. If they
     # stopped occupying the bucket, the refill would be granted on top of them.
     ledger = full()
--- a/tests/coordination/rates/test_service.py
+++ b/tests/coordination/rates/test_service.py
@@ -258,7 +258,7 @@
     assert 1.0 < later.ready_in_seconds < 2.5
 
 
-def test_a_silent_holder_is_not_taken_for_a_prompt_one(fleet) -> None:
+def test_an_unresponsive_holder_lengthens_the_retry_delay(fleet) -> None:
     # The holder has died but is still in the view. Callers were told to retry
     # almost immediately, again and again, and kept their connections open.
     process = fleet.other("north")
