--- a/src/boragefold/coordination/rates/ledger.py
+++ b/src/boragefold/coordination/rates/ledger.py
@@ -1,14 +1,14 @@
-"""One bucket, and the account of what was given out of it.
+"""A token bucket together with the record of the tokens granted from it.
 
-Tokens that were given out *occupy* the bucket while somebody may still charge
-them: at every instant ``level + occupied <= burst``. Whatever is charged in a
-window therefore comes out of at most one burst and the window's refill.
+Granted tokens *occupy* the bucket while their receiver may still charge them:
+``level + occupied <= burst`` holds at all times. The tokens charged in any
+time window are therefore limited to one burst plus the refill of the window.
 
-What a request reserved but did not use comes back when it ends, often many
-seconds after it was charged. Adding it to the level would allow more than one
-burst if the bucket was full in between. So the bucket is replayed from the
-moment of the charge with the smaller amount: the level becomes what it would
-have been, had the use been known.
+The unused part of a reservation is returned when its request ends, often many
+seconds after the charge. Adding it to the level would allow more than one
+burst if the bucket was full in between. Instead the bucket is replayed from
+the time of the charge with the smaller amount, so that the level is the one
+that would have resulted if the use had been known from the start.
 """
 
 from __future__ import annotations
@@ -21,8 +21,9 @@
 from boragefold.coordination.rates import limits
 from boragefold.protocol import ids
 
-# Bounds a replay; older requests lose their remainder.
-MOST_EVENTS = 1000
+# Bounds the cost of a replay; the oldest entries beyond it are finished, and
+# their unused tokens are no longer returned.
+MAX_EVENTS = 1000
 
 
 _Key = tuple[ids.InstanceId, int]
@@ -34,83 +35,84 @@
     def __init__(
         self, *, limit: limits.Limit, now_seconds: float, wait_seconds: float
     ) -> None:
-        """Start empty; the refill begins after a wait.
+        """Create an empty bucket that refills after a delay.
 
         :param limit: rate and burst of this bucket
-        :param now_seconds: the moment the right was gained
-        :param wait_seconds: how long a former holder's tokens may live
+        :param now_seconds: time at which this instance became the holder
+        :param wait_seconds: how long tokens of a previous holder stay valid
         """
         self._limit = limit
         self._starts_at_seconds = now_seconds + wait_seconds
-        self._past = buckets.Bucket(at_seconds=self._starts_at_seconds)
-        self._now = dataclasses.replace(self._past)
-        self._open: dict[_Key, buckets.Entry] = {}
+        self._base = buckets.Bucket(at_seconds=self._starts_at_seconds)
+        self._current = dataclasses.replace(self._base)
+        self._open_entries: dict[_Key, buckets.Entry] = {}
         self._events: list[buckets.Event] = []
         self._applied = 0
-        self._stale = False
+        self._needs_replay = False
         self._order = itertools.count()
 
     @property
     def limit(self) -> limits.Limit:
-        """Tell what the bucket allows.
+        """Return the limit in force.
 
-        :return: rate and burst in force
+        :return: rate and burst
         """
         return self._limit
 
     @property
     def level_tokens(self) -> float:
-        """Tell how much can be given, as of the last :meth:`advance`.
+        """Return what can be granted as of the last :meth:`advance`.
 
         :return: tokens
         """
-        return max(0.0, self._now.level_tokens)
+        return max(0.0, self._current.level_tokens)
 
     @property
     def occupied_tokens(self) -> float:
-        """Tell how much was given and may still be charged.
+        """Return what was granted and may still be charged.
 
         :return: tokens
         """
-        return max(0.0, self._now.occupied_tokens)
+        return max(0.0, self._current.occupied_tokens)
 
     def starts_in_seconds(self, now_seconds: float) -> float:
-        """Tell how long the wait of a new holder still lasts.
+        """Return the remaining time until the bucket of a new holder refills.
 
-        :param now_seconds: the clock
-        :return: seconds, zero when the bucket refills
+        :param now_seconds: current time
+        :return: seconds, zero if the bucket already refills
         """
         return max(0.0, self._starts_at_seconds - now_seconds)
 
     def change(self, limit: limits.Limit, *, now_seconds: float) -> None:
-        """Put another rate and burst in force at once.
+        """Apply another rate and burst immediately.
 
-        :param limit: the new ones
-        :param now_seconds: the clock
+        :param limit: the new rate and burst
+        :param now_seconds: current time
         """
         if limit == self._limit:
             return
         self.advance(now_seconds)
         self.recount()
-        # Open requests lose their remainder; what may still be charged stays.
-        self._open.clear()
-        self._fold(now_seconds)
+        # Entries of running requests are dropped, so their unused tokens are
+        # not returned. Tokens that may still be charged stay occupied.
+        self._open_entries.clear()
+        self._fold_events(now_seconds)
         self._limit = limit
-        self._past.fit(limit)
-        self._now.fit(limit)
+        self._base.fit(limit)
+        self._current.fit(limit)
 
     def advance(self, now_seconds: float) -> None:
-        """Refill, and let what has ended give up its place.
+        """Refill the bucket and free the tokens of expired grants.
 
-        :param now_seconds: the clock
+        :param now_seconds: current time
         """
         while self._applied < len(self._events):
             event = self._events[self._applied]
             if event.at_seconds > now_seconds:
                 break
-            self._now.apply(self._limit, event)
+            self._current.apply(self._limit, event)
             self._applied += 1
-        self._now.refill(self._limit, now_seconds)
+        self._current.refill(self._limit, now_seconds)
 
     def give(
         self,
@@ -122,12 +124,12 @@
     ) -> None:
         """Debit tokens before they are sent.
 
-        :param asker: who gets them
-        :param number: the number of its request, never used before
+        :param asker: instance that receives the tokens
+        :param number: unique number of its request
         :param tokens: at most the level
-        :param now_seconds: the clock, as last given to :meth:`advance`
+        :param now_seconds: time of the last :meth:`advance`
         """
-        self._open[asker, number] = self._occupy(tokens, now_seconds)
+        self._open_entries[asker, number] = self._occupy(tokens, now_seconds)
 
     def report(
         self,
@@ -138,20 +140,20 @@
         final: bool,
         now_seconds: float,
     ) -> None:
-        """Take back what was not charged; unknown entries are ignored.
+        """Return tokens that were not charged; ignores unknown entries.
 
-        :param asker: who got the tokens
-        :param number: the number of its request
-        :param charged_tokens: what was charged, and not given back
-        :param final: whether no more will come back
-        :param now_seconds: the clock, as last given to :meth:`advance`
+        :param asker: instance that received the tokens
+        :param number: number of its request
+        :param charged_tokens: tokens that were charged and not returned
+        :param final: whether no more tokens will be returned
+        :param now_seconds: time of the last :meth:`advance`
         """
-        entry = self._open.get((asker, number))
+        entry = self._open_entries.get((asker, number))
         if entry is None:
             return
         if charged_tokens < entry.charged_tokens:
             entry.charged_tokens = max(0.0, charged_tokens)
-            self._stale = True
+            self._needs_replay = True
         if final:
             self._finish((asker, number), now_seconds)
         elif not self._limit.hold_seconds:
@@ -159,37 +161,39 @@
         self.advance(now_seconds)
 
     def recount(self) -> None:
-        """Replay the bucket with what was reported since the last time.
+        """Replay the bucket with the reports since the last replay.
 
-        Until then the level is too low, never too high.
+        Without the replay the level is too low, never too high.
         """
-        if not self._stale:
+        if not self._needs_replay:
             return
-        self._stale = False
-        now_seconds = self._now.at_seconds
-        self._now = dataclasses.replace(self._past)
+        self._needs_replay = False
+        now_seconds = self._current.at_seconds
+        self._current = dataclasses.replace(self._base)
         self._applied = 0
         self.advance(now_seconds)
 
     def settle_old(self, now_seconds: float) -> None:
-        """Stop waiting for what is too old to come back.
+        """Finish entries that are too old for their tokens to be returned.
 
-        :param now_seconds: the clock, as last given to :meth:`advance`
+        :param now_seconds: time of the last :meth:`advance`
         """
         oldest_seconds = now_seconds - limits.REFUND_SECONDS
-        many = len(self._events) - MOST_EVENTS
-        if many > 0:
-            oldest_seconds = max(oldest_seconds, self._events[many].at_seconds)
+        excess_events = len(self._events) - MAX_EVENTS
+        if excess_events > 0:
+            oldest_seconds = max(
+                oldest_seconds, self._events[excess_events].at_seconds
+            )
         old = [
             key
-            for key, entry in self._open.items()
+            for key, entry in self._open_entries.items()
             if entry.given_at_seconds < oldest_seconds
             and entry.free_at_seconds <= now_seconds
         ]
         for key in old:
             self._finish(key, now_seconds)
         self.recount()
-        self._fold(now_seconds)
+        self._fold_events(now_seconds)
 
     def inherit(
         self,
@@ -198,20 +202,22 @@
         occupied_tokens: float,
         now_seconds: float,
     ) -> None:
-        """Go on from where a former holder gave up; ends the wait.
+        """Continue from a previous holder's bucket without the initial delay.
 
-        :param level_tokens: its level
-        :param occupied_tokens: what it gave out and may still be charged
-        :param now_seconds: the clock
+        :param level_tokens: level of that bucket
+        :param occupied_tokens: its granted tokens that may still be charged
+        :param now_seconds: current time
         """
         self._starts_at_seconds = now_seconds
         whole_tokens = level_tokens + occupied_tokens
-        self._past = buckets.Bucket(
+        self._base = buckets.Bucket(
             at_seconds=now_seconds, level_tokens=whole_tokens
         )
-        self._past.fit(self._limit)
-        self._now = dataclasses.replace(self._past)
-        self._occupy(min(occupied_tokens, self._now.level_tokens), now_seconds)
+        self._base.fit(self._limit)
+        self._current = dataclasses.replace(self._base)
+        self._occupy(
+            min(occupied_tokens, self._current.level_tokens), now_seconds
+        )
 
     def _occupy(self, tokens: float, now_seconds: float) -> buckets.Entry:
         life_seconds = limits.GRANT_SECONDS + limits.MARGIN_SECONDS
@@ -222,12 +228,12 @@
             + life_seconds
             + self._limit.hold_seconds,
         )
-        self._insert(now_seconds, entry, given=True)
-        self._insert(entry.free_at_seconds, entry, given=False)
+        self._insert_event(now_seconds, entry, given=True)
+        self._insert_event(entry.free_at_seconds, entry, given=False)
         self.advance(now_seconds)
         return entry
 
-    def _insert(
+    def _insert_event(
         self, at_seconds: float, entry: buckets.Entry, *, given: bool
     ) -> None:
         event = buckets.Event(at_seconds, next(self._order), entry, given)
@@ -236,17 +242,17 @@
     def _free(self, entry: buckets.Entry, now_seconds: float) -> None:
         if entry.free_at_seconds > now_seconds:
             entry.free_at_seconds = now_seconds
-            self._insert(now_seconds, entry, given=False)
+            self._insert_event(now_seconds, entry, given=False)
 
     def _finish(self, key: _Key, now_seconds: float) -> None:
-        entry = self._open.pop(key)
+        entry = self._open_entries.pop(key)
         entry.final = True
         self._free(entry, now_seconds)
 
-    def _fold(self, now_seconds: float) -> None:
-        """Forget the events before the oldest open entry."""
+    def _fold_events(self, now_seconds: float) -> None:
+        """Apply events before the oldest open entry to the past bucket."""
         self.advance(now_seconds)
-        oldest = next(iter(self._open.values()), None)
+        oldest = next(iter(self._open_entries.values()), None)
         until_seconds = now_seconds
         if oldest is not None:
             until_seconds = min(until_seconds, oldest.given_at_seconds)
@@ -254,7 +260,7 @@
         for event in self._events[: self._applied]:
             if event.at_seconds >= until_seconds:
                 break
-            self._past.apply(self._limit, event)
+            self._base.apply(self._limit, event)
             count += 1
         del self._events[:count]
         self._applied -= count
@@ -262,5 +268,5 @@
 
 __all__ = [
     "Ledger",
-    "MOST_EVENTS",
+    "MAX_EVENTS",
 ]
--- a/src/boragefold/coordination/rates/waiting.py
+++ b/src/boragefold/coordination/rates/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait at a holder, in the order of arrival."""
+"""Token requests queued at a holder, in order of arrival."""
 
 from __future__ import annotations
 
@@ -21,54 +21,54 @@
 
 
 class Queue:
-    """One request per asker; a repeated one keeps its place."""
+    """Queue with one request per asker; a repeated one keeps its position."""
 
     def __init__(self) -> None:
-        """Start empty."""
-        self._waiting: dict[ids.InstanceId, Waiting] = {}
+        """Create an empty queue."""
+        self._requests: dict[ids.InstanceId, Waiting] = {}
 
     def __iter__(self) -> Iterator[Waiting]:
-        return iter(list(self._waiting.values()))
+        return iter(list(self._requests.values()))
 
     def __bool__(self) -> bool:
-        return bool(self._waiting)
+        return bool(self._requests)
 
     @property
     def needed_tokens(self) -> float:
-        """Sum what is needed.
+        """Sum the tokens that the requests need.
 
         :return: tokens
         """
-        return sum(each.needed_tokens for each in self._waiting.values())
+        return sum(each.needed_tokens for each in self._requests.values())
 
     @property
     def ahead_tokens(self) -> float:
-        """Sum what is wanted if there are plenty.
+        """Sum the additional tokens that the requests fetch ahead.
 
         :return: tokens
         """
-        return sum(each.ahead_tokens for each in self._waiting.values())
+        return sum(each.ahead_tokens for each in self._requests.values())
 
     def put(self, waiting: Waiting) -> None:
-        """Add a request, or replace an earlier one of the same asker.
+        """Add a request or replace an earlier one of the same asker.
 
         :param waiting: the request
         """
-        self._waiting[waiting.asker] = waiting
+        self._requests[waiting.asker] = waiting
 
     def first(self) -> Waiting:
-        """Look at the request that came first.
+        """Return the request that arrived first; the queue must not be empty.
 
-        :return: the request; the queue must not be empty
+        :return: the request
         """
-        return next(iter(self._waiting.values()))
+        return next(iter(self._requests.values()))
 
     def remove(self, waiting: Waiting) -> None:
-        """Take a request out.
+        """Remove a request.
 
         :param waiting: the request
         """
-        del self._waiting[waiting.asker]
+        del self._requests[waiting.asker]
 
 
 __all__ = [
