--- a/src/boragefold/coordination/orders/dispatcher.py
+++ b/src/boragefold/coordination/orders/dispatcher.py
@@ -21,7 +21,7 @@
     def __init__(
         self,
         *,
-        fencing: fences.Fencing | None,
+        fencing: fences.FencingNumbers | None,
         ready: Callable[[], bool],
         sender: sending.OrderSender,
         started: Callable[[sending.Order], None],
--- a/src/boragefold/coordination/orders/desk.py
+++ b/src/boragefold/coordination/orders/endpoint_orders.py
@@ -11,18 +11,18 @@
 from boragefold.coordination.orders import evictions as evicting
 from boragefold.coordination.orders import fencing as fences
 from boragefold.coordination.orders import leases as leasing
+from boragefold.coordination.orders import loaded_adapters
 from boragefold.coordination.orders import sender as sending
-from boragefold.coordination.orders import slots as slotting
-from boragefold.coordination.orders import times
+from boragefold.coordination.orders import timeouts
 from boragefold.policy import work
 from boragefold.protocol import ids
 from boragefold.protocol import order_messages as messages
 from boragefold.telemetry import counters as counting
 
-Finished = Callable[[sending.Order, sending.Outcome], None]
+OutcomeCallback = Callable[[sending.Order, sending.Outcome], None]
 
 
-class Desk:
+class EndpointOrders:
     """Grants adapter leases and sends orders for one endpoint.
 
     It is created when this instance gains the right and dropped when it loses
@@ -35,13 +35,13 @@
         self,
         *,
         endpoint: str,
-        fencing: fences.Fencing | None,
+        fencing: fences.FencingNumbers | None,
         numbers: itertools.count[int],
         holds: Callable[[], bool],
         now_seconds: Callable[[], float],
         sender: sending.OrderSender,
         send: Callable[[ids.InstanceId, Any], None],
-        finished: Finished,
+        finished: OutcomeCallback,
         counters: counting.Counters,
     ) -> None:
         """Create the state of a newly gained right.
@@ -63,9 +63,11 @@
         self._finished = finished
         self._counters = counters
         self._ready_at_seconds = (
-            now_seconds() + times.ORDER_SECONDS + times.MARGIN_SECONDS
+            now_seconds() + timeouts.ORDER_SECONDS + timeouts.MARGIN_SECONDS
+        )
+        self._loaded_adapters = loaded_adapters.LoadedAdapters(
+            not_before_seconds=self._ready_at_seconds
         )
-        self._slots = slotting.Slots(not_before_seconds=self._ready_at_seconds)
         self._leases = leasing.Leases(since_seconds=now_seconds())
         self._evictions = evicting.Evictions(
             endpoint=endpoint,
@@ -97,7 +99,7 @@
 
         :return: adapter versions, none before the first valid report
         """
-        return self._slots.loaded
+        return self._loaded_adapters.loaded
 
     def ask_use(self, asker: ids.InstanceId, weights: messages.Weights) -> str:
         """Grant or refuse a lease on an adapter version.
@@ -110,7 +112,7 @@
             return "not_ready"
         if weights in self._evictions:
             return "evicting"
-        if weights not in self._slots.loaded:
+        if weights not in self._loaded_adapters.loaded:
             return "not_loaded"
         self._leases.give(weights, asker, now_seconds=self._now_seconds())
         return ""
@@ -140,7 +142,7 @@
         :param sampled_seconds: time of the sample, or an earlier time
         """
         loaded = frozenset(messages.Weights(*each) for each in running)
-        restarted = self._slots.report(
+        restarted = self._loaded_adapters.report(
             incarnation=incarnation,
             loaded=loaded,
             sampled_seconds=sampled_seconds,
@@ -164,7 +166,7 @@
         :return: whether the order was accepted
         """
         weights = messages.Weights(*adapter)
-        if weights in self._slots.loaded:
+        if weights in self._loaded_adapters.loaded:
             return self._refuse("already_loaded")
         return self._accept(
             sending.Order(
@@ -193,7 +195,7 @@
         weights = messages.Weights(*adapter)
         if not self._ready():
             return self._refuse("not_ready")
-        if weights not in self._slots.loaded:
+        if weights not in self._loaded_adapters.loaded:
             return self._refuse("not_loaded")
         self._evictions.begin(weights)
         self._evictions.ask()
@@ -217,7 +219,7 @@
 
     def _ready(self) -> bool:
         return (
-            self._slots.known
+            self._loaded_adapters.known
             and self._now_seconds() >= self._ready_at_seconds
             and self._holds()
         )
@@ -227,7 +229,7 @@
             return
         for weights in self._evictions.take_unused():
             # No lease is granted while the order is queued or in flight.
-            self._slots.changed(
+            self._loaded_adapters.changed(
                 weights, loaded=False, now_seconds=self._now_seconds()
             )
             self._accept(
@@ -265,9 +267,9 @@
         # After an unknown outcome the order may still take effect for a while.
         effective_at_seconds = self._now_seconds()
         if isinstance(outcome, sending.NoAnswer):
-            effective_at_seconds += times.ORDER_SECONDS
+            effective_at_seconds += timeouts.ORDER_SECONDS
         done = isinstance(outcome, sending.Done)
-        self._slots.changed(
+        self._loaded_adapters.changed(
             messages.Weights(*order.adapter),
             loaded=done and order.kind == "load",
             now_seconds=effective_at_seconds,
@@ -276,7 +278,7 @@
     def _mark_in_flight(self, order: sending.Order) -> None:
         if order.adapter is not None:
             # The order may take effect at any time until its outcome is known.
-            self._slots.changed(
+            self._loaded_adapters.changed(
                 messages.Weights(*order.adapter),
                 loaded=False,
                 now_seconds=math.inf,
@@ -290,14 +292,14 @@
             # The order in flight may still reach the new engine process.
             self._ready_at_seconds = (
                 self._now_seconds()
-                + times.ORDER_SECONDS
-                + times.MARGIN_SECONDS
+                + timeouts.ORDER_SECONDS
+                + timeouts.MARGIN_SECONDS
             )
         for order in cancelled:
             self._finished(order, sending.NoAnswer(reason="restarted"))
 
 
 __all__ = [
-    "Desk",
-    "Finished",
+    "EndpointOrders",
+    "OutcomeCallback",
 ]
--- a/src/boragefold/coordination/orders/evictions.py
+++ b/src/boragefold/coordination/orders/evictions.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from boragefold.coordination.orders import leases as leasing
-from boragefold.coordination.orders import times
+from boragefold.coordination.orders import timeouts
 from boragefold.protocol import ids
 from boragefold.protocol import order_messages as messages
 
@@ -61,7 +61,7 @@
             weights,
             _Eviction(
                 number=next(self._numbers),
-                requested_at_seconds=-times.AGAIN_SECONDS,
+                requested_at_seconds=-timeouts.AGAIN_SECONDS,
             ),
         )
 
@@ -96,7 +96,7 @@
         for weights, eviction in list(self._evictions.items()):
             if (
                 now_seconds
-                < eviction.requested_at_seconds + times.AGAIN_SECONDS
+                < eviction.requested_at_seconds + timeouts.AGAIN_SECONDS
             ):
                 continue
             eviction.requested_at_seconds = now_seconds
--- a/src/boragefold/coordination/orders/fencing.py
+++ b/src/boragefold/coordination/orders/fencing.py
@@ -10,7 +10,7 @@
 ORDERS_PER_VIEW = 1 << 10
 
 
-class Fencing:
+class FencingNumbers:
     """Numbers above those of all earlier views of the data centre."""
 
     def __init__(self, *, view: membership.View) -> None:
@@ -41,5 +41,5 @@
 
 
 __all__ = [
-    "Fencing",
+    "FencingNumbers",
 ]
--- a/src/boragefold/coordination/orders/uses.py
+++ b/src/boragefold/coordination/orders/lease_client.py
@@ -7,7 +7,7 @@
 import itertools
 from typing import Any
 
-from boragefold.coordination.orders import times
+from boragefold.coordination.orders import timeouts
 from boragefold.protocol import ids
 from boragefold.protocol import order_messages as messages
 from boragefold.telemetry import counters as counting
@@ -51,7 +51,7 @@
     stop_request: tuple[ids.InstanceId, int] | None = None
 
 
-class UseLeases:
+class LeaseClient:
     """Requests and renews leases, and stops their use for evictions."""
 
     def __init__(
@@ -97,7 +97,7 @@
         return Use(
             target=target,
             send_by_seconds=lease.ends_at_seconds,
-            ends_by_seconds=now_seconds + times.LONGEST_USE_SECONDS,
+            ends_by_seconds=now_seconds + timeouts.LONGEST_USE_SECONDS,
         )
 
     def finish(self, use: Use) -> None:
@@ -167,7 +167,7 @@
     def tick(self) -> None:
         """Renew leases in use and remove the state of unused ones."""
         now_seconds = self._timers.now_seconds()
-        oldest_seconds = now_seconds - times.USE_LEASE_SECONDS
+        oldest_seconds = now_seconds - timeouts.USE_LEASE_SECONDS
         self._sent_at_seconds = {
             number: at_seconds
             for number, at_seconds in self._sent_at_seconds.items()
@@ -181,8 +181,8 @@
         self._renew(now_seconds)
 
     def _renew(self, now_seconds: float) -> None:
-        renewal_limit_seconds = now_seconds + times.USE_LEASE_SECONDS / 2
-        oldest_seconds = now_seconds - times.USE_LEASE_SECONDS / 2
+        renewal_limit_seconds = now_seconds + timeouts.USE_LEASE_SECONDS / 2
+        oldest_seconds = now_seconds - timeouts.USE_LEASE_SECONDS / 2
         due = [
             target
             for target, lease in self._leases.items()
@@ -211,7 +211,7 @@
         requested_seconds = lease.requested_at_seconds
         if (
             requested_seconds is not None
-            and now_seconds < requested_seconds + times.AGAIN_SECONDS
+            and now_seconds < requested_seconds + timeouts.AGAIN_SECONDS
         ):
             return
         holder = self._holder_of(target.endpoint)
@@ -239,7 +239,7 @@
 
 
 __all__ = [
+    "LeaseClient",
     "NoLease",
     "Use",
-    "UseLeases",
 ]
--- a/src/boragefold/coordination/orders/leases.py
+++ b/src/boragefold/coordination/orders/leases.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-from boragefold.coordination.orders import times
+from boragefold.coordination.orders import timeouts
 from boragefold.protocol import ids
 from boragefold.protocol import order_messages as messages
 
@@ -30,7 +30,9 @@
         :param since_seconds: time when this instance gained the right
         """
         self._previous_leases_end_seconds = (
-            since_seconds + times.USE_LEASE_SECONDS + times.MARGIN_SECONDS
+            since_seconds
+            + timeouts.USE_LEASE_SECONDS
+            + timeouts.MARGIN_SECONDS
         )
         self._leases: dict[messages.Weights, dict[ids.InstanceId, _Lease]] = {}
         self._idle_at_seconds: dict[messages.Weights, float] = {}
@@ -49,7 +51,7 @@
         :param now_seconds: current time
         """
         ends_at_seconds = (
-            now_seconds + times.USE_LEASE_SECONDS + times.MARGIN_SECONDS
+            now_seconds + timeouts.USE_LEASE_SECONDS + timeouts.MARGIN_SECONDS
         )
         self._leases.setdefault(weights, {})[instance] = _Lease(
             ends_at_seconds=ends_at_seconds
@@ -136,10 +138,10 @@
     once the longest request duration has passed. They have also ended or been
     lost if the endpoint was idle at a time when all of them must have arrived.
     """
-    all_arrived_seconds = ends_at_seconds + times.TRANSIT_SECONDS
+    all_arrived_seconds = ends_at_seconds + timeouts.TRANSIT_SECONDS
     if idle_at_seconds is not None and idle_at_seconds >= all_arrived_seconds:
         return True
-    return now_seconds >= all_arrived_seconds + times.LONGEST_USE_SECONDS
+    return now_seconds >= all_arrived_seconds + timeouts.LONGEST_USE_SECONDS
 
 
 __all__ = [
--- a/src/boragefold/coordination/orders/slots.py
+++ b/src/boragefold/coordination/orders/loaded_adapters.py
@@ -5,7 +5,7 @@
 from boragefold.protocol import order_messages as messages
 
 
-class Slots:
+class LoadedAdapters:
     """The adapter versions loaded in one process of an engine.
 
     Reports arrive late: one sampled before an order was carried out does not
@@ -93,5 +93,5 @@
 
 
 __all__ = [
-    "Slots",
+    "LoadedAdapters",
 ]
--- a/src/boragefold/coordination/orders/sender.py
+++ b/src/boragefold/coordination/orders/sender.py
@@ -85,8 +85,8 @@
 
         Call ``still_ours`` immediately before writing, after the connection is
         established, and write nothing if it returns False. Close the
-        connection if the order is not written within ``times.ORDER_SECONDS``
-        of the call.
+        connection if the order is not written within
+        ``timeouts.ORDER_SECONDS`` of the call.
 
         :param order: order to send
         :param still_ours: returns whether the order may still be sent
--- a/src/boragefold/coordination/orders/service.py
+++ b/src/boragefold/coordination/orders/service.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from boragefold.coordination import link
-from boragefold.coordination.orders import desk as desks
+from boragefold.coordination.orders import endpoint_orders
 from boragefold.coordination.orders import fencing as fences
+from boragefold.coordination.orders import lease_client
 from boragefold.coordination.orders import sender as sending
-from boragefold.coordination.orders import times
-from boragefold.coordination.orders import uses as using
+from boragefold.coordination.orders import timeouts
 import boragefold.coordination.rights as membership
 from boragefold.protocol import ids
 from boragefold.protocol import order_messages as messages
@@ -28,12 +28,12 @@
 class _HeldEndpoint:
     """A held endpoint and the last view in which the right was valid."""
 
-    desk: desks.Desk
+    orders: endpoint_orders.EndpointOrders
     epoch: int
     number: int
 
 
-class Orders:
+class OrderService:
     """Manages the endpoints that this instance holds, and its own leases."""
 
     def __init__(
@@ -44,7 +44,7 @@
         timers: timing.TimerService,
         counters: counting.Counters,
         sender: sending.OrderSender,
-        finished: desks.Finished,
+        finished: endpoint_orders.OutcomeCallback,
     ) -> None:
         """Create the service without endpoints.
 
@@ -65,7 +65,7 @@
         self._data_centre_of: dict[str, str] = {}
         self._held_endpoints: dict[str, _HeldEndpoint] = {}
         self._eviction_numbers = itertools.count()
-        self.uses = using.UseLeases(
+        self.leases = lease_client.LeaseClient(
             timers=timers,
             counters=counters,
             holder_of=self._holder_of,
@@ -73,8 +73,8 @@
         )
         self._handlers: dict[type, Callable[[ids.InstanceId, Any], None]] = {
             messages.UseAsked: self._use_asked,
-            messages.UseGiven: self.uses.given,
-            messages.UseStopAsked: self.uses.stop_asked,
+            messages.UseGiven: self.leases.given,
+            messages.UseStopAsked: self.leases.stop_asked,
             messages.UseStopped: self._use_stopped,
         }
         for kind, handler in self._handlers.items():
@@ -101,7 +101,9 @@
             del self._held_endpoints[name]
         self._update_held()
 
-    def desk(self, endpoint: str) -> desks.Desk | None:
+    def held_endpoint(
+        self, endpoint: str
+    ) -> endpoint_orders.EndpointOrders | None:
         """Return the state of an endpoint that this instance holds now.
 
         :param endpoint: name of the endpoint
@@ -110,7 +112,7 @@
         view = self._rights.valid_view()
         if view is None or endpoint not in self._endpoints:
             return None
-        if not self._rights.holds(times.right_of(endpoint)):
+        if not self._rights.holds(timeouts.right_of(endpoint)):
             self._held_endpoints.pop(endpoint, None)
             return None
         held = self._held_endpoints.get(endpoint)
@@ -122,17 +124,19 @@
         ):
             held = self._add_held_endpoint(endpoint, view)
         held.number = view.number
-        return held.desk
+        return held.orders
 
     def _add_held_endpoint(
         self, endpoint: str, view: membership.View
     ) -> _HeldEndpoint:
         checks_fencing = self._endpoints[endpoint]["checks_fencing"]
-        right = times.right_of(endpoint)
+        right = timeouts.right_of(endpoint)
         held = _HeldEndpoint(
-            desk=desks.Desk(
+            orders=endpoint_orders.EndpointOrders(
                 endpoint=endpoint,
-                fencing=fences.Fencing(view=view) if checks_fencing else None,
+                fencing=fences.FencingNumbers(view=view)
+                if checks_fencing
+                else None,
                 numbers=self._eviction_numbers,
                 holds=lambda: self._rights.holds(right),
                 now_seconds=self._timers.now_seconds,
@@ -150,14 +154,14 @@
 
     def _update_held(self) -> None:
         for endpoint in self._endpoints:
-            self.desk(endpoint)
+            self.held_endpoint(endpoint)
 
     def _tick(self) -> None:
         for endpoint in self._endpoints:
-            desk = self.desk(endpoint)
-            if desk is not None:
-                desk.tick()
-        self.uses.tick()
+            held = self.held_endpoint(endpoint)
+            if held is not None:
+                held.tick()
+        self.leases.tick()
 
     def _holder_of(self, endpoint: str) -> ids.InstanceId | None:
         data_centre = self._data_centre_of.get(endpoint)
@@ -168,7 +172,7 @@
             view = self._rights.directory().get(data_centre)
         if view is None or not view.members:
             return None
-        return membership.holder(view, times.right_of(endpoint))
+        return membership.holder(view, timeouts.right_of(endpoint))
 
     def _use_asked(
         self, sender: ids.InstanceId, asked: messages.UseAsked
@@ -185,22 +189,22 @@
         self._send(
             sender,
             messages.UseGiven(
-                asked.number, times.USE_LEASE_SECONDS, given, refusals
+                asked.number, timeouts.USE_LEASE_SECONDS, given, refusals
             ),
         )
 
     def _ask_use(self, sender: ids.InstanceId, target: messages.Target) -> str:
-        desk = self.desk(target.endpoint)
-        if desk is None:
+        held = self.held_endpoint(target.endpoint)
+        if held is None:
             return "not_holder"
-        return desk.ask_use(sender, target.weights)
+        return held.ask_use(sender, target.weights)
 
     def _use_stopped(
         self, sender: ids.InstanceId, stopped: messages.UseStopped
     ) -> None:
-        desk = self.desk(stopped.target.endpoint)
-        if desk is not None:
-            desk.use_stopped(sender, stopped)
+        held = self.held_endpoint(stopped.target.endpoint)
+        if held is not None:
+            held.use_stopped(sender, stopped)
 
     def _send(self, to: ids.InstanceId, body: Any) -> None:
         if to != self._link.self_id:
@@ -210,5 +214,5 @@
 
 
 __all__ = [
-    "Orders",
+    "OrderService",
 ]
--- a/src/boragefold/entry/adapter_orders.py
+++ b/src/boragefold/entry/adapter_orders.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from boragefold.coordination.orders import desk as order_desks
+from boragefold.coordination.orders import endpoint_orders
 from boragefold.coordination.orders import sender as sending
 from boragefold.coordination.orders import service as order_service
 from boragefold.entry import orderer
@@ -25,7 +25,7 @@
     def __init__(
         self,
         *,
-        orders: Callable[[], order_service.Orders],
+        orders: Callable[[], order_service.OrderService],
         events: fleet_events.FleetEvents,
         timers: timing.TimerService,
         counters: telemetry.Counters,
@@ -47,22 +47,22 @@
         :param order: what to load, and where
         """
         load = order.load
-        desk = self._orders().desk(load.endpoint)
-        if desk is None:
+        held = self._orders().held_endpoint(load.endpoint)
+        if held is None:
             self._schedule_failure(load, "not_holder")
         elif load.evict is None:
-            self._start_load(desk, load)
+            self._start_load(held, load)
         else:
-            self._start_eviction(desk, load, load.evict)
+            self._start_eviction(held, load, load.evict)
 
     def drain(self, drain: actions.Drain) -> None:
         """Evict an adapter as soon as no request uses it.
 
         :param drain: the adapter and the endpoint
         """
-        desk = self._orders().desk(drain.drain.endpoint)
-        if desk is not None:
-            desk.evict(drain.drain.adapter)
+        held = self._orders().held_endpoint(drain.drain.endpoint)
+        if held is not None:
+            held.evict(drain.drain.adapter)
 
     def finished(self, order: sending.Order, outcome: sending.Outcome) -> None:
         """Process the outcome of an order.
@@ -81,17 +81,17 @@
 
     def _start_eviction(
         self,
-        desk: order_desks.Desk,
+        held: endpoint_orders.EndpointOrders,
         load: loads.Load,
         evict: works.AdapterVersion,
     ) -> None:
         key = (load.endpoint, evict)
         self._evicting[key] = load
-        answer = desk.evict(evict)
+        answer = held.evict(evict)
         if isinstance(answer, sending.Refused):
             self._evicting.pop(key, None)
             if answer.reason == "not_loaded":
-                self._start_load(desk, load)
+                self._start_load(held, load)
             else:
                 self._schedule_failure(load, answer.reason)
             return
@@ -101,9 +101,9 @@
         )
 
     def _on_evicted(self, load: loads.Load, done: bool) -> None:
-        desk = self._orders().desk(load.endpoint)
-        if done and desk is not None:
-            self._start_load(desk, load)
+        held = self._orders().held_endpoint(load.endpoint)
+        if done and held is not None:
+            self._start_load(held, load)
         else:
             self._schedule_failure(load, "eviction_failed")
 
@@ -113,8 +113,8 @@
         key = (load.endpoint, evict)
         if self._evicting.get(key) is not load:
             return
-        desk = self._orders().desk(load.endpoint)
-        if desk is not None and not desk.cancel_eviction(evict):
+        held = self._orders().held_endpoint(load.endpoint)
+        if held is not None and not held.cancel_eviction(evict):
             return
         del self._evicting[key]
         self._events.loaded(
@@ -122,10 +122,12 @@
         )
         self._schedule_failure(load, "eviction_timeout")
 
-    def _start_load(self, desk: order_desks.Desk, load: loads.Load) -> None:
+    def _start_load(
+        self, held: endpoint_orders.EndpointOrders, load: loads.Load
+    ) -> None:
         key = (load.endpoint, load.adapter)
         self._loading[key] = load
-        answer = desk.load(load.adapter)
+        answer = held.load(load.adapter)
         if isinstance(answer, sending.Refused):
             self._loading.pop(key, None)
             self._schedule_failure(load, answer.reason)
--- a/src/boragefold/entry/chat_sender.py
+++ b/src/boragefold/entry/chat_sender.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from boragefold.coordination.orders import uses as using
+from boragefold.coordination.orders import lease_client
 from boragefold.entry import live_chat
 from boragefold.entry import use_gate
 from boragefold.telemetry import counters as telemetry
@@ -30,7 +30,7 @@
         self._counters = counters
         self._address_of = address_of
         self._gate = gate
-        self._uses: dict[str, using.Use] = {}
+        self._uses: dict[str, lease_client.Use] = {}
 
     def send(self, live: live_chat.LiveChat, endpoint: str) -> None:
         """Send an attempt, after acquiring a lease if it uses an adapter.
@@ -68,7 +68,7 @@
             self._gate.leave(use)
 
     def _send_with_lease(
-        self, live: live_chat.LiveChat, address: str, use: using.Use
+        self, live: live_chat.LiveChat, address: str, use: lease_client.Use
     ) -> None:
         if live.finished:
             self._gate.leave(use)
@@ -92,7 +92,7 @@
             live.broken(NOT_HELD, may_have_run=False)
 
     def _on_use_expired(
-        self, live: live_chat.LiveChat, use: using.Use
+        self, live: live_chat.LiveChat, use: lease_client.Use
     ) -> None:
         # The instance that granted the lease may unload the adapter now.
         if not use.finished and not live.finished:
--- a/src/boragefold/entry/traffic.py
+++ b/src/boragefold/entry/traffic.py
@@ -6,7 +6,7 @@
 import random
 
 from boragefold.coordination.orders import service as order_service
-from boragefold.coordination.orders import times
+from boragefold.coordination.orders import timeouts
 import boragefold.coordination.rights as rights_module
 from boragefold.entry import adapter_orders
 from boragefold.entry import chat_sender
@@ -37,7 +37,7 @@
 
     def __init__(self, *, rights: rights_module.Rights) -> None:
         self._rights = rights
-        self.orders: order_service.Orders | None = None
+        self.orders: order_service.OrderService | None = None
         self.reports: load_reports.LoadReports | None = None
 
     @property
@@ -69,12 +69,12 @@
         view = self._rights.directory().get(record.data_centre)
         if view is None:
             return None
-        right = times.right_of(endpoint)
+        right = timeouts.right_of(endpoint)
         return rights_module.holder(view, right).incarnation
 
     def _is_ready(self, endpoint: str) -> bool:
-        desk = self.orders and self.orders.desk(endpoint)
-        return bool(desk and desk.ready)
+        held = self.orders and self.orders.held_endpoint(endpoint)
+        return bool(held and held.ready)
 
 
 class Traffic:
@@ -103,7 +103,7 @@
             counters=counters,
         )
         self._gate = use_gate.UseGate(
-            uses=lambda: self.orders.uses, timers=timers
+            leases=lambda: self.orders.leases, timers=timers
         )
         self.desk = desks.Desk(
             dispatcher=self._dispatcher,
@@ -146,7 +146,7 @@
             changed=self.desk.run,
         )
         self.desk.orderer = orderer
-        self.orders = order_service.Orders(
+        self.orders = order_service.OrderService(
             peers=link,
             rights=together.views,
             timers=timers,
@@ -171,7 +171,7 @@
         together.catalogue.subscribe_withdrawn(self.desk.withdraw_key)
         together.rates.stock.subscribe(lambda workspace: self.desk.run())
         together.load_budget.subscribe(self.desk.run)
-        self.orders.uses.subscribe(self._gate.lease_came)
+        self.orders.leases.subscribe(self._gate.lease_came)
 
     def _on_change(self, change: trees.Change) -> None:
         # Other changes of the catalogue require no check of all endpoints.
@@ -190,9 +190,9 @@
         running: dict[works.AdapterVersion, int],
         sampled_seconds: float,
     ) -> None:
-        desk = self.orders.desk(endpoint)
-        if desk is not None:
-            desk.report(
+        held = self.orders.held_endpoint(endpoint)
+        if held is not None:
+            held.report(
                 incarnation=report.incarnation,
                 running=running,
                 sampled_seconds=sampled_seconds,
--- a/src/boragefold/entry/use_gate.py
+++ b/src/boragefold/entry/use_gate.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 import dataclasses
 
-from boragefold.coordination.orders import uses as using
+from boragefold.coordination.orders import lease_client
 from boragefold.policy import work as works
 from boragefold.protocol import order_messages
 from boragefold.timing import timers as timing
@@ -25,7 +25,7 @@
 
     target: order_messages.Target
     deadline_seconds: float
-    granted: Callable[[using.Use], None]
+    granted: Callable[[lease_client.Use], None]
     refused: Callable[[str], None]
 
 
@@ -35,10 +35,10 @@
     def __init__(
         self,
         *,
-        uses: Callable[[], using.UseLeases],
+        leases: Callable[[], lease_client.LeaseClient],
         timers: timing.TimerService,
     ) -> None:
-        self._uses = uses
+        self._leases = leases
         self._timers = timers
         self._queue: list[QueuedUse] = []
         timers.every(period_seconds=CHECK_SECONDS, callback=self._retry_all)
@@ -48,7 +48,7 @@
         *,
         endpoint: str,
         adapter: works.AdapterVersion,
-        granted: Callable[[using.Use], None],
+        granted: Callable[[lease_client.Use], None],
         refused: Callable[[str], None],
     ) -> None:
         """Start a use, now or when the lease is granted.
@@ -77,12 +77,12 @@
             if queued.target == target:
                 self._try_start(queued)
 
-    def leave(self, use: using.Use) -> None:
+    def leave(self, use: lease_client.Use) -> None:
         """End a use.
 
         :param use: from ``granted``
         """
-        self._uses().finish(use)
+        self._leases().finish(use)
 
     def _retry_all(self) -> None:
         for queued in list(self._queue):
@@ -91,14 +91,14 @@
     def _try_start(self, queued: QueuedUse) -> None:
         if queued not in self._queue:
             return
-        use = self._uses().begin(queued.target)
-        if isinstance(use, using.Use):
+        use = self._leases().begin(queued.target)
+        if isinstance(use, lease_client.Use):
             # begin() may have started this use through a callback already.
             if queued in self._queue:
                 self._queue.remove(queued)
                 queued.granted(use)
             else:
-                self._uses().finish(use)
+                self._leases().finish(use)
             return
         expired = self._timers.now_seconds() > queued.deadline_seconds
         if use.reason not in TEMPORARY_REASONS or expired:
--- a/tests/coordination/orders/test_faults.py
+++ b/tests/coordination/orders/test_faults.py
@@ -6,9 +6,9 @@
 
 import pytest
 
+from boragefold.coordination.orders import lease_client
 from boragefold.coordination.orders import sender as sending
-from boragefold.coordination.orders import times
-from boragefold.coordination.orders import uses
+from boragefold.coordination.orders import timeouts
 from tests.coordination.orders import test_service as worlds
 
 STEPS = 8000
@@ -20,7 +20,9 @@
     def send(self, order, *, still_ours, finished) -> None:
         random_source = self.world.network.random
         write_delay_seconds = random_source.uniform(0.0, 0.5)
-        transit_seconds = random_source.uniform(0.0, times.ORDER_SECONDS - 0.6)
+        transit_seconds = random_source.uniform(
+            0.0, timeouts.ORDER_SECONDS - 0.6
+        )
 
         def write() -> None:
             if not still_ours():
@@ -74,15 +76,15 @@
 
     def use(self) -> None:
         process = self.random.choice(self.processes())
-        use = process.orders.uses.begin(worlds.TARGET)
-        if isinstance(use, uses.NoLease):
+        use = process.orders.leases.begin(worlds.TARGET)
+        if isinstance(use, lease_client.NoLease):
             return
         transit = self.random.uniform(0.0, 0.5)
         self.world.timers.once(
             delay_seconds=transit, callback=lambda: self.arrive(process, use)
         )
 
-    def arrive(self, process: worlds.Process, use: uses.Use) -> None:
+    def arrive(self, process: worlds.Process, use: lease_client.Use) -> None:
         engine = self.world.engine
         self.arrived_requests += 1
         if worlds.NOTES not in engine.running:
@@ -94,7 +96,7 @@
             delay_seconds=duration, callback=lambda: self.end(process, use)
         )
 
-    def end(self, process: worlds.Process, use: uses.Use) -> None:
+    def end(self, process: worlds.Process, use: lease_client.Use) -> None:
         running = self.world.engine.running
         if running.get(worlds.NOTES):
             running[worlds.NOTES] -= 1
@@ -106,29 +108,31 @@
         else:
             self.finish_use(process, use)
 
-    def finish_use(self, process: worlds.Process, use: uses.Use) -> None:
+    def finish_use(
+        self, process: worlds.Process, use: lease_client.Use
+    ) -> None:
         if process.node.paused:
             self.world.timers.once(
                 delay_seconds=1.0,
                 callback=lambda: self.finish_use(process, use),
             )
         elif not process.node.dead:
-            process.orders.uses.finish(use)
+            process.orders.leases.finish(use)
 
     def wait(self) -> None:
         self.world.run_for(self.random.choice((0.01, 0.1, 0.5)))
 
     def evict(self) -> None:
         for process in self.processes():
-            desk = process.orders.desk(worlds.ENDPOINT)
-            if desk is not None:
-                desk.evict(worlds.NOTES)
+            held = process.orders.held_endpoint(worlds.ENDPOINT)
+            if held is not None:
+                held.evict(worlds.NOTES)
 
     def load(self) -> None:
         for process in self.processes():
-            desk = process.orders.desk(worlds.ENDPOINT)
-            if desk is not None:
-                desk.load(worlds.NOTES)
+            held = process.orders.held_endpoint(worlds.ENDPOINT)
+            if held is not None:
+                held.load(worlds.NOTES)
 
     def pause(self) -> None:
         if len(self.processes()) > 3:
--- a/tests/coordination/orders/test_parts.py
+++ b/tests/coordination/orders/test_parts.py
@@ -5,9 +5,9 @@
 
 from boragefold.coordination.orders import dispatcher as dispatching
 from boragefold.coordination.orders import fencing as fences
+from boragefold.coordination.orders import lease_client
+from boragefold.coordination.orders import loaded_adapters
 from boragefold.coordination.orders import sender as sending
-from boragefold.coordination.orders import slots as slotting
-from boragefold.coordination.orders import uses
 import boragefold.coordination.rights as membership
 from boragefold.policy import work
 from boragefold.protocol import ids
@@ -29,7 +29,7 @@
     # first. It evicts the adapter after the confirmation, so the late lease
     # must not be used.
     sent: list[Any] = []
-    leases = uses.UseLeases(
+    leases = lease_client.LeaseClient(
         timers=timers.TimerService(clock=clocks.VirtualClock()),
         counters=counting.Counters(),
         holder_of=lambda endpoint: HOLDER,
@@ -40,34 +40,34 @@
     leases.stop_asked(HOLDER, messages.UseStopAsked(TARGET, 7))
     assert sent[-1] == messages.UseStopped(TARGET, 7)
     leases.given(HOLDER, messages.UseGiven(number, 8.0, (TARGET,), ()))
-    assert isinstance(leases.begin(TARGET), uses.NoLease)
+    assert isinstance(leases.begin(TARGET), lease_client.NoLease)
     number = sent[-1].number
     leases.given(HOLDER, messages.UseGiven(number, 8.0, (TARGET,), ()))
-    assert isinstance(leases.begin(TARGET), uses.Use)
+    assert isinstance(leases.begin(TARGET), lease_client.Use)
 
 
 def test_reports_of_a_restarted_engine_count_at_once() -> None:
     # After an unknown outcome, reports of the engine are ignored for a while.
     # This must not apply to the engine process that replaces it.
-    slots = slotting.Slots(not_before_seconds=0.0)
+    adapters = loaded_adapters.LoadedAdapters(not_before_seconds=0.0)
     nothing: frozenset[messages.Weights] = frozenset()
-    slots.report(incarnation="1", loaded=nothing, sampled_seconds=1.0)
-    slots.changed(NOTES, loaded=False, now_seconds=100.0)
+    adapters.report(incarnation="1", loaded=nothing, sampled_seconds=1.0)
+    adapters.changed(NOTES, loaded=False, now_seconds=100.0)
     loaded = frozenset({NOTES})
-    slots.report(incarnation="1", loaded=loaded, sampled_seconds=2.0)
-    assert slots.loaded == nothing
-    slots.report(incarnation="2", loaded=loaded, sampled_seconds=3.0)
-    assert slots.loaded == loaded
+    adapters.report(incarnation="1", loaded=loaded, sampled_seconds=2.0)
+    assert adapters.loaded == nothing
+    adapters.report(incarnation="2", loaded=loaded, sampled_seconds=3.0)
+    assert adapters.loaded == loaded
 
 
 def test_a_late_report_of_a_former_process_is_ignored() -> None:
-    slots = slotting.Slots(not_before_seconds=0.0)
+    adapters = loaded_adapters.LoadedAdapters(not_before_seconds=0.0)
     loaded = frozenset({NOTES})
-    slots.report(incarnation="2", loaded=frozenset(), sampled_seconds=3.0)
-    assert not slots.report(
+    adapters.report(incarnation="2", loaded=frozenset(), sampled_seconds=3.0)
+    assert not adapters.report(
         incarnation="1", loaded=loaded, sampled_seconds=2.0
     )
-    assert slots.loaded == frozenset()
+    assert adapters.loaded == frozenset()
 
 
 class Recorder(sending.OrderSender):
@@ -86,7 +86,7 @@
     recorder = Recorder()
     view = membership.View("north", 2, 3, (HOLDER,))
     dispatcher = dispatching.Dispatcher(
-        fencing=fences.Fencing(view=view),
+        fencing=fences.FencingNumbers(view=view),
         ready=lambda: ready[0],
         sender=recorder,
         started=lambda order: None,
@@ -118,7 +118,7 @@
 def test_numbers_increase_with_views_and_epochs() -> None:
     order = [(1, 1), (1, 2), (1, 900), (2, 1), (3, 5)]
     numbers = [
-        fences.Fencing(
+        fences.FencingNumbers(
             view=membership.View("north", epoch, number, (HOLDER,))
         ).take()
         for epoch, number in order
--- a/tests/coordination/orders/test_service.py
+++ b/tests/coordination/orders/test_service.py
@@ -5,10 +5,10 @@
 
 import pytest
 
+from boragefold.coordination.orders import lease_client
 from boragefold.coordination.orders import sender as sending
 from boragefold.coordination.orders import service
-from boragefold.coordination.orders import times
-from boragefold.coordination.orders import uses
+from boragefold.coordination.orders import timeouts
 import boragefold.coordination.rights as membership
 from boragefold.policy import work
 from boragefold.protocol import order_messages as messages
@@ -77,7 +77,7 @@
 
     node: networks.Node
     rights: fake_rights.FakeRights
-    orders: service.Orders
+    orders: service.OrderService
     counters: counting.Counters
 
 
@@ -112,13 +112,13 @@
             ]
             self.change_view(name)
         self.timers.every(period_seconds=0.25, callback=self.report)
-        self.run_for(times.ORDER_SECONDS + 2.0)
+        self.run_for(timeouts.ORDER_SECONDS + 2.0)
 
     def start(self, data_centre: str, number: int) -> Process:
         node = self.network.start(data_centre, f"{data_centre}-{number}")
         fake = self.views.join(node)
         counters = counting.Counters()
-        orders = service.Orders(
+        orders = service.OrderService(
             peers=node.link,
             rights=fake,
             timers=node.timers,
@@ -144,9 +144,9 @@
 
         def arrive() -> None:
             for process in self.processes["north"]:
-                desk = process.orders.desk(ENDPOINT)
-                if desk is not None and not process.node.paused:
-                    desk.report(
+                held = process.orders.held_endpoint(ENDPOINT)
+                if held is not None and not process.node.paused:
+                    held.report(
                         incarnation=incarnation,
                         running=running,
                         sampled_seconds=sampled,
@@ -156,7 +156,7 @@
 
     def holder(self) -> Process:
         holder = membership.holder(
-            self.views.latest["north"], times.right_of(ENDPOINT)
+            self.views.latest["north"], timeouts.right_of(ENDPOINT)
         )
         return next(
             process
@@ -164,23 +164,23 @@
             if process.node.self_id == holder
         )
 
-    def desk(self):
-        desk = self.holder().orders.desk(ENDPOINT)
-        assert desk is not None
-        return desk
+    def held_endpoint(self):
+        held = self.holder().orders.held_endpoint(ENDPOINT)
+        assert held is not None
+        return held
 
-    def use(self, process: Process) -> uses.Use:
+    def use(self, process: Process) -> lease_client.Use:
         for _ in range(50):
-            use = process.orders.uses.begin(TARGET)
-            if isinstance(use, uses.Use):
+            use = process.orders.leases.begin(TARGET)
+            if isinstance(use, lease_client.Use):
                 self.engine.running[NOTES] += 1
                 return use
             self.run_for(0.1)
         raise AssertionError(use.reason)
 
-    def finish(self, process: Process, use: uses.Use) -> None:
+    def finish(self, process: Process, use: lease_client.Use) -> None:
         self.engine.running[NOTES] -= 1
-        process.orders.uses.finish(use)
+        process.orders.leases.finish(use)
 
     def run_for(self, duration_seconds: float) -> None:
         self.network.run_for(duration_seconds)
@@ -192,15 +192,15 @@
 @pytest.fixture
 def world() -> World:
     made = World()
-    made.run_for(times.USE_LEASE_SECONDS + times.TRANSIT_SECONDS + 2.0)
+    made.run_for(timeouts.USE_LEASE_SECONDS + timeouts.TRANSIT_SECONDS + 2.0)
     return made
 
 
 def test_an_unused_adapter_is_evicted(world) -> None:
-    assert isinstance(world.desk().evict(NOTES), sending.Accepted)
+    assert isinstance(world.held_endpoint().evict(NOTES), sending.Accepted)
     world.run_for(1.0)
     assert world.evicted()
-    assert NOTES not in world.desk().loaded
+    assert NOTES not in world.held_endpoint().loaded
     assert isinstance(world.finished[-1][1], sending.Done)
 
 
@@ -209,10 +209,12 @@
     # while the holder needs its slot.
     process = world.processes["south"][1]
     use = world.use(process)
-    world.desk().evict(NOTES)
+    world.held_endpoint().evict(NOTES)
     world.run_for(5.0)
     assert not world.evicted()
-    assert isinstance(process.orders.uses.begin(TARGET), uses.NoLease)
+    assert isinstance(
+        process.orders.leases.begin(TARGET), lease_client.NoLease
+    )
     world.finish(process, use)
     world.run_for(1.0)
     assert world.evicted() and not world.engine.wrong
@@ -226,10 +228,12 @@
     world.network.is_cut = lambda one, other: (
         one.data_centre != other.data_centre
     )
-    world.desk().evict(NOTES)
-    world.run_for(times.USE_LEASE_SECONDS + 10.0)
+    world.held_endpoint().evict(NOTES)
+    world.run_for(timeouts.USE_LEASE_SECONDS + 10.0)
     assert not world.evicted()
-    assert isinstance(process.orders.uses.begin(TARGET), uses.NoLease)
+    assert isinstance(
+        process.orders.leases.begin(TARGET), lease_client.NoLease
+    )
     world.finish(process, use)
     world.run_for(2.0)
     assert world.evicted() and not world.engine.wrong
@@ -242,7 +246,7 @@
     use = world.use(process)
     world.engine.running[NOTES] -= 1
     world.network.pause(process.node)
-    world.desk().evict(NOTES)
+    world.held_endpoint().evict(NOTES)
     world.run_for(30.0)
     assert world.evicted()
     assert world.network.clock.now_seconds() > use.send_by_seconds
@@ -251,12 +255,12 @@
 def test_without_reports_a_use_ends_at_its_time_limit(world) -> None:
     world.use(world.processes["south"][1])
     world.network.kill(world.processes["south"][1].node)
-    world.desk().evict(NOTES)
-    world.run_for(times.LONGEST_USE_SECONDS)
+    world.held_endpoint().evict(NOTES)
+    world.run_for(timeouts.LONGEST_USE_SECONDS)
     assert not world.evicted()
     world.engine.running[NOTES] = 0
     world.report = lambda: None
-    world.run_for(times.USE_LEASE_SECONDS + times.TRANSIT_SECONDS + 1.0)
+    world.run_for(timeouts.USE_LEASE_SECONDS + timeouts.TRANSIT_SECONDS + 1.0)
     assert world.evicted()
 
 
@@ -268,9 +272,9 @@
     world.network.kill(former.node)
     world.processes["north"].remove(former)
     world.change_view("north")
-    world.run_for(times.ORDER_SECONDS + 2.0)
-    assert isinstance(world.desk().evict(NOTES), sending.Accepted)
-    world.run_for(times.USE_LEASE_SECONDS + 10.0)
+    world.run_for(timeouts.ORDER_SECONDS + 2.0)
+    assert isinstance(world.held_endpoint().evict(NOTES), sending.Accepted)
+    world.run_for(timeouts.USE_LEASE_SECONDS + 10.0)
     assert not world.evicted()
     world.finish(process, use)
     world.run_for(2.0)
@@ -283,10 +287,10 @@
     # send an eviction. Meanwhile another holder grants leases on the adapter.
     # The former holder must not write the order when it resumes.
     world = World(checks_fencing=checks_fencing)
-    world.run_for(times.USE_LEASE_SECONDS + times.TRANSIT_SECONDS + 2.0)
+    world.run_for(timeouts.USE_LEASE_SECONDS + timeouts.TRANSIT_SECONDS + 2.0)
     former = world.holder()
     world.engine.hold_orders = True
-    world.desk().evict(NOTES)
+    world.held_endpoint().evict(NOTES)
     world.run_for(0.1)
     assert len(world.engine.held_orders) == 1
     world.network.pause(former.node)
@@ -307,10 +311,12 @@
     # ended. It would interrupt requests that the new holder allowed at once.
     former = world.holder()
     world.change_view("north", without=(former,))
-    for _ in range(int(times.ORDER_SECONDS / 0.1)):
+    for _ in range(int(timeouts.ORDER_SECONDS / 0.1)):
         process = world.processes["south"][1]
-        assert isinstance(process.orders.uses.begin(TARGET), uses.NoLease)
-        assert isinstance(world.desk().load(DRAFTS), sending.Refused)
+        assert isinstance(
+            process.orders.leases.begin(TARGET), lease_client.NoLease
+        )
+        assert isinstance(world.held_endpoint().load(DRAFTS), sending.Refused)
         world.run_for(0.1)
     assert world.use(process).target == TARGET
 
@@ -318,26 +324,26 @@
 def test_running_uses_survive_a_change_of_holder(world) -> None:
     process = world.processes["south"][1]
     for step in range(200):
-        use = process.orders.uses.begin(TARGET)
+        use = process.orders.leases.begin(TARGET)
         if step == 40:
             world.change_view("north", without=(world.holder(),))
         if step > 5:
-            assert isinstance(use, uses.Use), step
-        if isinstance(use, uses.Use):
-            process.orders.uses.finish(use)
+            assert isinstance(use, lease_client.Use), step
+        if isinstance(use, lease_client.Use):
+            process.orders.leases.finish(use)
         world.run_for(0.1)
 
 
 def test_fencing_numbers_increase_across_holders() -> None:
     world = World(checks_fencing=True)
-    world.run_for(times.USE_LEASE_SECONDS + times.TRANSIT_SECONDS + 2.0)
-    world.desk().evict(NOTES)
+    world.run_for(timeouts.USE_LEASE_SECONDS + timeouts.TRANSIT_SECONDS + 2.0)
+    world.held_endpoint().evict(NOTES)
     world.run_for(1.0)
     world.change_view("north", without=(world.holder(),))
-    world.run_for(times.ORDER_SECONDS + 2.0)
-    world.desk().load(NOTES)
+    world.run_for(timeouts.ORDER_SECONDS + 2.0)
+    world.held_endpoint().load(NOTES)
     world.run_for(1.0)
-    world.desk().set_role("prefill")
+    world.held_endpoint().set_role("prefill")
     world.run_for(1.0)
     numbers = [order.fencing for order in world.engine.received]
     assert len(numbers) == 3
@@ -347,9 +353,9 @@
 def test_a_holder_continues_above_an_unknown_higher_number() -> None:
     # The engine has seen a number from an unknown epoch.
     world = World(checks_fencing=True)
-    world.run_for(times.USE_LEASE_SECONDS + times.TRANSIT_SECONDS + 2.0)
+    world.run_for(timeouts.USE_LEASE_SECONDS + timeouts.TRANSIT_SECONDS + 2.0)
     world.engine.highest = 1 << 60
-    world.desk().evict(NOTES)
+    world.held_endpoint().evict(NOTES)
     world.run_for(1.0)
     assert world.evicted()
     assert world.engine.highest > 1 << 60
@@ -357,35 +363,35 @@
 
 def test_a_restart_of_the_engine_resets_its_state(world) -> None:
     world.use(world.processes["south"][1])
-    world.desk().evict(NOTES)
+    world.held_endpoint().evict(NOTES)
     world.run_for(0.2)
     world.engine.incarnation = "second"
     world.engine.running = {}
     world.run_for(1.0)
-    assert world.desk().loaded == frozenset()
+    assert world.held_endpoint().loaded == frozenset()
     assert not world.evicted()
-    world.desk().load(NOTES)
+    world.held_endpoint().load(NOTES)
     world.run_for(1.0)
-    assert world.desk().loaded == {messages.Weights(*NOTES)}
+    assert world.held_endpoint().loaded == {messages.Weights(*NOTES)}
     world.run_for(3.0)
     assert not world.evicted()
 
 
 def test_a_later_report_settles_an_unknown_outcome(world) -> None:
     world.engine.next_outcome = sending.NoAnswer(reason="timeout")
-    world.desk().evict(NOTES)
+    world.held_endpoint().evict(NOTES)
     world.run_for(1.0)
-    assert messages.Weights(*NOTES) not in world.desk().loaded
-    world.run_for(times.ORDER_SECONDS + 1.0)
-    assert messages.Weights(*NOTES) in world.desk().loaded
+    assert messages.Weights(*NOTES) not in world.held_endpoint().loaded
+    world.run_for(timeouts.ORDER_SECONDS + 1.0)
+    assert messages.Weights(*NOTES) in world.held_endpoint().loaded
 
 
 def test_a_failed_load_does_not_count_as_loaded(world) -> None:
     other = work.AdapterVersion("base", "pages", "1")
     world.engine.next_outcome = sending.Failed(reason="no_such_weights")
-    world.desk().load(other)
+    world.held_endpoint().load(other)
     world.run_for(2.0)
-    assert messages.Weights(*other) not in world.desk().loaded
+    assert messages.Weights(*other) not in world.held_endpoint().loaded
     assert isinstance(world.finished[-1][1], sending.Failed)
 
 
@@ -393,7 +399,7 @@
     # An eviction waits for a request. The engine restarts and its own
     # configuration loads the same adapter again.
     world.use(world.processes["south"][1])
-    world.desk().evict(NOTES)
+    world.held_endpoint().evict(NOTES)
     world.run_for(0.2)
     world.engine.incarnation = "second"
     world.engine.running = {NOTES: 0}
@@ -405,10 +411,12 @@
 def test_no_use_while_an_order_is_in_flight(world) -> None:
     # The eviction order is in flight and reports still show the adapter.
     world.engine.hold_orders = True
-    world.desk().evict(NOTES)
+    world.held_endpoint().evict(NOTES)
     for _ in range(30):
         process = world.processes["south"][2]
-        assert isinstance(process.orders.uses.begin(TARGET), uses.NoLease)
+        assert isinstance(
+            process.orders.leases.begin(TARGET), lease_client.NoLease
+        )
         world.run_for(0.1)
     world.engine.held_orders.pop()()
     assert world.evicted() and not world.engine.wrong
@@ -417,11 +425,13 @@
 def test_no_new_use_while_an_eviction_waits(world) -> None:
     first, second = world.processes["south"][:2]
     use = world.use(first)
-    world.desk().evict(NOTES)
+    world.held_endpoint().evict(NOTES)
     for _ in range(30):
-        assert isinstance(second.orders.uses.begin(TARGET), uses.NoLease)
+        assert isinstance(
+            second.orders.leases.begin(TARGET), lease_client.NoLease
+        )
         world.run_for(0.1)
-    assert world.desk().cancel_eviction(NOTES)
+    assert world.held_endpoint().cancel_eviction(NOTES)
     assert world.use(second)
     world.finish(first, use)
     world.run_for(2.0)
@@ -432,7 +442,7 @@
     # A delayed confirmation arrives when its sender has a new request.
     process = world.processes["south"][1]
     world.use(process)
-    world.desk().evict(NOTES)
+    world.held_endpoint().evict(NOTES)
     process.node.link.send(
         to=world.holder().node.self_id,
         body=messages.UseStopped(TARGET, 10_000),
@@ -445,7 +455,7 @@
     # A holder is paused, another one grants leases, and the first becomes the
     # holder again. Its state of leases and loaded adapters is out of date.
     former = world.holder()
-    assert world.desk().loaded
+    assert world.held_endpoint().loaded
     world.network.pause(former.node)
     world.change_view("north", without=(former,))
     world.run_for(5.0)
@@ -453,6 +463,6 @@
     world.network.resume(former.node)
     world.views.learn(former.rights)
     assert world.holder() is former
-    assert not world.desk().loaded
+    assert not world.held_endpoint().loaded
     world.run_for(5.0)
-    assert world.desk().loaded
+    assert world.held_endpoint().loaded
