--- a/src/boragefold/bench/instance.py
+++ b/src/boragefold/bench/instance.py
@@ -53,7 +53,7 @@
         return self._orderers.get(endpoint)
 
 
-class Instance(actions.Performer):
+class Instance(actions.ActionHandler):
     """One entry instance: its dispatcher and what it is told to do."""
 
     def __init__(
@@ -123,11 +123,11 @@
             retry_after_seconds=refuse.refused.retry_after_seconds,
         )
 
-    def give_up(self, give_up: actions.GiveUp) -> None:
+    def give_up(self, give_up: actions.Fail) -> None:
         """Answer a request whose last attempt failed."""
         self._fleet.fail(request_id=give_up.work.request_id)
 
-    def order(self, order: actions.Order) -> None:
+    def order(self, order: actions.OrderLoad) -> None:
         """Evict where it is needed, once nobody uses it, and load."""
         load = order.load
         if load.evict is None:
@@ -140,11 +140,11 @@
             lambda: self._evict_when_idle(load, give_up_at),
         )
 
-    def drain(self, drain: actions.Drain) -> None:
+    def drain(self, drain: actions.StopUsing) -> None:
         """Tell all instances to stop using an adapter at an endpoint."""
         self._stop_everywhere(drain.drain.endpoint, drain.drain.adapter)
 
-    def tell(self, tell: actions.Tell) -> None:
+    def tell(self, tell: actions.SendDigest) -> None:
         """Send a digest to another instance."""
         (peer,) = (
             each for each in self.peers if str(each.number) == tell.peer
--- a/src/boragefold/coordination/fleet/rate_messages.py
+++ b/src/boragefold/coordination/fleet/rate_messages.py
@@ -8,7 +8,7 @@
 from boragefold.coordination.fleet import members as members_module
 from boragefold.coordination.fleet import routes as routes_module
 import boragefold.coordination.link as links
-from boragefold.policy import rate_accounts
+from boragefold.policy import admission_counts
 from boragefold.protocol import ids
 from boragefold.protocol import peer_messages
 from boragefold.protocol import rate_ledger_messages as messages
@@ -24,26 +24,26 @@
 
 
 class RateMessages:
-    """Adds the accounts of admitted rates to heartbeats and reads them."""
+    """Adds counts of admitted tokens to heartbeats and reads them."""
 
     def __init__(
         self,
         *,
         link: links.PeerLink,
         members: members_module.Members,
-        accounts: rate_accounts.RateAccounts,
+        counts: admission_counts.AdmissionCounts,
         timers: timing.TimerService,
     ) -> None:
         """Start as an instance that counts no rates for others.
 
         :param link: to the peers
         :param members: the other instances
-        :param accounts: the amounts admitted, here and elsewhere
+        :param counts: the amounts admitted, here and elsewhere
         :param timers: the process clock
         """
         self._link = link
         self._members = members
-        self._accounts = accounts
+        self._counts = counts
         self._timers = timers
         self._counting_since_seconds = math.inf
         self._asked_at_seconds = -math.inf
@@ -54,7 +54,7 @@
         self._counts_since_seconds: dict[str, float] = {}
         members.subscribe(
             on_beat=lambda peer, beat: None,
-            on_gone=lambda gone: accounts.forget_instance(gone.incarnation),
+            on_gone=lambda gone: counts.forget_instance(gone.incarnation),
         )
         link.subscribe(messages.LedgerAsk, self._handle_ledger_ask)
         link.subscribe(messages.Ledger, self._handle_ledger)
@@ -71,11 +71,11 @@
             self._count(routes, now_seconds)
             return None
         self._counting_since_seconds = math.inf
-        self._accounts.stop_counting()
+        self._counts.stop_counting()
         counter = self._choose_counter(routes)
         if counter is None:
             return None
-        account = self._accounts.state(counter, now_seconds=now_seconds)
+        account = self._counts.state(counter, now_seconds=now_seconds)
         if not account.amounts and not account.former:
             return None
         return account._replace(amounts=_compact(account.amounts))
@@ -85,9 +85,7 @@
 
         :return: None if this instance counts nothing
         """
-        told = self._accounts.told_entry(
-            now_seconds=self._timers.now_seconds()
-        )
+        told = self._counts.told_entry(now_seconds=self._timers.now_seconds())
         if told is None or told.entry is None:
             return told
         entry = told.entry._replace(sums=_compact(told.entry.sums))
@@ -99,7 +97,7 @@
         :param whole: whether the receivers need the full totals
         :return: None if this instance doesn't know the totals
         """
-        totals = self._accounts.told_totals(
+        totals = self._counts.told_totals(
             whole=whole, now_seconds=self._timers.now_seconds()
         )
         return totals and totals._replace(amounts=_compact(totals.amounts))
@@ -109,11 +107,11 @@
 
         :return: their addresses
         """
-        if not self._accounts.lacks_totals:
+        if not self._counts.lacks_totals:
             return
         for member in self._members.direct():
             incarnation = member.instance.incarnation
-            if self._entry_names.get(incarnation) == self._accounts.counter:
+            if self._entry_names.get(incarnation) == self._counts.counter:
                 yield member.instance.address
 
     def take(
@@ -126,7 +124,7 @@
         """
         now_seconds = self._timers.now_seconds()
         if heartbeat.account is not None:
-            self._accounts.count(
+            self._counts.count(
                 sender.incarnation, heartbeat.account, now_seconds=now_seconds
             )
         if heartbeat.entry is not None:
@@ -139,7 +137,7 @@
     def forget(self) -> None:
         """Drop the state of hubs that are gone."""
         now_seconds = self._timers.now_seconds()
-        self._accounts.forget(now_seconds=now_seconds)
+        self._counts.forget(now_seconds=now_seconds)
         for hub in list(self._entry_names):
             if not self._is_counting(hub):
                 del self._entry_names[hub]
@@ -152,7 +150,7 @@
         entry: messages.ToldEntry,
         now_seconds: float,
     ) -> None:
-        if self._accounts.hear_entry(
+        if self._counts.hear_entry(
             sender.incarnation, entry, now_seconds=now_seconds
         ):
             self._ask_for_ledger(sender, now_seconds)
@@ -163,16 +161,16 @@
         self._entry_names[hub] = messages.entry_name(hub, totals.serial)
         self._counts_at_seconds[hub] = now_seconds
         self._counts_since_seconds.setdefault(hub, now_seconds)
-        self._accounts.hear_totals(hub, totals, now_seconds=now_seconds)
+        self._counts.hear_totals(hub, totals, now_seconds=now_seconds)
 
     def _count(self, routes: routes_module.Chosen, now_seconds: float) -> None:
-        self._accounts.begin_counting(now_seconds=now_seconds)
+        self._counts.begin_counting(now_seconds=now_seconds)
         self._counting_since_seconds = min(
             self._counting_since_seconds, now_seconds
         )
-        if not self._accounts.complete:
+        if not self._counts.complete:
             self._begin_era(routes, now_seconds)
-        self._accounts.count_own(now_seconds=now_seconds)
+        self._counts.count_own(now_seconds=now_seconds)
 
     def _begin_era(
         self, routes: routes_module.Chosen, now_seconds: float
@@ -182,7 +180,7 @@
         place = sorted((*routes.targets, address)).index(address)
         if counting_seconds < ERA_SECONDS + ERA_STEP_SECONDS * place:
             return
-        self._accounts.begin_era(
+        self._counts.begin_era(
             heard_count=len(self._members.reachable()),
             now_seconds=now_seconds,
         )
@@ -196,14 +194,14 @@
     def _handle_ledger_ask(
         self, sender: ids.InstanceId, body: messages.LedgerAsk
     ) -> None:
-        ledger = self._accounts.ledger(now_seconds=self._timers.now_seconds())
+        ledger = self._counts.ledger(now_seconds=self._timers.now_seconds())
         if ledger is not None:
             self._link.send(to=sender, body=ledger)
 
     def _handle_ledger(
         self, sender: ids.InstanceId, body: messages.Ledger
     ) -> None:
-        self._accounts.merge(body, now_seconds=self._timers.now_seconds())
+        self._counts.merge(body, now_seconds=self._timers.now_seconds())
 
     def _choose_counter(self, routes: routes_module.Chosen) -> str | None:
         hubs = [
@@ -212,8 +210,8 @@
         ]
         counting = list(filter(self._is_counting, hubs))
         counters = {self._entry_names[hub] for hub in counting}
-        if self._accounts.counter in counters:
-            return self._accounts.counter
+        if self._counts.counter in counters:
+            return self._counts.counter
         # A hub that has just started hasn't heard from all instances yet.
         hub = min(counting, key=self._counting_since, default=None)
         return None if hub is None else self._entry_names[hub]
--- a/src/boragefold/entry/adapter_orders.py
+++ b/src/boragefold/entry/adapter_orders.py
@@ -41,7 +41,7 @@
         self._evicting: dict[tuple[str, works.AdapterVersion], loads.Load] = {}
         self._loading: dict[tuple[str, works.AdapterVersion], loads.Load] = {}
 
-    def order(self, order: actions.Order) -> None:
+    def order(self, order: actions.OrderLoad) -> None:
         """Start a load, with the eviction that it needs.
 
         :param order: what to load, and where
@@ -55,7 +55,7 @@
         else:
             self._start_eviction(held, load, load.evict)
 
-    def drain(self, drain: actions.Drain) -> None:
+    def drain(self, drain: actions.StopUsing) -> None:
         """Evict an adapter as soon as no request uses it.
 
         :param drain: the adapter and the endpoint
--- a/src/boragefold/entry/desk.py
+++ b/src/boragefold/entry/desk.py
@@ -21,7 +21,7 @@
 STATUS_BAD_GATEWAY = 502
 
 
-class Desk(chat_face.Desk, live_chat.ChatEvents, actions.Performer):
+class Desk(chat_face.Desk, live_chat.ChatEvents, actions.ActionHandler):
     """Reports the events of chats to the dispatcher, performs its actions."""
 
     def __init__(
@@ -31,7 +31,7 @@
         timers: timing.TimerService,
         counters: telemetry.Counters,
         stories: telemetry_stories.Stories,
-        tell_peer: Callable[[actions.Tell], None],
+        tell_peer: Callable[[actions.SendDigest], None],
         sender: chat_sender.ChatSender,
     ) -> None:
         self._dispatcher = dispatcher
@@ -194,7 +194,7 @@
         if live is not None:
             self._refuse(live, refuse.refused)
 
-    def give_up(self, give_up: actions.GiveUp) -> None:
+    def give_up(self, give_up: actions.Fail) -> None:
         """Fail a chat request whose last attempt failed.
 
         :param give_up: the request, and whether it may have run
@@ -214,7 +214,7 @@
             )
         )
 
-    def order(self, order: actions.Order) -> None:
+    def order(self, order: actions.OrderLoad) -> None:
         """Pass on an order to load an adapter.
 
         :param order: the adapter and the endpoint
@@ -222,7 +222,7 @@
         if self.orderer is not None:
             self.orderer.order(order)
 
-    def drain(self, drain: actions.Drain) -> None:
+    def drain(self, drain: actions.StopUsing) -> None:
         """Pass on a request to stop using an adapter at an endpoint.
 
         :param drain: the adapter and the endpoint
@@ -230,7 +230,7 @@
         if self.orderer is not None:
             self.orderer.drain(drain)
 
-    def tell(self, tell: actions.Tell) -> None:
+    def tell(self, tell: actions.SendDigest) -> None:
         """Send a digest to another instance.
 
         :param tell: the receiver and the digest
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -29,7 +29,7 @@
 from boragefold.entry import stopping
 from boragefold.entry import store_follower
 from boragefold.entry import store_followers
-from boragefold.policy import rate_accounts
+from boragefold.policy import admission_counts
 from boragefold.policy import retry_budget
 from boragefold.policy import service_choice
 from boragefold.policy import shared_rate
@@ -150,7 +150,7 @@
             rates=rate_messages.RateMessages(
                 link=self._link,
                 members=self._members,
-                accounts=rate_accounts.RateAccounts(
+                counts=admission_counts.AdmissionCounts(
                     rate=self._rate,
                     incarnation=self._link.self_id.incarnation,
                 ),
--- a/src/boragefold/entry/orderer.py
+++ b/src/boragefold/entry/orderer.py
@@ -11,14 +11,14 @@
     """Carries out the orders that placement decides on."""
 
     @abc.abstractmethod
-    def order(self, order: actions.Order) -> None:
+    def order(self, order: actions.OrderLoad) -> None:
         """Load an adapter, evicting another first where one is named.
 
         :param order: what to load, and where
         """
 
     @abc.abstractmethod
-    def drain(self, drain: actions.Drain) -> None:
+    def drain(self, drain: actions.StopUsing) -> None:
         """Have every instance stop using an adapter on an endpoint.
 
         :param drain: the adapter and the endpoint
--- a/src/boragefold/entry/work_digests.py
+++ b/src/boragefold/entry/work_digests.py
@@ -35,7 +35,7 @@
         link.subscribe(fleet_messages.WorkDigest, self._on_digest)
         link.subscribe(fleet_messages.AdapterLoaded, self._on_loaded)
 
-    def tell(self, tell: actions.Tell) -> None:
+    def tell(self, tell: actions.SendDigest) -> None:
         """Send a digest to the instance that decides about its content.
 
         :param tell: the receiver and the digest
--- a/src/boragefold/policy/actions.py
+++ b/src/boragefold/policy/actions.py
@@ -26,7 +26,7 @@
     refused: refusal.Refused
 
 
-class GiveUp(NamedTuple):
+class Fail(NamedTuple):
     """Answer that the request failed and is not retried.
 
     ``reason`` is one of a small fixed set. ``may_have_run`` is true when a
@@ -39,7 +39,7 @@
     may_have_run: bool
 
 
-class Order(NamedTuple):
+class OrderLoad(NamedTuple):
     """Have an adapter loaded; ``load_ended`` or ``load_failed`` must follow.
 
     If the load evicts an adapter, every instance must first stop using that
@@ -49,23 +49,23 @@
     load: placement.Load
 
 
-class Drain(NamedTuple):
+class StopUsing(NamedTuple):
     """Tell every instance to stop using an adapter at an endpoint."""
 
     drain: placement.Drain
 
 
-class Tell(NamedTuple):
+class SendDigest(NamedTuple):
     """Send a digest to the instance that decides on its adapters."""
 
     peer: str
     digest: digests.Digest
 
 
-Action = Send | Refuse | GiveUp | Order | Drain | Tell
+Action = Send | Refuse | Fail | OrderLoad | StopUsing | SendDigest
 
 
-class Performer(abc.ABC):
+class ActionHandler(abc.ABC):
     """Performs the dispatcher's actions.
 
     No method may call the dispatcher before it returns.
@@ -86,28 +86,28 @@
         """
 
     @abc.abstractmethod
-    def give_up(self, give_up: GiveUp) -> None:
+    def give_up(self, give_up: Fail) -> None:
         """Answer a request whose last attempt failed.
 
         :param give_up: the request, and whether it may have run
         """
 
     @abc.abstractmethod
-    def order(self, order: Order) -> None:
+    def order(self, order: OrderLoad) -> None:
         """Order an endpoint to load an adapter.
 
         :param order: the adapter, the endpoint, and what the load evicts
         """
 
     @abc.abstractmethod
-    def drain(self, drain: Drain) -> None:
+    def drain(self, drain: StopUsing) -> None:
         """Tell all instances to stop using an adapter at an endpoint.
 
         :param drain: the adapter and the endpoint
         """
 
     @abc.abstractmethod
-    def tell(self, tell: Tell) -> None:
+    def tell(self, tell: SendDigest) -> None:
         """Send a digest to another instance; it may be lost.
 
         :param tell: the receiver and the digest
@@ -123,23 +123,23 @@
                 self.send(action)
             case Refuse():
                 self.refuse(action)
-            case GiveUp():
+            case Fail():
                 self.give_up(action)
-            case Order():
+            case OrderLoad():
                 self.order(action)
-            case Drain():
+            case StopUsing():
                 self.drain(action)
-            case Tell():
+            case SendDigest():
                 self.tell(action)
 
 
 __all__ = [
     "Action",
-    "Drain",
-    "GiveUp",
-    "Order",
-    "Performer",
+    "ActionHandler",
+    "Fail",
+    "OrderLoad",
     "Refuse",
     "Send",
-    "Tell",
+    "SendDigest",
+    "StopUsing",
 ]
--- a/src/boragefold/policy/admission.py
+++ b/src/boragefold/policy/admission.py
@@ -11,9 +11,9 @@
 import dataclasses
 from typing import NamedTuple
 
-from boragefold.policy import rate_line
 from boragefold.policy import refusal
 from boragefold.policy import stock as stocks
+from boragefold.policy import token_queue
 from boragefold.policy import work as works
 from boragefold.telemetry import counters as telemetry
 
@@ -41,7 +41,7 @@
     tag: str = "waiting"
 
 
-class Decided(NamedTuple):
+class Decision(NamedTuple):
     """The outcome of a request that waited for tokens."""
 
     work: works.Work
@@ -56,7 +56,7 @@
     ) -> None:
         self._stock = stock
         self._counters = counters
-        self._queues: dict[str, rate_line.Line] = {}
+        self._queues: dict[str, token_queue.TokenQueue] = {}
         self._workspace_by_request: dict[str, str] = {}
         self._without_holder: set[str] = set()
 
@@ -81,7 +81,7 @@
             return self._refuse_for_now(
                 work.workspace, result.ready_in_seconds
             )
-        queue = rate_line.Line(
+        queue = token_queue.TokenQueue(
             now_seconds=now_seconds, ready_in_seconds=result.ready_in_seconds
         )
         self._queues[work.workspace] = queue
@@ -89,7 +89,7 @@
 
     def advance(
         self, *, now_seconds: float, workspace: str | None = None
-    ) -> list[Decided]:
+    ) -> list[Decision]:
         """Decide on waiting requests; call it at :meth:`next_due_seconds`.
 
         Also call it with the workspace that the stock's callback names.
@@ -133,7 +133,10 @@
         return self._remove(workspace, request_id).work
 
     def _offer_behind(
-        self, queue: rate_line.Line, work: works.Work, now_seconds: float
+        self,
+        queue: token_queue.TokenQueue,
+        work: works.Work,
+        now_seconds: float,
     ) -> Waiting | refusal.Refused:
         # Queue behind waiting requests even when the tokens suffice: small
         # requests would otherwise take the tokens that a large one waits for.
@@ -154,7 +157,7 @@
 
     def _admit_waiting(
         self, workspace: str, now_seconds: float
-    ) -> list[Decided]:
+    ) -> list[Decision]:
         decided = self._refuse_overdue(workspace, now_seconds)
         while (queue := self._queues.get(workspace)) is not None:
             outcome = self._reserve_for_head(queue, now_seconds)
@@ -164,19 +167,19 @@
         return decided
 
     def _reserve_for_head(
-        self, queue: rate_line.Line, now_seconds: float
-    ) -> Decided | None:
+        self, queue: token_queue.TokenQueue, now_seconds: float
+    ) -> Decision | None:
         entry = queue.head()
         result = self._reserve(entry.work)
         if isinstance(result, stocks.Reservation):
             queue.drained(entry.tokens, now_seconds=now_seconds)
             self._remove(entry.work.workspace, entry.work.request_id)
             self._counters.add("requests_waited", "rate")
-            return Decided(entry.work, Admitted(reservation=result))
+            return Decision(entry.work, Admitted(reservation=result))
         ready_in_seconds = result.ready_in_seconds
         if ready_in_seconds is None:
             self._remove(entry.work.workspace, entry.work.request_id)
-            return Decided(entry.work, self._too_large())
+            return Decision(entry.work, self._too_large())
         queue.asked(now_seconds=now_seconds, ready_in_seconds=ready_in_seconds)
         if now_seconds + ready_in_seconds > entry.until_seconds:
             # The tokens can't be available before its time limit.
@@ -185,7 +188,7 @@
 
     def _refuse_overdue(
         self, workspace: str, now_seconds: float
-    ) -> list[Decided]:
+    ) -> list[Decision]:
         queue = self._queues.get(workspace)
         if queue is None:
             return []
@@ -197,22 +200,31 @@
             for entry in queue.overdue(now_seconds=now_seconds)
         ]
 
-    def _refuse(self, entry: rate_line.Entry, wait_seconds: float) -> Decided:
+    def _refuse(
+        self, entry: token_queue.WaitingRequest, wait_seconds: float
+    ) -> Decision:
         self._remove(entry.work.workspace, entry.work.request_id)
         refused = self._refuse_for_now(entry.work.workspace, wait_seconds)
-        return Decided(entry.work, refused)
+        return Decision(entry.work, refused)
 
     def _enqueue(
-        self, queue: rate_line.Line, work: works.Work, now_seconds: float
+        self,
+        queue: token_queue.TokenQueue,
+        work: works.Work,
+        now_seconds: float,
     ) -> Waiting:
         until_seconds = now_seconds + _max_wait_seconds(work, now_seconds)
         queue.append(
-            rate_line.Entry(work, works.tokens_of(work), until_seconds)
+            token_queue.WaitingRequest(
+                work, works.tokens_of(work), until_seconds
+            )
         )
         self._workspace_by_request[work.request_id] = work.workspace
         return Waiting(until_seconds=until_seconds)
 
-    def _remove(self, workspace: str, request_id: str) -> rate_line.Entry:
+    def _remove(
+        self, workspace: str, request_id: str
+    ) -> token_queue.WaitingRequest:
         queue = self._queues[workspace]
         entry = queue.remove(request_id)
         del self._workspace_by_request[request_id]
@@ -273,9 +285,9 @@
 
 
 __all__ = [
+    "MAX_WAIT_SECONDS",
     "Admission",
     "Admitted",
-    "Decided",
-    "MAX_WAIT_SECONDS",
+    "Decision",
     "Waiting",
 ]
--- a/src/boragefold/policy/rate_accounts.py
+++ b/src/boragefold/policy/admission_counts.py
@@ -9,10 +9,10 @@
 
 from __future__ import annotations
 
-from boragefold.policy import given_amounts
-from boragefold.policy import heard_totals
-from boragefold.policy import own_rate_entry
+from boragefold.policy import admission_reports
+from boragefold.policy import own_ledger_entry
 from boragefold.policy import rate_ledger
+from boragefold.policy import received_totals
 from boragefold.policy import shared_rate
 from boragefold.protocol import rate_ledger_messages as messages
 
@@ -20,7 +20,7 @@
 MAX_INDEXES = 64
 
 
-class RateAccounts:
+class AdmissionCounts:
     """Reports this instance's admitted amounts, and counts others' as a hub.
 
     A report is an :class:`~rate_ledger_messages.Account` message. A giver is
@@ -38,16 +38,16 @@
         """
         self._rate = rate
         self._incarnation = incarnation
-        self._giver = own_rate_entry.giver_of(incarnation)
-        self._reports = given_amounts.GivenAmounts()
+        self._giver = own_ledger_entry.giver_of(incarnation)
+        self._reports = admission_reports.AdmissionReports()
         self._counter = ""
         self._ledger = rate_ledger.RateLedger()
-        self._entry: own_rate_entry.OwnEntry | None = None
+        self._entry: own_ledger_entry.OwnEntry | None = None
         self._entries_created = 0
         self._former_by_giver: dict[int, tuple[str, ...]] = {}
         # The index that each entry assigned to this instance.
         self._indexes: dict[str, int] = {}
-        self._received_totals = heard_totals.HeardTotals(
+        self._received_totals = received_totals.ReceivedTotals(
             rate=rate, held=self._reports.held
         )
 
@@ -84,7 +84,7 @@
             return
         # Amounts in an earlier entry that weren't sent to any other hub are
         # reported to this one again.
-        self._entry = own_rate_entry.OwnEntry(
+        self._entry = own_ledger_entry.OwnEntry(
             incarnation=self._incarnation,
             serial=self._entries_created,
             now_seconds=now_seconds,
@@ -158,7 +158,7 @@
         """
         if self._entry is None or report.counter != self._entry.name:
             return
-        giver = own_rate_entry.giver_of(sender)
+        giver = own_ledger_entry.giver_of(sender)
         self._former_by_giver[giver] = report.former
         self._count(giver, report, now_seconds)
 
@@ -167,7 +167,7 @@
 
         :param incarnation: of the instance
         """
-        giver = own_rate_entry.giver_of(incarnation)
+        giver = own_ledger_entry.giver_of(incarnation)
         self._former_by_giver.pop(giver, None)
         if self._entry is not None:
             self._entry.forget(giver)
@@ -334,5 +334,5 @@
 
 
 __all__ = [
-    "RateAccounts",
+    "AdmissionCounts",
 ]
--- a/src/boragefold/policy/given_amounts.py
+++ b/src/boragefold/policy/admission_reports.py
@@ -63,7 +63,7 @@
         ]
 
 
-class GivenAmounts:
+class AdmissionReports:
     """What this instance reported to each entry."""
 
     def __init__(self) -> None:
@@ -167,5 +167,5 @@
 
 
 __all__ = [
-    "GivenAmounts",
+    "AdmissionReports",
 ]
--- a/src/boragefold/policy/assembly.py
+++ b/src/boragefold/policy/assembly.py
@@ -6,18 +6,18 @@
 import random
 
 from boragefold.policy import admission
-from boragefold.policy import choice
 from boragefold.policy import dispatcher
+from boragefold.policy import endpoint_choice
 from boragefold.policy import endpoints as endpoints_module
 from boragefold.policy import fair_queue
 from boragefold.policy import fair_share
 from boragefold.policy import fleet_events
 from boragefold.policy import fleet_placement
 from boragefold.policy import homes
+from boragefold.policy import matcher
 from boragefold.policy import overload
 from boragefold.policy import placement
 from boragefold.policy import retry_budget
-from boragefold.policy import sending
 from boragefold.policy import stock as stocks
 from boragefold.telemetry import counters as telemetry
 
@@ -45,9 +45,9 @@
     :return: the dispatcher
     """
     queue = fair_queue.FairQueue(counters=counters)
-    sender = sending.Sending(
+    sender = matcher.Matcher(
         queue=queue,
-        choice=choice.Choice(
+        choice=endpoint_choice.EndpointChoice(
             endpoints=endpoints,
             rng=rng,
             counters=counters,
@@ -70,11 +70,11 @@
     return dispatcher.Dispatcher(
         admission=admission.Admission(stock=stock, counters=counters),
         queue=queue,
-        sending=sender,
+        matcher=sender,
         endpoints=endpoints,
         fleet=fleet_events.FleetEvents(
             queue=queue,
-            sending=sender,
+            matcher=sender,
             endpoints=endpoints,
             placement=shared_placement,
         ),
--- a/src/boragefold/policy/attempts.py
+++ b/src/boragefold/policy/attempts.py
@@ -12,10 +12,10 @@
 from boragefold.policy import actions
 from boragefold.policy import endpoints as endpoints_module
 from boragefold.policy import fair_queue
+from boragefold.policy import matcher as matchers
+from boragefold.policy import open_requests as requests_module
 from boragefold.policy import refusal
-from boragefold.policy import requests as requests_module
 from boragefold.policy import retry_budget as retry_budgets
-from boragefold.policy import sending as sending_module
 from boragefold.telemetry import counters as telemetry
 
 # More refusals show that the instances' views of the fleet don't agree.
@@ -30,14 +30,14 @@
         self,
         *,
         queue: fair_queue.FairQueue,
-        sending: sending_module.Sending,
+        matcher: matchers.Matcher,
         endpoints: endpoints_module.Endpoints,
         retry_budget: retry_budgets.RetryBudget,
-        requests: requests_module.Requests,
+        requests: requests_module.OpenRequests,
         counters: telemetry.Counters,
     ) -> None:
         self._queue = queue
-        self._sending = sending
+        self._matcher = matcher
         self._endpoints = endpoints
         self._retry_budget = retry_budget
         self._requests = requests
@@ -49,7 +49,7 @@
         :param now_seconds: reading of the process clock
         :return: requests and the endpoints to send them to
         """
-        for work, endpoint in self._sending.matches(
+        for work, endpoint in self._matcher.matches(
             self._requests.excluded, now_seconds=now_seconds
         ):
             request = self._requests.waiting(work)
@@ -62,7 +62,7 @@
 
     def end(
         self,
-        request: requests_module.Request,
+        request: requests_module.OpenRequest,
         *,
         used_tokens: float,
         now_seconds: float,
@@ -78,18 +78,18 @@
         self._endpoints.finished(
             request.endpoint, request.work.request_id, now_seconds=now_seconds
         )
-        self._sending.stir_endpoint(request.endpoint)
+        self._matcher.stir_endpoint(request.endpoint)
         self._queue.settle(request.work, used_tokens=used_tokens)
         request.endpoint = ""
 
     def fail(
         self,
-        request: requests_module.Request,
+        request: requests_module.OpenRequest,
         *,
         bytes_sent: bool,
         used_tokens: float,
         now_seconds: float,
-    ) -> actions.GiveUp | None:
+    ) -> actions.Fail | None:
         """Record a failed attempt, and retry the request where that is safe.
 
         :param request: a request that was sent
@@ -112,12 +112,12 @@
             self._retry(request, endpoint, now_seconds)
             return None
         self._requests.end(request, used_tokens=used_tokens)
-        return actions.GiveUp(
+        return actions.Fail(
             request.work, "attempt_failed", request.may_have_run
         )
 
     def not_held(
-        self, request: requests_module.Request, *, now_seconds: float
+        self, request: requests_module.OpenRequest, *, now_seconds: float
     ) -> actions.Action | None:
         """Record that an endpoint refused because it lacks the adapter.
 
@@ -150,7 +150,7 @@
 
     def _stop_using_if_failed_twice(
         self,
-        request: requests_module.Request,
+        request: requests_module.OpenRequest,
         endpoint: str,
         now_seconds: float,
     ) -> None:
@@ -166,7 +166,7 @@
 
     def _retry(
         self,
-        request: requests_module.Request,
+        request: requests_module.OpenRequest,
         endpoint: str,
         now_seconds: float,
     ) -> None:
@@ -179,11 +179,11 @@
                 give_up_at_seconds=now_seconds + timeout_seconds
             )
         self._requests.exclude(request, endpoint)
-        self._sending.push_back(request.work, now_seconds=now_seconds)
+        self._matcher.push_back(request.work, now_seconds=now_seconds)
 
 
 def ended_unserved(
-    request: requests_module.Request, refused: refusal.Refused
+    request: requests_module.OpenRequest, refused: refusal.Refused
 ) -> actions.Action:
     """Choose the answer to a request that ended while it was queued.
 
@@ -195,7 +195,7 @@
     :return: the refusal, or that the outcome is unknown
     """
     if request.may_have_run:
-        return actions.GiveUp(request.work, refused.reason, True)
+        return actions.Fail(request.work, refused.reason, True)
     return actions.Refuse(request.work, refused)
 
 
--- a/src/boragefold/policy/digest.py
+++ b/src/boragefold/policy/digest.py
@@ -53,7 +53,7 @@
     in_use: tuple[InUse, ...]
 
 
-class Peers:
+class PeerDigests:
     """Keeps the latest digest of each other instance."""
 
     def __init__(self) -> None:
@@ -183,7 +183,7 @@
     "Arrived",
     "Digest",
     "InUse",
-    "Peers",
+    "PeerDigests",
     "Waiting",
     "waiting_of",
 ]
--- a/src/boragefold/policy/dispatcher.py
+++ b/src/boragefold/policy/dispatcher.py
@@ -14,10 +14,10 @@
 from boragefold.policy import endpoints as endpoints_module
 from boragefold.policy import fair_queue
 from boragefold.policy import fleet_events
+from boragefold.policy import matcher as matchers
+from boragefold.policy import open_requests
 from boragefold.policy import refusal
-from boragefold.policy import requests
 from boragefold.policy import retry_budget as retry_budgets
-from boragefold.policy import sending as sending_module
 from boragefold.policy import stock as stocks
 from boragefold.policy import work as works
 from boragefold.telemetry import counters as telemetry
@@ -35,7 +35,7 @@
         *,
         admission: admissions.Admission,
         queue: fair_queue.FairQueue,
-        sending: sending_module.Sending,
+        matcher: matchers.Matcher,
         endpoints: endpoints_module.Endpoints,
         fleet: fleet_events.FleetEvents,
         retry_budget: retry_budgets.RetryBudget,
@@ -45,12 +45,12 @@
         self.fleet = fleet
         self._admission = admission
         self._queue = queue
-        self._sending = sending
+        self._matcher = matcher
         self._endpoints = endpoints
-        self._requests = requests.Requests(stock=stock)
+        self._requests = open_requests.OpenRequests(stock=stock)
         self._attempts = attempts.Attempts(
             queue=queue,
-            sending=sending,
+            matcher=matcher,
             endpoints=endpoints,
             retry_budget=retry_budget,
             requests=self._requests,
@@ -70,7 +70,7 @@
         :param now_seconds: reading of the process clock
         :return: the refusal; None when it waits, to be sent or refused later
         """
-        request = requests.Request(work=work, idempotent=idempotent)
+        request = open_requests.OpenRequest(work=work, idempotent=idempotent)
         outcome = self._admission.offer(work, now_seconds=now_seconds)
         if isinstance(outcome, refusal.Refused):
             return outcome
@@ -191,7 +191,9 @@
         answers, self._answers = self._answers, []
         return [*answers, *due]
 
-    def run(self, performer: actions.Performer, *, now_seconds: float) -> None:
+    def run(
+        self, performer: actions.ActionHandler, *, now_seconds: float
+    ) -> None:
         """Perform the actions that are due now.
 
         :param performer: performs each action
@@ -201,10 +203,10 @@
             performer.perform(action)
 
     def _enqueue(
-        self, request: requests.Request, now_seconds: float
+        self, request: open_requests.OpenRequest, now_seconds: float
     ) -> refusal.Refused | None:
         work = request.work
-        refused = self._sending.offer(work, now_seconds=now_seconds)
+        refused = self._matcher.offer(work, now_seconds=now_seconds)
         if refused is not None:
             self._requests.end(request, used_tokens=0.0)
             return refused
@@ -221,7 +223,7 @@
                 self._handle_decided(decided, now_seconds)
 
     def _handle_decided(
-        self, decided: admissions.Decided, now_seconds: float
+        self, decided: admissions.Decision, now_seconds: float
     ) -> None:
         work, outcome = decided
         request = self._requests.waiting(work)
@@ -245,13 +247,13 @@
             )
             self._answers.append(attempts.ended_unserved(request, refused))
 
-    def _find_sent(self, request_id: str) -> requests.Request | None:
+    def _find_sent(self, request_id: str) -> open_requests.OpenRequest | None:
         request = self._requests.get(request_id)
         return request if request is not None and request.endpoint else None
 
     def _end(
         self,
-        request: requests.Request,
+        request: open_requests.OpenRequest,
         used_tokens: float,
         now_seconds: float,
     ) -> None:
--- a/src/boragefold/policy/choice.py
+++ b/src/boragefold/policy/endpoint_choice.py
@@ -58,7 +58,7 @@
     tag: str = "no_room"
 
 
-class Choice:
+class EndpointChoice:
     """Chooses among the endpoints that hold a request's adapter."""
 
     def __init__(
@@ -279,8 +279,8 @@
 
 
 __all__ = [
-    "Choice",
     "Chosen",
+    "EndpointChoice",
     "NoHolder",
     "NoRoom",
 ]
--- a/src/boragefold/policy/fleet_events.py
+++ b/src/boragefold/policy/fleet_events.py
@@ -14,9 +14,9 @@
 from boragefold.policy import endpoints as fleet
 from boragefold.policy import fair_queue
 from boragefold.policy import fleet_placement
+from boragefold.policy import matcher as matchers
 from boragefold.policy import overload as overloads
 from boragefold.policy import placement as placements
-from boragefold.policy import sending as sending_module
 from boragefold.policy import work as works
 
 # Less than half of a load's duration. A request for a cold adapter makes the
@@ -36,12 +36,12 @@
         self,
         *,
         queue: fair_queue.FairQueue,
-        sending: sending_module.Sending,
+        matcher: matchers.Matcher,
         endpoints: fleet.Endpoints,
         placement: fleet_placement.FleetPlacement,
     ) -> None:
         self._queue = queue
-        self._sending = sending
+        self._matcher = matcher
         self._endpoints = endpoints
         self._placement = placement
         self.tick_at_seconds = float("-inf")
@@ -55,7 +55,7 @@
         :param report: the load that the endpoint reported
         """
         self._endpoints.report(report)
-        self._sending.stir_endpoint(report.endpoint)
+        self._matcher.stir_endpoint(report.endpoint)
 
     def endpoint_gone(self, name: str) -> None:
         """Forget an endpoint that is no longer listed.
@@ -80,7 +80,7 @@
         :param now_seconds: reading of the process clock
         """
         self._endpoints.loaded(endpoint, adapter, now_seconds=now_seconds)
-        self._sending.stir(adapter)
+        self._matcher.stir(adapter)
 
     def stop_using(
         self,
@@ -103,18 +103,18 @@
     def load_ended(self, load: placements.Load, *, now_seconds: float) -> None:
         """Record that a load that this instance ordered succeeded.
 
-        :param load: from an :class:`actions.Order`
+        :param load: from an :class:`actions.OrderLoad`
         :param now_seconds: reading of the process clock
         """
         self._placement.load_ended(load, now_seconds=now_seconds)
-        self._sending.stir(load.adapter)
+        self._matcher.stir(load.adapter)
 
     def load_failed(
         self, load: placements.Load, *, now_seconds: float
     ) -> None:
         """Record that a load of this instance failed or was not carried out.
 
-        :param load: from an :class:`actions.Order`
+        :param load: from an :class:`actions.OrderLoad`
         :param now_seconds: reading of the process clock
         """
         self._placement.load_failed(load, now_seconds=now_seconds)
@@ -168,14 +168,14 @@
         if now_seconds >= self._refresh_at_seconds:
             self._refresh_at_seconds = now_seconds + REFRESH_SECONDS
             self._endpoints.refresh(now_seconds=now_seconds)
-        level = self._sending.observe(now_seconds=now_seconds)
+        level = self._matcher.observe(now_seconds=now_seconds)
         waiting = self._queue.waiting_by_adapter()
         if now_seconds >= self._digests_at_seconds:
             self._digests_at_seconds = now_seconds + DIGEST_SECONDS
             for peer, digest in self._placement.digests_by_peer(
                 waiting
             ).items():
-                yield actions.Tell(peer, digest)
+                yield actions.SendDigest(peer, digest)
         yield from self._placement.decide(
             waiting,
             warm_up=level < overloads.Level.NO_EXTRAS,
--- a/src/boragefold/policy/fleet_placement.py
+++ b/src/boragefold/policy/fleet_placement.py
@@ -42,7 +42,7 @@
         self._placement = placement
         self._endpoints = endpoints
         self._rights = rights
-        self._peers = digests.Peers()
+        self._peers = digests.PeerDigests()
         self._arrivals = digests.Arrivals()
         self._homes = homes.Homes(endpoints=endpoints, rights=rights)
         self._notified: Set[str] = frozenset()
@@ -125,7 +125,7 @@
         *,
         warm_up: bool,
         now_seconds: float,
-    ) -> Iterator[actions.Order | actions.Drain]:
+    ) -> Iterator[actions.OrderLoad | actions.StopUsing]:
         """Decide which loads to start now.
 
         :param own: the requests that wait at this instance, by adapter
@@ -150,14 +150,14 @@
             warm_up=warm_up,
         ):
             if isinstance(order, placements.Load):
-                yield actions.Order(order)
+                yield actions.OrderLoad(order)
             else:
-                yield actions.Drain(order)
+                yield actions.StopUsing(order)
 
     def load_ended(self, load: placements.Load, *, now_seconds: float) -> None:
         """Record that a load succeeded.
 
-        :param load: from an :class:`actions.Order`
+        :param load: from an :class:`actions.OrderLoad`
         :param now_seconds: reading of the process clock
         """
         self._placement.load_ended(load, now_seconds=now_seconds)
@@ -167,7 +167,7 @@
     ) -> None:
         """Record that a load failed, timed out or could not be sent.
 
-        :param load: from an :class:`actions.Order`
+        :param load: from an :class:`actions.OrderLoad`
         :param now_seconds: reading of the process clock
         """
         self._placement.load_failed(load, now_seconds=now_seconds)
--- a/src/boragefold/policy/sending.py
+++ b/src/boragefold/policy/matcher.py
@@ -13,8 +13,8 @@
 import itertools
 from typing import NamedTuple
 
-from boragefold.policy import choice as choices
 from boragefold.policy import demand as demands
+from boragefold.policy import endpoint_choice as choices
 from boragefold.policy import endpoints as fleet
 from boragefold.policy import fair_queue
 from boragefold.policy import fair_share
@@ -27,21 +27,21 @@
 SCANNED_HOLDERS = 32
 
 
-class Matched(NamedTuple):
+class Match(NamedTuple):
     """A request taken from the queue, and the endpoint to send it to."""
 
     work: works.Work
     endpoint: str
 
 
-class Sending:
+class Matcher:
     """Matches waiting requests with endpoints that can start them."""
 
     def __init__(
         self,
         *,
         queue: fair_queue.FairQueue,
-        choice: choices.Choice,
+        choice: choices.EndpointChoice,
         endpoints: fleet.Endpoints,
         overload: overloads.Overload,
         share: fair_share.FairShare,
@@ -137,7 +137,7 @@
         excluded: Mapping[str, frozenset[str]],
         *,
         now_seconds: float,
-    ) -> Iterator[Matched]:
+    ) -> Iterator[Match]:
         """Take the requests that can start now from the queue, in fair order.
 
         The caller must record each as sent before it asks for the next.
@@ -159,7 +159,7 @@
                 ready.discard(work.needs)
                 continue
             self._service.taken(works.tokens_of(work), now_seconds=now_seconds)
-            yield Matched(work, endpoint)
+            yield Match(work, endpoint)
             adapter = work.needs
             if adapter not in self._demand() or not self._has_room(adapter):
                 ready.discard(adapter)
@@ -216,6 +216,6 @@
 
 
 __all__ = [
-    "Matched",
-    "Sending",
+    "Match",
+    "Matcher",
 ]
--- a/src/boragefold/policy/requests.py
+++ b/src/boragefold/policy/open_requests.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Request:
+class OpenRequest:
     """The state of an open request; ``endpoint`` is empty unless it is sent.
 
     ``may_have_run`` stays true once a byte of an attempt may have reached an
@@ -26,26 +26,26 @@
     answered: bool = False
 
 
-class Requests:
+class OpenRequests:
     """Open requests by id; each is settled once, when it ends."""
 
     def __init__(self, *, stock: stocks.Stock) -> None:
         self._stock = stock
-        self._open: dict[str, Request] = {}
+        self._open: dict[str, OpenRequest] = {}
         # By request id, the endpoints that failed it already.
         self.excluded: dict[str, frozenset[str]] = {}
 
     def __len__(self) -> int:
         return len(self._open)
 
-    def add(self, request: Request) -> None:
+    def add(self, request: OpenRequest) -> None:
         """Open a request.
 
         :param request: one that was admitted, or waits for tokens
         """
         self._open[request.work.request_id] = request
 
-    def get(self, request_id: str) -> Request | None:
+    def get(self, request_id: str) -> OpenRequest | None:
         """Look a request up.
 
         :param request_id: its id
@@ -53,7 +53,7 @@
         """
         return self._open.get(request_id)
 
-    def waiting(self, work: works.Work) -> Request:
+    def waiting(self, work: works.Work) -> OpenRequest:
         """Look up a request that must be open.
 
         :param work: work that waits for admission or is queued
@@ -64,7 +64,7 @@
             raise LookupError(f"{work.request_id} is queued, but not open")
         return request
 
-    def exclude(self, request: Request, endpoint: str) -> None:
+    def exclude(self, request: OpenRequest, endpoint: str) -> None:
         """Record that an endpoint failed a request.
 
         :param request: the request
@@ -74,7 +74,7 @@
         before = self.excluded.get(request_id, frozenset())
         self.excluded[request_id] = before | {endpoint}
 
-    def end(self, request: Request, *, used_tokens: float) -> None:
+    def end(self, request: OpenRequest, *, used_tokens: float) -> None:
         """Close a request and settle its reservation.
 
         :param request: the request
@@ -87,6 +87,6 @@
 
 
 __all__ = [
-    "Request",
-    "Requests",
+    "OpenRequest",
+    "OpenRequests",
 ]
--- a/src/boragefold/policy/heard_totals.py
+++ b/src/boragefold/policy/received_totals.py
@@ -11,7 +11,7 @@
 from boragefold.protocol import rate_ledger_messages as messages
 
 
-class HeardTotals:
+class ReceivedTotals:
     """The totals received last, and the part that others admitted."""
 
     def __init__(
@@ -116,5 +116,5 @@
 
 
 __all__ = [
-    "HeardTotals",
+    "ReceivedTotals",
 ]
--- a/src/boragefold/policy/service_choice.py
+++ b/src/boragefold/policy/service_choice.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Record:
+class EndpointStats:
     """Load, failures and latency observed at one endpoint."""
 
     slots: int = 1
@@ -44,7 +44,7 @@
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
-        self._records: dict[str, Record] = {}
+        self._records: dict[str, EndpointStats] = {}
 
     def choose(
         self, endpoints: Iterable[tuple[str, int, bool]], *, now_seconds: float
@@ -161,7 +161,7 @@
         jitter = self._rng.random() / max(1, slots)
         return load + (0.0 if near else FAR_PENALTY) + jitter
 
-    def _slowness(self, record: Record) -> float:
+    def _slowness(self, record: EndpointStats) -> float:
         known = sorted(
             each.took_seconds
             for each in self._records.values()
@@ -172,18 +172,20 @@
         median = known[(len(known) - 1) // 2]
         return max(0.0, record.took_seconds / max(median, 0.001) - 2.0)
 
-    def _failure_rate(self, record: Record, now_seconds: float) -> float:
+    def _failure_rate(
+        self, record: EndpointStats, now_seconds: float
+    ) -> float:
         idle_seconds = now_seconds - record.updated_at_seconds
         return float(
             record.failure_rate
             * 0.5 ** (idle_seconds / FAILURE_HALF_LIFE_SECONDS)
         )
 
-    def _record(self, endpoint: str) -> Record:
-        return self._records.setdefault(endpoint, Record())
+    def _record(self, endpoint: str) -> EndpointStats:
+        return self._records.setdefault(endpoint, EndpointStats())
 
 
 __all__ = [
-    "Record",
+    "EndpointStats",
     "ServiceChoice",
 ]
--- a/src/boragefold/policy/rate_line.py
+++ b/src/boragefold/policy/token_queue.py
@@ -17,7 +17,7 @@
 POLL_SECONDS = 0.05
 
 
-class Entry(NamedTuple):
+class WaitingRequest(NamedTuple):
     """A waiting request."""
 
     work: works.Work
@@ -25,11 +25,11 @@
     until_seconds: float
 
 
-class Line:
+class TokenQueue:
     """A first-in, first-out queue; exists only while a request waits."""
 
     def __init__(self, *, now_seconds: float, ready_in_seconds: float) -> None:
-        self._entries: collections.OrderedDict[str, Entry] = (
+        self._entries: collections.OrderedDict[str, WaitingRequest] = (
             collections.OrderedDict()
         )
         self._tokens = 0.0
@@ -42,7 +42,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def append(self, entry: Entry) -> None:
+    def append(self, entry: WaitingRequest) -> None:
         """Add a request at the end.
 
         :param entry: the request
@@ -50,7 +50,7 @@
         self._entries[entry.work.request_id] = entry
         self._tokens += entry.tokens
 
-    def remove(self, request_id: str) -> Entry:
+    def remove(self, request_id: str) -> WaitingRequest:
         """Remove a request.
 
         :param request_id: a request in this queue
@@ -60,14 +60,14 @@
         self._tokens -= entry.tokens
         return entry
 
-    def head(self) -> Entry:
+    def head(self) -> WaitingRequest:
         """Return the request at the head of the queue.
 
         :return: the oldest request
         """
         return next(iter(self._entries.values()))
 
-    def overdue(self, *, now_seconds: float) -> list[Entry]:
+    def overdue(self, *, now_seconds: float) -> list[WaitingRequest]:
         """List the requests whose waiting time is over.
 
         :param now_seconds: reading of the process clock
@@ -124,7 +124,7 @@
 
 
 __all__ = [
-    "Entry",
-    "Line",
     "POLL_SECONDS",
+    "TokenQueue",
+    "WaitingRequest",
 ]
--- a/tests/fakes/gateways.py
+++ b/tests/fakes/gateways.py
@@ -11,7 +11,7 @@
 from boragefold.coordination.fleet import ownership as ownerships
 from boragefold.coordination.fleet import rate_messages
 from boragefold.coordination.fleet import relay as relays
-from boragefold.policy import rate_accounts
+from boragefold.policy import admission_counts
 from boragefold.policy import shared_rate
 from boragefold.protocol import peer_messages as messages
 from boragefold.state import deployment
@@ -76,7 +76,7 @@
             rates=rate_messages.RateMessages(
                 link=link,
                 members=self.members,
-                accounts=rate_accounts.RateAccounts(
+                counts=admission_counts.AdmissionCounts(
                     rate=self.rate, incarnation=link.self_id.incarnation
                 ),
                 timers=self.node.timers,
--- a/tests/fakes/workloads.py
+++ b/tests/fakes/workloads.py
@@ -10,7 +10,7 @@
 import random
 
 from boragefold.policy import admission
-from boragefold.policy import choice
+from boragefold.policy import endpoint_choice
 from boragefold.policy import endpoints as fleet
 from boragefold.policy import fair_queue
 from boragefold.policy import fair_share
@@ -172,7 +172,7 @@
         self.queue = fair_queue.FairQueue(counters=self.counters)
         self.share = fair_share.FairShare()
         self.overload = overload.Overload(counters=self.counters)
-        self.choice = choice.Choice(
+        self.choice = endpoint_choice.EndpointChoice(
             endpoints=self.endpoints,
             rng=random.Random(seed),
             counters=self.counters,
@@ -259,7 +259,7 @@
             if each is None:
                 return
             chosen = self.choice.choose(each)
-            assert isinstance(chosen, choice.Chosen), chosen
+            assert isinstance(chosen, endpoint_choice.Chosen), chosen
             self._send(each, chosen.endpoint)
 
     def _send(self, each: works.Work, endpoint: str) -> None:
--- a/tests/policy/test_choice.py
+++ b/tests/policy/test_choice.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from boragefold.policy import choice
+from boragefold.policy import endpoint_choice
 from boragefold.policy import endpoints as fleet
 from boragefold.telemetry import counters as telemetry
 from tests.fakes import workloads
@@ -28,7 +28,7 @@
             self.endpoints.put(spec)
             self.endpoints.report(workloads.report(spec.name, 0, 0.0))
             self.endpoints.loaded(spec.name, HOT, now_seconds=0.0)
-        self.choice = choice.Choice(
+        self.choice = endpoint_choice.EndpointChoice(
             endpoints=self.endpoints,
             rng=random.Random(seed),
             counters=self.counters,
@@ -42,7 +42,7 @@
     def send(self, at: float = 1.0, **fields: object) -> str | None:
         request = workloads.work(**fields)
         chosen = self.choice.choose(request)
-        if not isinstance(chosen, choice.Chosen):
+        if not isinstance(chosen, endpoint_choice.Chosen):
             return None
         self.endpoints.sent(chosen.endpoint, request, now_seconds=at)
         return chosen.endpoint
@@ -55,11 +55,13 @@
 def test_an_endpoint_without_the_adapter_is_not_chosen() -> None:
     instance = Instance(*specs(2))
     request = workloads.work(needs="cold")
-    assert isinstance(instance.choice.choose(request), choice.NoHolder)
+    assert isinstance(
+        instance.choice.choose(request), endpoint_choice.NoHolder
+    )
     tried = frozenset({"e0", "e1"})
     request = workloads.work(needs="hot")
     outcome = instance.choice.choose(request, excluded=tried)
-    assert isinstance(outcome, choice.NoHolder)
+    assert isinstance(outcome, endpoint_choice.NoHolder)
 
 
 def test_a_full_fleet_keeps_requests_in_the_fair_queue() -> None:
@@ -67,7 +69,7 @@
     instance.report({"e0": 4, "e1": 4}, 1.0)
     assert not instance.choice.has_room(HOT)
     request = workloads.work(needs="hot")
-    assert isinstance(instance.choice.choose(request), choice.NoRoom)
+    assert isinstance(instance.choice.choose(request), endpoint_choice.NoRoom)
 
 
 @pytest.mark.parametrize("needs", ["", "hot"])
@@ -158,9 +160,9 @@
     instance.report({"e0": 4, "e1": 4}, 2.0)
     request = workloads.work(needs="hot")
     outcome = instance.choice.choose(request, queued_seconds=0.0)
-    assert isinstance(outcome, choice.NoRoom)
+    assert isinstance(outcome, endpoint_choice.NoRoom)
     outcome = instance.choice.choose(request, queued_seconds=1.0)
-    assert isinstance(outcome, choice.Chosen)
+    assert isinstance(outcome, endpoint_choice.Chosen)
     assert outcome.endpoint == "far"
     # Long requests keep slots occupied, even while nothing is queued.
     for name in ("e0", "e1"):
@@ -168,9 +170,9 @@
         assert state is not None
         state.duration_seconds = 8.0
     outcome = instance.choice.choose(request, queued_seconds=0.0)
-    assert isinstance(outcome, choice.Chosen)
+    assert isinstance(outcome, endpoint_choice.Chosen)
     # Once every near holder has failed it, distance doesn't matter.
     tried = frozenset({"e0", "e1"})
     outcome = instance.choice.choose(request, excluded=tried)
-    assert isinstance(outcome, choice.Chosen)
+    assert isinstance(outcome, endpoint_choice.Chosen)
     assert instance.counters.value("requests_chosen", "other_data_centre") == 3
--- a/tests/policy/test_digest.py
+++ b/tests/policy/test_digest.py
@@ -9,7 +9,7 @@
 def test_the_demand_of_peers_is_added_and_goes_stale() -> None:
     own = fair_queue.FairQueue(counters=counters.Counters())
     own.push(workloads.work("one", needs="x"), now_seconds=0.0)
-    peers = digest.Peers()
+    peers = digest.PeerDigests()
     waiting = digest.Waiting(workloads.adapter("x"), "two", 50.0)
     peers.put("i2", digest.Digest((waiting,), (), ()), now_seconds=0.0)
     total = peers.demand(
@@ -27,7 +27,7 @@
 
 
 def test_what_peers_use_must_not_be_evicted() -> None:
-    peers = digest.Peers()
+    peers = digest.PeerDigests()
     used = digest.InUse("a", (workloads.adapter("x"),))
     peers.put("i2", digest.Digest((), (), (used,)), now_seconds=0.0)
     assert peers.in_use("a") == {workloads.adapter("x")}
--- a/tests/policy/test_dispatcher.py
+++ b/tests/policy/test_dispatcher.py
@@ -106,7 +106,7 @@
     warm = workloads.work(needs="warm")
     done = offer(system, cold, warm)
     assert sends(done) == [(warm.request_id, "a", 1)]
-    (order,) = [each for each in done if isinstance(each, actions.Order)]
+    (order,) = [each for each in done if isinstance(each, actions.OrderLoad)]
     assert order.load.adapter == cold.needs
     system.fleet.load_ended(order.load, now_seconds=0.25)
     assert sends(system.next_actions(now_seconds=0.25)) == [
@@ -127,9 +127,9 @@
         for name, system in pair.items():
             new = [workloads.work(needs="cold", at=now)] if not now else []
             for action in offer(system, *new, at=now):
-                if isinstance(action, actions.Order):
+                if isinstance(action, actions.OrderLoad):
                     orders.append((name, action.load))
-                if isinstance(action, actions.Tell):
+                if isinstance(action, actions.SendDigest):
                     pair[action.peer].fleet.peer(
                         name, action.digest, now_seconds=now
                     )
@@ -147,7 +147,7 @@
     ordered = {
         each.load.adapter.adapter
         for each in done
-        if isinstance(each, actions.Order)
+        if isinstance(each, actions.OrderLoad)
     }
     assert ordered == {"cold-0", "cold-1", "cold-2", "cold-3"}
 
@@ -160,7 +160,7 @@
     request = workloads.work()
     ((_, endpoint, _),) = sends(offer(system, request, idempotent=False))
     system.failed(request.request_id, bytes_sent=True, now_seconds=1.0)
-    assert system.next_actions(now_seconds=1.0)[0] == actions.GiveUp(
+    assert system.next_actions(now_seconds=1.0)[0] == actions.Fail(
         request, "attempt_failed", True
     )
     assert bucket.used == [0.0]
@@ -186,7 +186,7 @@
     system.fleet.endpoint_gone("a")
     system.next_actions(now_seconds=1.0)
     done = system.next_actions(now_seconds=6.0)
-    assert done[0] == actions.GiveUp(request, "caller_gave_up", True)
+    assert done[0] == actions.Fail(request, "caller_gave_up", True)
 
 
 def test_an_endpoint_that_lost_the_adapter_gets_no_more_of_it() -> None:
@@ -241,7 +241,7 @@
     system.cancel(request.request_id, used_tokens=7.0, now_seconds=0.6)
     system.finished(request.request_id, used_tokens=9.0, now_seconds=0.7)
     for order in done:
-        if isinstance(order, actions.Order):
+        if isinstance(order, actions.OrderLoad):
             system.fleet.load_ended(order.load, now_seconds=0.7)
     assert bucket.used == [7.0]
     assert not sends(system.next_actions(now_seconds=0.7))
@@ -323,5 +323,5 @@
     assert not sends(done)
     for step in range(1, 9):
         done += system.next_actions(now_seconds=0.2 + step / 10)
-    orders = [each for each in done if isinstance(each, actions.Order)]
+    orders = [each for each in done if isinstance(each, actions.OrderLoad)]
     assert [order.load.endpoint for order in orders] == ["well"]
--- a/tests/policy/test_heard_totals.py
+++ b/tests/policy/test_heard_totals.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from boragefold.policy import heard_totals
 from boragefold.policy import rate_ledger
+from boragefold.policy import received_totals
 from boragefold.protocol import rate_ledger_messages as messages
 
 ERA = messages.Era(3, 7, 0)
@@ -33,7 +33,9 @@
 
 @pytest.fixture
 def heard(rate):
-    heard = heard_totals.HeardTotals(rate=rate, held=lambda workspace: 0.0)
+    heard = received_totals.ReceivedTotals(
+        rate=rate, held=lambda workspace: 0.0
+    )
     heard.take({NAME: 100.0}, ERA, late={}, whole=True, now_seconds=0.0)
     return heard
 
--- a/tests/policy/test_rate_accounts.py
+++ b/tests/policy/test_rate_accounts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from boragefold.policy import rate_accounts
+from boragefold.policy import admission_counts
 from boragefold.policy import shared_rate
 from boragefold.protocol import rate_ledger_messages as messages
 from boragefold.state import deployment
@@ -37,7 +37,7 @@
     def __init__(self, name):
         self.name = name
         self.rate = shared_rate.SharedRate()
-        self.accounts = rate_accounts.RateAccounts(
+        self.accounts = admission_counts.AdmissionCounts(
             rate=self.rate, incarnation=name
         )
         self.offset = 0.0
--- a/tests/policy/test_service_rate.py
+++ b/tests/policy/test_service_rate.py
@@ -8,8 +8,9 @@
 
 
 def test_the_rate_isnt_measured_on_an_idle_queue() -> None:
-    # Guards against a burst that is refused after a time of little load: the
-    # demand of an idle instance would be taken for its capacity.
+    # Guards against a burst that is refused after a time of little load: ten
+    # requests a minute had passed through the idle instance when the burst
+    # came, and that demand would be taken for its capacity.
     rate = service_rate.ServiceRate()
     for second in range(60):
         rate.taken(100.0, now_seconds=float(second))
--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from boragefold.policy import admission
-from boragefold.policy import choice
+from boragefold.policy import endpoint_choice
 from boragefold.policy import endpoints as fleet
 from boragefold.policy import fair_queue
 from boragefold.policy import fair_share
@@ -101,7 +101,7 @@
         self.overload = overload.Overload(counters=counters)
         self.share = fair_share.FairShare()
         self.queue = fair_queue.FairQueue(counters=counters)
-        self.choice = choice.Choice(
+        self.choice = endpoint_choice.EndpointChoice(
             endpoints=self.endpoints,
             rng=self.rng,
             counters=counters,
@@ -200,7 +200,7 @@
     def _choose(self, needs: works.AdapterVersion) -> None:
         request = self.request(needs)
         chosen = self.choice.choose(request)
-        if not isinstance(chosen, choice.Chosen):
+        if not isinstance(chosen, endpoint_choice.Chosen):
             return
         name, number = chosen.endpoint, request.request_id
         self.endpoints.sent(name, request, now_seconds=self.now)
@@ -229,7 +229,7 @@
         if popped is None:
             return
         chosen = self.choice.choose(popped)
-        if not isinstance(chosen, choice.Chosen):
+        if not isinstance(chosen, endpoint_choice.Chosen):
             return
         name, number = chosen.endpoint, popped.request_id
         self.endpoints.sent(name, popped, now_seconds=self.now)
