--- a/src/boragefold/entry/fleet_log.py
+++ b/src/boragefold/entry/fleet_log.py
@@ -1,4 +1,4 @@
-"""The lines that tell what an instance knows of the fleet."""
+"""Logs changes of the endpoints, the deployment and the peers' silence."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from boragefold.state import published_items
 from boragefold.telemetry import decision_log
 
-# Peers that change together, behind a cut or a restart, share one line.
+# Peers whose state changes together, as in a network partition or a restart,
+# share one line.
 MAX_PEER_LINES = 8
-# The deployment's version, the endpoints, and those of them that leave.
+# The deployment's version, all endpoints, and the endpoints that are draining.
 Known = tuple[int | None, frozenset[str], frozenset[str]]
 
 
 class FleetLog:
-    """Writes a line for each change of endpoints or deployment."""
+    """Logs each change of endpoints or deployment, and silent peers."""
 
     def __init__(
         self,
@@ -32,10 +33,10 @@
         self._silence: list[tuple[ids.InstanceId, bool]] = []
 
     def fleet_changed(self) -> None:
-        """Write what has changed since the last line, if anything."""
+        """Log the changes since the last such line, if there are any."""
         before, self._logged = self._logged, self._known()
         if self._logged == before:
-            # Only what an engine holds has changed.
+            # The change concerns only adapters that an engine has loaded.
             return
         version, endpoints, leaving = self._logged
         self._log.write(
@@ -48,15 +49,15 @@
         )
 
     def silence_changed(self, peer: ids.InstanceId, silent: bool) -> None:
-        """Take note that a peer fell silent or is heard again.
+        """Record that a peer fell silent or was heard again.
 
-        :param peer: which
+        :param peer: the instance whose state changed
         :param silent: whether it is silent now
         """
         self._silence.append((peer, silent))
 
     def write_silence(self) -> None:
-        """Write a line for each such peer, or one for many at once."""
+        """Log the recorded peers, many of them in a single line."""
         changes, self._silence = self._silence, []
         for is_silent in (True, False):
             peers = [peer for peer, silent in changes if silent is is_silent]
--- a/src/boragefold/entry/gateway.py
+++ b/src/boragefold/entry/gateway.py
@@ -1,4 +1,4 @@
-"""Callers' requests: understood, checked, admitted, and forwarded."""
+"""Parses, authorises and rate-limits callers' requests and forwards them."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from boragefold.state import deployment
 from boragefold.transport import http_server
 
-# Configuration arrives within a second of the start.
+# An instance receives its configuration within a second of its start.
 STARTING_RETRY_SECONDS = 0.5
 
 
 class Gateway:
-    """Takes requests in, and decides which of them may be served."""
+    """Decides which requests are admitted, and forwards those."""
 
     def __init__(
         self,
@@ -37,14 +37,14 @@
         self_id: ids.InstanceId,
         rng: random.Random,
     ) -> None:
-        """Begin to take requests.
+        """Create a gateway that is ready for requests.
 
-        :param shared: what all requests share
+        :param shared: objects that all requests use
         :param members: the other instances
-        :param asker: asks for engines
-        :param owner: the engines that are ours
-        :param self_id: who we are
-        :param rng: spreads requests over a route's services
+        :param asker: asks the engines' owners for an engine
+        :param owner: manages the engines that this instance owns
+        :param self_id: id of this instance
+        :param rng: chooses among a route's services by weight
         """
         self._shared = shared
         self._members = members
@@ -56,10 +56,10 @@
     def handle(
         self, request: http_server.Request, exchange: http_server.Exchange
     ) -> None:
-        """Take one request in; it gets exactly one final answer.
+        """Handle a request; it gets exactly one final response.
 
-        :param request: as it came
-        :param exchange: where the answer goes
+        :param request: as received
+        :param exchange: takes the response
         """
         understood = self._shared.dialect.read_request(request)
         if isinstance(understood, dialects.Malformed):
@@ -202,7 +202,7 @@
 
 
 def _digest(key: str) -> str:
-    # Keys are never logged; this is enough to compare two lines.
+    # Keys are never logged; a short digest is enough to compare two lines.
     return xxhash.xxh3_64_hexdigest(key.encode())[:8] if key else ""
 
 
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -1,4 +1,4 @@
-"""One gateway instance, put together."""
+"""Creates and connects all parts of a gateway instance."""
 
 from __future__ import annotations
 
@@ -50,18 +50,18 @@
 from boragefold.transport import peer_link
 from boragefold.transport import sockets
 
-# Claims on engines and open asks are refreshed this often.
+# Ownership of engines and pending engine requests are refreshed this often.
 REFRESH_SECONDS = 0.1
-# An endpoint behind a partition doesn't answer at all.
+# A connection attempt across a network partition gets no answer at all.
 CONNECT_SECONDS = 0.25
-# The balancer needs two failed health checks.
+# The balancer stops sending requests after two failed health checks.
 STOP_NOTICE_SECONDS = 2.5
-# A planned stop ends this long before the process is killed.
+# A planned stop ends this long before the process would be killed.
 STOP_MARGIN_SECONDS = 0.5
 
 
 class GatewayInstance:
-    """Everything of one gateway instance, on one loop."""
+    """All parts of a gateway instance, on one event loop."""
 
     def __init__(
         self,
@@ -77,17 +77,17 @@
         ],
         read_settings: Callable[[], gateway_settings.GatewaySettings],
     ) -> None:
-        """Put the parts together; nothing is bound yet.
+        """Create and connect the parts, without binding any address.
 
-        :param settings: checked
-        :param dialect: speaks with callers and endpoints
-        :param engines: speaks with engines about what they hold
-        :param store: speaks with the store
-        :param prefixes: the starts of the keys that are read there
-        :param matters: tells which changes of what is published have to reach
-            instances that don't read the store
-        :param make_reader: makes what puts published items into force
-        :param read_settings: reads the settings anew, for a reload
+        :param settings: validated settings
+        :param dialect: encodes and decodes HTTP of callers and endpoints
+        :param engines: encodes and decodes the calls that manage adapters
+        :param store: encodes and decodes the calls on the store
+        :param prefixes: key prefixes that are read from the store
+        :param matters: tells which changes of published items must be relayed
+            to instances that don't read the store
+        :param make_reader: creates the subscriber that applies published items
+        :param read_settings: reads the settings again, for a reload
         """
         self.settings = settings
         self.counters = telemetry.Counters()
@@ -207,7 +207,7 @@
         )
 
     def start(self) -> None:
-        """Bind the ports and begin to take part.
+        """Bind the addresses and begin to exchange messages with peers.
 
         :raises OSError: when an address can't be bound
         """
@@ -236,9 +236,9 @@
         )
 
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here.
+        """Tell whether the balancer should send callers to this instance.
 
-        :return: whether requests can be served
+        :return: whether it has a deployment and isn't stopping
         """
         known = self._fleet.deployment is not None
         return known and not self.stopping.begun
--- a/src/boragefold/entry/gateway_listeners.py
+++ b/src/boragefold/entry/gateway_listeners.py
@@ -1,4 +1,4 @@
-"""The addresses that a gateway instance serves: callers, balancer, metrics."""
+"""The listening sockets of a gateway: callers, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from boragefold.transport import http_server
 from boragefold.transport import sockets
 
-# Connections are checked for their timeouts this often.
+# Connections are checked for exceeded timeouts this often.
 SLOW_CHECK_SECONDS = 1.0
 TEXT = ("Content-Type", "text/plain; version=0.0.4")
 STATUS_READY = 200
@@ -21,7 +21,7 @@
 
 
 class GatewayListeners:
-    """Listens where callers, the balancer and operators connect."""
+    """Listens for callers, the balancer's probe and metrics scrapes."""
 
     def __init__(
         self,
@@ -33,14 +33,15 @@
         limits: Callable[[], deployment.CallerLimits | None],
         ready: Callable[[], bool],
     ) -> None:
-        """Begin without an address.
+        """Create the listeners without binding an address.
 
         :param sockets_: holds all connections
-        :param application: answers callers
-        :param counters: of this process
+        :param application: handles callers' requests
+        :param counters: metrics of this process
         :param timers: the process clock
-        :param limits: what callers may send, None while nothing is known
-        :param ready: whether the balancer should send callers here
+        :param limits: returns the limits for callers; None before the first
+            deployment
+        :param ready: tells whether the balancer should send callers here
         """
         self._sockets = sockets_
         self._counters = counters
@@ -58,7 +59,7 @@
     def listen(self, settings: gateway_settings.GatewaySettings) -> None:
         """Bind every address of the settings.
 
-        :param settings: checked
+        :param settings: validated settings
         :raises OSError: when an address can't be bound
         """
         host, port = serve_settings.split_address(settings.callers_listen)
@@ -93,7 +94,7 @@
     def _answer_metrics(
         self, request: http_server.Request, exchange: http_server.Exchange
     ) -> None:
-        # Imported late: most instances are never scraped.
+        # Imported on first use: most instances are never scraped.
         from boragefold.telemetry import exposition
 
         exchange.reply(STATUS_READY, [TEXT], exposition.write(self._counters))
--- a/src/boragefold/entry/identity.py
+++ b/src/boragefold/entry/identity.py
@@ -1,4 +1,4 @@
-"""Which workspace a request is for, by the key that came with it."""
+"""Finds the workspace of a request by its API key."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Caller(NamedTuple):
-    """Who sent a request; the key itself is not kept."""
+    """The sender of a request, with a digest in place of the key."""
 
     digest: str
     settings: workspaces.WorkspaceSettings
@@ -26,8 +26,8 @@
 ) -> Caller | outcomes.NotRun:
     """Find the workspace that the request's key belongs to.
 
-    :param request: as it came
-    :param catalogue: the keys in force
+    :param request: as received
+    :param catalogue: holds the valid keys
     :return: the caller, or the refusal
     """
     authorization = request.headers.get("authorization", "")
@@ -47,7 +47,7 @@
 
 
 def key_refused() -> outcomes.NotRun:
-    """Refuse a key that is unknown or has been withdrawn.
+    """Create the refusal for a key that is unknown or has been withdrawn.
 
     :return: the refusal
     """
--- a/src/boragefold/entry/inspection.py
+++ b/src/boragefold/entry/inspection.py
@@ -1,4 +1,4 @@
-"""What operators can read of a running instance."""
+"""Reads the state of a running instance for operators."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Inspection(operators.Inside):
-    """Reads the parts of one instance, and changes nothing."""
+    """Reads the state of one instance without changing it."""
 
     def __init__(
         self,
@@ -34,16 +34,16 @@
         self._is_stopping = is_stopping
 
     def ready(self) -> bool:
-        """Tell whether the balancer should send requests here.
+        """Tell whether the balancer should send requests to this instance.
 
         :return: whether it should
         """
         return self._is_ready()
 
     def status(self) -> dict[str, Any]:
-        """Describe what the instance holds.
+        """Describe the current state of the instance.
 
-        :return: plain data
+        :return: values that can be encoded as JSON
         """
         view = self._together.views.valid_view()
         configuration = self._together.configuration.status()
@@ -71,17 +71,18 @@
         }
 
     def metrics(self) -> bytes:
-        """Write the counters.
+        """Encode the counters in the Prometheus text format.
 
-        :return: text
+        :return: the encoded text
         """
         return exposition.write(self._counters)
 
     def explain(self, request_id: str) -> dict[str, Any] | None:
-        """Tell a request's story.
+        """List the recorded events of a request.
 
-        :param request_id: from the answer's header
-        :return: plain data, or None
+        :param request_id: from the response's header
+        :return: values that can be encoded as JSON, or None for a request
+            without recorded events
         """
         events = self._stories.read(request_id)
         return None if events is None else {"events": events}
@@ -89,11 +90,13 @@
     def audit(
         self, path: str, at_seconds: float | None
     ) -> list[dict[str, Any]] | None:
-        """Tell what was in force, on this instance, and from when.
+        """List the configuration that was in force here, and since when.
 
-        :param path: of the published tree; empty for every path
-        :param at_seconds: a moment of the calendar, or None
-        :return: plain data; None for a moment older than what is kept
+        :param path: path of the published tree; empty for every path
+        :param at_seconds: Unix time; None for now, or for the whole history
+            of the path
+        :return: values that can be encoded as JSON; None for a time before
+            the recorded history
         """
         history = self._together.history
         if at_seconds is not None:
--- a/src/boragefold/entry/instance.py
+++ b/src/boragefold/entry/instance.py
@@ -1,4 +1,4 @@
-"""One entry instance, put together."""
+"""Creates and connects all parts of an entry instance."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Instance:
-    """Everything of one entry instance, on one loop."""
+    """All parts of an entry instance, on one event loop."""
 
     def __init__(
         self,
@@ -92,10 +92,10 @@
         )
 
     def start(self, *, operators_face: bool = True) -> None:
-        """Bind the ports and begin to take part.
+        """Bind the ports and begin to exchange messages with peers.
 
-        :param operators_face: whether to serve it; it and the handling of
-            signals exist once in a process
+        :param operators_face: whether to serve the operators' port and handle
+            signals, which only one instance of a process can do
         """
         host, port = serve_settings.split_address(self.settings.listen)
         self._callers.listen(host=host, port=port, tls=self._tls())
@@ -114,7 +114,7 @@
         self.traffic.start()
 
     def ready(self) -> bool:
-        """Tell whether the balancer should send requests here.
+        """Tell whether the balancer should send requests to this instance.
 
         :return: whether it should
         """
@@ -131,9 +131,10 @@
         )
 
     def _serving(self) -> bool:
-        # Before its first view an instance has no tokens and would refuse what
-        # is within the rate. A lease lost later doesn't count: the balancer
-        # would drop all instances of a partitioned data centre.
+        # Before its first view an instance has no tokens and would refuse
+        # requests that are within the rate. A lease that is lost later doesn't
+        # count: the balancer would drop all instances of a partitioned data
+        # centre.
         now_seconds = self.timers.now_seconds()
         if (
             self._joined_at_seconds is None
@@ -226,8 +227,8 @@
         return served and self._has_left()
 
     def _has_left(self) -> bool:
-        # Without a steward the view never lets us go; our leases have ended by
-        # then.
+        # Without a steward no view is published that omits this instance; its
+        # leases have expired by the time limit.
         waited_seconds = self.timers.now_seconds() - self._left_at_seconds
         left = self.together.views.has_left
         return left or waited_seconds > LEAVE_LIMIT_SECONDS
@@ -238,17 +239,17 @@
 
 
 def seed_id(seed: str) -> ids.InstanceId:
-    """Read a peer that the settings name.
+    """Parse the address of a seed peer from the settings.
 
-    :param seed: data centre, slash, IP number and port
-    :return: whichever process listens there
+    :param seed: ``DATA_CENTRE/IP:PORT``
+    :return: an id without incarnation, for any process at that address
     """
     data_centre, _, address = seed.partition("/")
     return ids.InstanceId(data_centre, address, "")
 
 
 def new_request_id() -> str:
-    """Make a name for a request.
+    """Create a unique request id.
 
     :return: 32 hexadecimal digits
     """
--- a/src/boragefold/entry/operators.py
+++ b/src/boragefold/entry/operators.py
@@ -1,4 +1,4 @@
-"""The operators' face: health, readiness, metrics and status."""
+"""The operators' HTTP port: health, readiness, metrics and status."""
 
 from __future__ import annotations
 
@@ -18,52 +18,54 @@
 
 
 class Inside(abc.ABC):
-    """What the operators' face can read."""
+    """The state of an instance, as the operators' port reads it."""
 
     @abc.abstractmethod
     def ready(self) -> bool:
-        """Tell whether the balancer should send requests here.
+        """Tell whether the balancer should send requests to this instance.
 
         :return: whether it should
         """
 
     @abc.abstractmethod
     def status(self) -> dict[str, Any]:
-        """Describe what the instance holds.
+        """Describe the current state of the instance.
 
-        :return: plain data
+        :return: values that can be encoded as JSON
         """
 
     @abc.abstractmethod
     def metrics(self) -> bytes:
-        """Write the counters in the Prometheus text format.
+        """Encode the counters in the Prometheus text format.
 
-        :return: text
+        :return: the encoded text
         """
 
     @abc.abstractmethod
     def explain(self, request_id: str) -> dict[str, Any] | None:
         """Tell why a request was served, queued, refused or retried.
 
-        :param request_id: from the answer's header
-        :return: plain data, or None for an unknown or forgotten request
+        :param request_id: from the response's header
+        :return: values that can be encoded as JSON, or None for a request
+            without recorded events
         """
 
     @abc.abstractmethod
     def audit(
         self, path: str, at_seconds: float | None
     ) -> list[dict[str, Any]] | None:
-        """Tell what was in force, on this instance, and from when.
+        """List the configuration that was in force here, and since when.
 
-        :param path: of the published tree; empty for every path
-        :param at_seconds: a moment of the calendar; None for now, or for
-            everything that happened at the path
-        :return: plain data; None for a moment older than what is kept
+        :param path: path of the published tree; empty for every path
+        :param at_seconds: Unix time; None for now, or for the whole history
+            of the path
+        :return: values that can be encoded as JSON; None for a time before
+            the recorded history
         """
 
 
 class OperatorsFace(web.Controller):  # type: ignore[misc]
-    """A controller on its own port, where no caller's key opens anything."""
+    """Handles the operators' requests on a port that needs no API key."""
 
     channel = "/"
 
@@ -72,16 +74,16 @@
         self._inside = inside
 
     def health(self) -> str:
-        """Answer while the loop runs.
+        """Answer the liveness probe.
 
-        :return: text
+        :return: plain text
         """
         return "ok\n"
 
     def ready(self) -> str:
-        """Answer whether the balancer should send requests here.
+        """Answer the balancer's readiness probe.
 
-        :return: text
+        :return: plain text
         """
         if self._inside.ready():
             return "ready\n"
@@ -89,33 +91,33 @@
         return "not ready\n"
 
     def metrics(self) -> str:
-        """Answer with the counters.
+        """Return the counters.
 
-        :return: text
+        :return: Prometheus text
         """
         self.response.headers["Content-Type"] = PLAIN
         return self._inside.metrics().decode()
 
     def status(self) -> str:
-        """Answer with what the instance holds.
+        """Return the current state of the instance.
 
         :return: JSON
         """
         return self._json(self._inside.status())
 
     def explain(self, request_id: str = "") -> str:
-        """Answer with the story of one request.
+        """Return the recorded events of one request.
 
-        :param request_id: from the answer's header
+        :param request_id: from the response's header
         :return: JSON
         """
         return self._json(self._inside.explain(request_id))
 
     def audit(self, path: str = "", at: str = "") -> str:
-        """Answer with what was in force.
+        """Return the configuration that was in force.
 
-        :param path: of the published tree
-        :param at: a moment, such as ``2026-12-01T10:00:00Z``
+        :param path: path of the published tree
+        :param at: time, such as ``2026-12-01T10:00:00Z``
         :return: JSON
         """
         try:
@@ -134,12 +136,12 @@
 def serve(
     *, root: circuits.BaseComponent, host: str, port: int, inside: Inside
 ) -> None:
-    """Register the face and its server.
+    """Start the operators' HTTP server on the event loop.
 
-    :param root: the loop
+    :param root: the event loop
     :param host: the IP number to bind
     :param port: the port
-    :param inside: what it can read
+    :param inside: reads the state of the instance
     """
     server = web.Server((host, port), channel=CHANNEL, display_banner=False)
     server.register(root)
--- a/src/boragefold/entry/reloading.py
+++ b/src/boragefold/entry/reloading.py
@@ -1,4 +1,4 @@
-"""Settings that change while the process runs, with a signal or without."""
+"""Reloads the settings of a running process, with or without a signal."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from boragefold.telemetry import decision_log
 from boragefold.timing import timers as timing
 
-# The file may change without a signal.
+# The file is polled because it may change without a signal.
 CHECK_SECONDS = 2.0
 
 
 class Reloading(circuits.BaseComponent):  # type: ignore[misc]
-    """Puts changed settings into force; bad ones change nothing."""
+    """Applies changed settings; invalid ones are logged and ignored."""
 
     channel = "*"
 
@@ -31,14 +31,14 @@
         current: gateway_settings.GatewaySettings,
         apply: Callable[[gateway_settings.GatewaySettings], None],
     ) -> None:
-        """Begin with the settings of the start.
+        """Create a reloader that starts from the current settings.
 
         :param timers: the process clock
-        :param log: of this process
-        :param counters: of this process
-        :param read: reads the settings anew
-        :param current: the settings in force
-        :param apply: puts settings into force
+        :param log: decision log of this process
+        :param counters: metrics of this process
+        :param read: reads the settings again
+        :param current: the settings in use
+        :param apply: applies settings
         """
         super().__init__()
         self._timers = timers
@@ -49,13 +49,13 @@
         self._apply = apply
 
     def start(self) -> None:
-        """Begin to look; from now on the signal doesn't end the process."""
+        """Start polling, and handle SIGHUP as a request to reload."""
         # Python's default for this signal ends the process.
         signal.signal(signal.SIGHUP, self._hang_up)
         self._timers.every(period_seconds=CHECK_SECONDS, callback=self.check)
 
     def check(self) -> None:
-        """Read the settings, and put them into force if they changed."""
+        """Read the settings, and apply them if they changed."""
         try:
             settings = self._read()
         except gateway_settings.BadSettings as error:
--- a/src/boragefold/entry/serving.py
+++ b/src/boragefold/entry/serving.py
@@ -1,4 +1,4 @@
-"""What requests share while they are served, and what each was admitted as."""
+"""Objects that all requests use, and the data of an admitted request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Shared(NamedTuple):
-    """What all requests of an instance share."""
+    """Objects that all requests of an instance use."""
 
     fleet: fleets.Fleet
     dialect: dialects.Dialect
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Admitted:
-    """A request that may be served, with what was decided about it."""
+    """An admitted request with its route, service, workspace and charge."""
 
     request: dialects.CallerRequest
     route: deployment.Route
--- a/src/boragefold/entry/stopping.py
+++ b/src/boragefold/entry/stopping.py
@@ -1,4 +1,4 @@
-"""The planned stop: nothing new, everything running to its end, then exit."""
+"""Graceful shutdown: finishes all running requests before the exit."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Stopping(circuits.BaseComponent):  # type: ignore[misc]
-    """Turns a signal into the steps of a planned stop.
-
-    First the readiness probe says no, while callers are still accepted: the
-    balancer goes on sending until it has noticed. Then rights are handed
-    over and no connection is accepted any more. The process ends when the
-    last request has been answered and the rights have moved, however long
-    that takes; a second signal changes nothing, because it would cut off
-    requests that were promised an answer.
+    """Shuts the process down gracefully after a signal.
+
+    First the readiness probe fails while connections are still accepted,
+    because the balancer goes on sending requests until it has noticed. Then
+    leases are handed over and no more connections are accepted. The process
+    ends when the last request has been answered and the leases have moved,
+    at the latest at the limit if one is set. A second signal changes nothing,
+    because it would cut off requests that were promised an answer.
     """
 
     channel = "*"
@@ -37,16 +37,16 @@
         say: Callable[[str], None],
         limit_seconds: float | None = None,
     ) -> None:
-        """Wait for the signal.
+        """Create a shutdown that waits for the signal.
 
         :param timers: the process clock
-        :param notice_seconds: how long to go on accepting
-        :param hand_over: gives rights up and accepts nothing more
-        :param finished: tells whether nothing runs any more
-        :param stop: ends the loop
+        :param notice_seconds: how long connections are still accepted
+        :param hand_over: releases leases and closes the listening sockets
+        :param finished: tells whether nothing is left to finish
+        :param stop: ends the event loop
         :param say: logs each step
-        :param limit_seconds: when to end all the same, counted from the
-            signal; None waits for as long as something runs
+        :param limit_seconds: time after the signal at which the process ends
+            even if requests still run; None waits for as long as they do
         """
         super().__init__()
         self._limit_seconds = limit_seconds
@@ -60,12 +60,12 @@
         self.begun = False
 
     def begin(self) -> None:
-        """Begin to stop; further calls change nothing."""
+        """Begin the shutdown; further calls change nothing."""
         if self.begun:
             return
         self.begun = True
         self._begun_at_seconds = self._timers.now_seconds()
-        self._say("not ready, accepting for a while longer")
+        self._say("readiness probe fails, connections are still accepted")
         self._timers.once(
             delay_seconds=self._notice_seconds, callback=self._noticed
         )
@@ -79,7 +79,7 @@
             self.begin()
 
     def _noticed(self) -> None:
-        self._say("rights handed over, finishing what runs")
+        self._say("accepting no more connections, finishing running requests")
         self._hand_over()
         self._timers.every(period_seconds=CHECK_SECONDS, callback=self._check)
 
@@ -88,8 +88,9 @@
             self._say("finished")
             self._stop_loop()
         elif self._is_over_limit():
-            # A caller that reads nothing keeps its connection open.
-            self._say("the time for it is over")
+            # A caller that doesn't read its response keeps its connection
+            # open.
+            self._say("time limit exceeded")
             self._stop_loop()
 
     def _is_over_limit(self) -> bool:
--- a/src/boragefold/entry/store_follower.py
+++ b/src/boragefold/entry/store_follower.py
@@ -1,4 +1,4 @@
-"""Follows what is published in the users' store."""
+"""Replicates what is published below one prefix of the users' store."""
 
 from __future__ import annotations
 
@@ -14,24 +14,25 @@
 from boragefold.transport import http_client
 from boragefold.transport import whole_answer
 
-# Long poll; also bounds how long a dead connection goes unnoticed.
+# Long-poll time; also bounds how long a dead connection goes unnoticed.
 WAIT_SECONDS = 2.0
-# Silence after the end of a long poll.
+# How long an answer may be late after the end of a long poll.
 SILENCE_SECONDS = 0.7
 # Changes that come in quick succession share one read.
 READ_PAUSE_SECONDS = 0.7
 FIRST_RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 1.0
-# How often an instance that doesn't read checks whether it must.
+# How often an instance that doesn't read the store checks whether it has to.
 REST_SECONDS = 0.3
-# Endpoints renew their entries at least this often.
+# Endpoints renew their entries at least this often, so a watch on them is
+# answered within this time while the store works.
 SOUND_SECONDS = 1.0
 # An answer this old no longer proves that the store works.
 STALE_SECONDS = 3.0
 
 
 class Page(NamedTuple):
-    """A part of a listing; ``last_key`` is where the next part begins."""
+    """A page of a listing; the next page begins after ``last_key``."""
 
     items: tuple[published_items.Item, ...]
     revision: int
@@ -40,31 +41,31 @@
 
 
 class Events(NamedTuple):
-    """What changed after a revision, and up to which."""
+    """The changes after one revision up to another."""
 
     items: tuple[published_items.Item, ...]
     revision: int
 
 
 class HistoryLost(NamedTuple):
-    """The changes since a revision are no longer known: list all anew."""
+    """The store no longer has the changes: all keys must be listed again."""
 
 
 class StoreFailed(NamedTuple):
-    """No answer that could be used."""
+    """The store gave no usable answer."""
 
     reason: str
 
 
 class StoreDialect(abc.ABC):
-    """Writes the calls on the store and reads its answers."""
+    """Encodes the calls on the store and decodes its answers."""
 
     @abc.abstractmethod
     def list_call(self, prefix: str, after_key: str) -> http_client.Call:
-        """Write the call for a part of a listing.
+        """Create the call for a page of a listing.
 
-        :param prefix: start of the keys
-        :param after_key: the last key of the part before, or empty
+        :param prefix: key prefix
+        :param after_key: last key of the previous page, or empty
         :return: the call
         """
 
@@ -72,20 +73,20 @@
     def read_page(
         self, answer: whole_answer.WholeAnswer
     ) -> Page | StoreFailed:
-        """Understand a part of a listing.
+        """Decode a page of a listing.
 
-        :param answer: as it came
-        :return: the part
+        :param answer: as received
+        :return: the page, or the failure
         """
 
     @abc.abstractmethod
     def watch_call(
         self, prefix: str, after_revision: int, wait_seconds: float
     ) -> http_client.Call:
-        """Write the call that waits for changes.
+        """Create the long poll that waits for changes.
 
-        :param prefix: start of the keys
-        :param after_revision: what is known
+        :param prefix: key prefix
+        :param after_revision: the last known revision
         :param wait_seconds: how long to wait when nothing changes
         :return: the call
         """
@@ -94,15 +95,15 @@
     def read_events(
         self, answer: whole_answer.WholeAnswer
     ) -> Events | HistoryLost | StoreFailed:
-        """Understand the answer to a watch.
+        """Decode the answer to a watch.
 
-        :param answer: as it came
-        :return: the changes
+        :param answer: as received
+        :return: the changes, or why there are none
         """
 
 
 class StoreFollower:
-    """Keeps what is published below one prefix up to date."""
+    """Keeps the published items below one key prefix up to date."""
 
     def __init__(
         self,
@@ -118,18 +119,18 @@
         wanted: Callable[[], bool] = lambda: True,
         returned: Callable[[], None] = lambda: None,
     ) -> None:
-        """Begin with nothing known.
+        """Create a follower that has read nothing yet.
 
-        :param prefix: start of the keys
-        :param dialect: speaks with the store
-        :param client: reaches it
-        :param items: takes what is published
+        :param prefix: key prefix
+        :param dialect: encodes and decodes the calls on the store
+        :param client: sends the calls
+        :param items: stores the published items
         :param timers: the process clock
-        :param counters: of this process
-        :param log: of this process
-        :param rng: spreads the retries of many instances
-        :param wanted: tells whether this instance reads the store at all, now
-            that it has read it once
+        :param counters: metrics of this process
+        :param log: decision log of this process
+        :param rng: adds jitter to the retries
+        :param wanted: tells whether this instance has to go on reading the
+            store after its first listing
         :param returned: called when the store answers after a failure
         """
         self._prefix = prefix
@@ -152,13 +153,13 @@
         self._lost = False
 
     def start(self) -> None:
-        """Begin to read."""
+        """Begin with a full listing."""
         self._list("")
 
     def is_stale(self) -> bool:
-        """Tell whether the store has not answered for long.
+        """Tell whether the last answer of the store is too old.
 
-        :return: whether what is known may be out of date
+        :return: whether the items may be out of date
         """
         if self._answered_at_seconds is None or self._resting:
             return True
@@ -166,9 +167,9 @@
         return now_seconds - self._answered_at_seconds > STALE_SECONDS
 
     def is_sound(self) -> bool:
-        """Tell whether the store has answered us just now.
+        """Tell whether the store has just answered this instance.
 
-        :return: whether others can rely on its being up
+        :return: whether others can rely on the store being up
         """
         if self._lost or self._resting or self._answered_at_seconds is None:
             return False
@@ -176,9 +177,9 @@
         return age_seconds < SOUND_SECONDS
 
     def is_lost(self) -> bool:
-        """Tell whether the store failed us last.
+        """Tell whether the last call on the store failed or is overdue.
 
-        :return: whether others can't rely on our reading
+        :return: whether others can't rely on this instance to read the store
         """
         return self._lost or (not self._resting and self.is_stale())
 
@@ -203,7 +204,8 @@
         self._succeeded()
         self._listed.extend(page.items)
         if self._listed_revision is None:
-            # Pages are not a snapshot: the watch begins at the first page.
+            # Pages are no snapshot: the watch starts at the revision of the
+            # first one, so that changes made while reading aren't missed.
             self._listed_revision = page.revision
         if page.more:
             self._list(page.last_key)
@@ -218,7 +220,7 @@
     def _watch(self) -> None:
         self._resting = not self._wanted()
         if self._resting:
-            # Enough others of the data centre read.
+            # Enough other instances of the data centre read the store.
             self._timers.once(delay_seconds=REST_SECONDS, callback=self._watch)
             return
         call = self._dialect.watch_call(
@@ -277,7 +279,8 @@
                 reason=reason,
                 revision=self._revision,
             )
-        # Jitter: instances that lost the store together don't return together.
+        # Jitter: instances that lost the store at once must not all retry at
+        # once.
         delay_seconds = self._retry_seconds * (0.5 + self._rng.random())
         self._retry_seconds = min(2 * self._retry_seconds, MAX_RETRY_SECONDS)
         self._timers.once(delay_seconds=delay_seconds, callback=again)
--- a/src/boragefold/entry/store_followers.py
+++ b/src/boragefold/entry/store_followers.py
@@ -1,4 +1,4 @@
-"""The followers of all prefixes of the store, taken together."""
+"""Follows all prefixes of the store and sums up its health."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StoreFollowers:
-    """One follower a prefix, and what they say of the store together."""
+    """One follower for each key prefix, and the store's health over all."""
 
     def __init__(
         self,
@@ -31,18 +31,18 @@
         wanted: Callable[[], bool],
         lapses: lapses_module.Lapses,
     ) -> None:
-        """Make the followers; none reads yet.
+        """Create the followers without starting them.
 
-        :param prefixes: the starts of the keys that are read
-        :param dialect: speaks with the store
-        :param client: makes the calls
-        :param items: what is published
+        :param prefixes: key prefixes that are read
+        :param dialect: encodes and decodes the calls on the store
+        :param client: sends the calls
+        :param items: stores the published items
         :param timers: the process clock
-        :param counters: of this process
-        :param log: of this process
-        :param rng: spreads the retries
-        :param wanted: tells whether this instance has to read
-        :param lapses: learns that the store is back
+        :param counters: metrics of this process
+        :param log: decision log of this process
+        :param rng: adds jitter to the retries
+        :param wanted: tells whether this instance has to read the store
+        :param lapses: is notified when the store is back
         """
         self._lapses = lapses
         self._followers = [
@@ -62,32 +62,33 @@
         ]
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start all followers."""
         for follower in self._followers:
             follower.start()
 
     def any_stale(self) -> bool:
-        """Tell whether anything published may be out of date here.
+        """Tell whether any published items may be out of date.
 
-        :return: whether the store has not answered a follower for long
+        :return: whether a follower's last answer from the store is too old
         """
         return any(follower.is_stale() for follower in self._followers)
 
     def any_lost(self) -> bool:
-        """Tell whether the store failed us last.
+        """Tell whether the store failed any follower.
 
-        :return: whether it failed a follower
+        :return: whether a follower's last call failed or is overdue
         """
         return any(follower.is_lost() for follower in self._followers)
 
     def is_store_sound(self) -> bool:
-        """Tell whether others can rely on the store's being up.
+        """Tell whether others can rely on the store being up.
 
-        :return: whether it has answered just now and lately always did
+        :return: whether it has just answered and hasn't failed recently
         """
         if self._lapses.settling_seconds() > 0 or self.any_lost():
             return False
-        # A watch on what rarely changes is silent; that on endpoints isn't.
+        # A watch on a rarely changed prefix gets no answers for long, but
+        # endpoints renew their entries all the time.
         return any(follower.is_sound() for follower in self._followers)
 
 
--- a/src/boragefold/entry/together.py
+++ b/src/boragefold/entry/together.py
@@ -1,4 +1,4 @@
-"""What makes an instance one of many: views, configuration, rates, tickets."""
+"""Cluster services of an instance: views, configuration, rates, tickets."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class Together:
-    """The parts that talk to other instances, on one link."""
+    """The services that exchange messages with other instances."""
 
     def __init__(
         self,
@@ -117,20 +117,20 @@
         self.tree.subscribe(self._changed)
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start the services."""
         self.lister.start()
         self.configuration.start()
         self.views.start()
 
     def leave(self) -> None:
-        """Hand over what is ours, and leave the view."""
+        """Hand over this instance's leases, and leave the view."""
         self.rates.leave()
         self.views.leave()
 
     def others(self) -> list[ids.InstanceId]:
         """List the other instances that are known to be alive.
 
-        :return: of every data centre
+        :return: instances of all data centres
         """
         return [
             member
@@ -140,9 +140,9 @@
         ]
 
     def neighbours(self) -> list[ids.InstanceId]:
-        """List the other members of our own view.
+        """List the other members of this instance's view.
 
-        :return: of our data centre
+        :return: instances of the same data centre
         """
         here = self.link.self_id.data_centre
         return [peer for peer in self.others() if peer.data_centre == here]
