--- a/tests/entry/conftest.py
+++ b/tests/entry/conftest.py
@@ -1,4 +1,4 @@
-"""The users' machines, started once a module."""
+"""Fixture with the users' endpoints and gateways, shared by a module."""
 
 from __future__ import annotations
 
--- a/tests/entry/test_failures.py
+++ b/tests/entry/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of real processes, judged by what callers receive."""
+"""Failures of real processes, checked by the responses that callers get."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 from tests.fakes import processes
 
-# Longer than any lease of the system.
+# Longer than any lease lasts.
 LONG_PAUSE_SECONDS = 6.0
 
 
 @pytest.fixture
 def fleet(tmp_path):
-    """Start a fleet that the test may ruin."""
+    """Start processes that the test may kill."""
     fleet = processes.Fleet(tmp_path)
     try:
         yield fleet.start()
@@ -28,7 +28,7 @@
 
 @pytest.fixture(scope="module")
 def kept(tmp_path_factory):
-    """Start a fleet that the tests leave as they found it."""
+    """Start processes that the tests share and must leave running."""
     fleet = processes.Fleet(tmp_path_factory.mktemp("kept"))
     try:
         yield fleet.start()
@@ -37,7 +37,7 @@
 
 
 class Stream(threading.Thread):
-    """A caller that streams one long answer, beside the test."""
+    """A caller that streams one long answer in a thread of its own."""
 
     def __init__(self, fleet, entry, model, tokens=300):
         super().__init__(daemon=True)
@@ -97,7 +97,8 @@
 
 
 def test_a_killed_instance_leaves_its_data_centre_served(fleet):
-    # Callers of a killed instance's data centre must still be served.
+    # Callers of a data centre must still be served after an instance was
+    # killed there.
     serves(fleet, fleet.entries[0], fleet.adapter())
     fleet.entries[0].signal(signal.SIGKILL)
     fleet.entries = fleet.entries[1:]
@@ -108,7 +109,8 @@
 
 
 def test_a_paused_instance_wakes_without_its_rights(kept):
-    # An instance paused for longer than its leases must not use them.
+    # An instance that was paused for longer than its leases last must not use
+    # them when it continues.
     fleet = kept
     entry = fleet.entries[0]
     serves(fleet, entry, fleet.adapter())
@@ -125,7 +127,7 @@
 
 
 def test_a_planned_stop_cuts_off_no_stream(fleet):
-    # A planned stop must not cut off a stream, even when signalled twice.
+    # A planned stop must not cut off a stream, even after a second signal.
     entry = fleet.entries[0]
     serves(fleet, entry, fleet.adapter())
     stream = Stream(fleet, entry, fleet.adapter())
@@ -139,7 +141,7 @@
 
 
 def test_a_withdrawn_key_stops_working_on_open_streams(kept):
-    # A withdrawn key must stop its open streams and further requests.
+    # Withdrawing a key must end its open streams and refuse new requests.
     fleet = kept
     entry, model = fleet.entries[0], fleet.adapter()
     serves(fleet, entry, model)
@@ -166,7 +168,8 @@
     ids=["engine restarts empty", "engine cuts the answer"],
 )
 def test_a_broken_stream_resumes_at_the_right_token(kept, fault):
-    # A stream that an engine breaks off must reach its caller whole and once.
+    # When an engine breaks off a stream, the caller must still receive every
+    # token exactly once.
     fleet = kept
     entry, model = fleet.entries[0], fleet.adapter()
     serves(fleet, entry, model)
@@ -180,7 +183,8 @@
 
 
 def test_a_leaving_endpoint_gets_no_new_work(kept):
-    # An endpoint is marked leaving in the platform's list only.
+    # The platform's list is the only place that marks an endpoint as leaving;
+    # instances must send it no new requests.
     fleet = kept
     entry, model = fleet.entries[0], fleet.adapter()
     leaving, staying = fleet.engines
@@ -201,7 +205,7 @@
 
 
 def test_the_fleet_serves_on_without_the_platform(fleet):
-    # Without the configuration service instances must serve on, and start.
+    # Instances must go on serving while the configuration service is down.
     serves(fleet, fleet.entries[0], fleet.adapter())
     fleet.processes[0].kill()
     fleet.processes[0].wait()
@@ -209,7 +213,8 @@
 
 
 def test_a_payout_without_an_answer_is_unknown_and_never_repeated(fleet):
-    # A payout without an answer must never be repeated.
+    # A non-idempotent request that was sent and not answered must never be
+    # sent again, by any instance.
     first = fleet.entries[0]
     ticket = processes.call(
         first.address, "/v1/tickets", key=fleet.key, method="POST"
--- a/tests/entry/test_fleet_log.py
+++ b/tests/entry/test_fleet_log.py
@@ -1,4 +1,4 @@
-"""The lines that tell what an instance knows of the fleet."""
+"""Logging of changes of the fleet."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 
 def test_a_cut_of_many_peers_is_one_line() -> None:
-    # A line and a look at all owners for each peer held instances up.
+    # A network partition must not log a line for each peer: the lines, and a
+    # check of all owners for each, delayed the instances.
     log = Log()
     fleet = fleet_log.FleetLog(
         fleet=types.SimpleNamespace(), items=types.SimpleNamespace(), log=log
--- a/tests/entry/test_fleet_walk.py
+++ b/tests/entry/test_fleet_walk.py
@@ -1,4 +1,4 @@
-"""Schedules of whole fleets, judged by the engines' records of orders."""
+"""Simulated fleets with faults, checked by the engines' logs of orders."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 Fault = fleet_walk.Fault
 
 SEEDS = 2
-# They take as long as four others.
+# Each of these schedules takes as long as four others.
 SEEDS_OF_LONG_CUTS = 1
 THREE_CENTRES = {"dc-a": 3, "dc-b": 2, "dc-c": 1}
-# A cut or a kill is noticed, and a lease of another owner has passed.
+# Time to detect a partition or a killed instance, and for the lease of the
+# previous owner to expire.
 GOES_ON_SECONDS = 6.0
 LULL_BEGINS_SECONDS = 7.0
-# For how long the votes of the lost are waited for.
+# Limit of the time without orders while votes of lost instances are awaited.
 BOUNDED_SECONDS = 20.0
 
 
@@ -47,7 +48,8 @@
 
 @pytest.mark.parametrize("kind", fleet_plans.KINDS)
 def test_no_fleet_has_two_givers_at_one_engine(kind) -> None:
-    # Instances that can't hear each other order at one engine together.
+    # Two instances that can't reach each other must never both order at one
+    # engine.
     seeds = SEEDS_OF_LONG_CUTS if kind.startswith("long") else SEEDS
     broken = {}
     for seed in range(seeds):
@@ -61,7 +63,7 @@
 
 
 def test_the_engines_of_a_data_centre_that_is_cut_off_get_orders() -> None:
-    # Its owner needs nobody elsewhere for its lease.
+    # An owner must get its lease without votes from other data centres.
     near = addresses("dc-a", THREE_CENTRES)
     faults = [cut_off(THREE_CENTRES, *near)]
     gaps = gaps_seconds(THREE_CENTRES, faults, seconds=10.0)
@@ -71,7 +73,8 @@
 @pytest.mark.parametrize("number", [0, 1])
 @pytest.mark.parametrize("fault", ["cut", "kill"])
 def test_a_data_centre_of_two_that_lost_one_goes_on(number, fault) -> None:
-    # One of two is no majority; those elsewhere vote for the one that is left.
+    # One of two instances is no majority, so instances of other data centres
+    # must vote for the remaining one.
     lost = addresses("dc-b", THREE_CENTRES)[number]
     faults = [
         Fault(1.0, "kill", (lost,), math.inf)
@@ -83,7 +86,8 @@
 
 
 def test_the_last_of_a_data_centre_gives_orders_after_a_while() -> None:
-    # Those that were killed never vote again, and nobody can know that.
+    # Killed instances never vote again and nobody can know that, so the wait
+    # for their votes must be bounded.
     centres = {"dc-a": 4, "dc-b": 1}
     first, *lost = addresses("dc-a", centres)
     faults = [Fault(1.0, "kill", tuple(lost), math.inf)]
@@ -92,7 +96,8 @@
 
 
 def test_a_planned_stop_costs_no_wait_for_votes() -> None:
-    # The votes of one that left were waited for as of one that fell silent.
+    # An instance that left as planned must not be waited for like one that
+    # fell silent.
     centres = {"dc-a": 3, "dc-b": 1}
     (last,) = addresses("dc-b", centres)
     faults = [Fault(1.0, "leave", (last,), 2.5)]
@@ -101,7 +106,7 @@
 
 
 def test_orders_go_on_soon_after_a_cut_has_healed() -> None:
-    # The wait for silent voters was kept when they were heard again.
+    # The wait for silent voters must end when they are heard again.
     centres = {"dc-a": 2, "dc-b": 1, "dc-c": 1}
     lost = (*addresses("dc-b", centres), *addresses("dc-c", centres))
     lost = (addresses("dc-a", centres)[1], *lost)
@@ -111,7 +116,7 @@
 
 
 class Lull(fleet_walk.FleetWalk):
-    """A fleet of whose adapters none is asked for during most of a cut."""
+    """A fleet that gets no requests for adapters during most of a cut."""
 
     lull_ends_seconds = 25.0
 
@@ -127,7 +132,8 @@
 def test_one_that_is_alone_after_a_lull_lets_others_order_first(
     number, seed
 ) -> None:
-    # It and the holder of the lease answered the same requests at once.
+    # After a period without requests, an isolated instance must not serve the
+    # first ones at the same time as the holder of the lease.
     centres = {"dc-a": 3, "dc-b": 1}
     lone = addresses("dc-a", centres)[number]
     faults = [cut_off(centres, lone, seconds=22.0)]
@@ -137,7 +143,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_several_that_are_alone_after_a_lull_dont_order_at_once(seed) -> None:
-    # Each had waited for its turn while nobody asked for anything.
+    # Isolated instances order in turns; a period without requests must not
+    # use up all their waits, or they all order when requests come again.
     centres = {"dc-a": 3}
     faults = [
         cut_off(centres, each, seconds=60.0)
--- a/tests/entry/test_gateway.py
+++ b/tests/entry/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's whole path, with real processes on loopback."""
+"""Requests through gateways as real processes on loopback."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from tests.fakes import machines as machines_module
 
-# On a busy machine a load may be later than expected several times.
+# On a busy machine an adapter may load later than estimated several times.
 RETURNS = 8
 
 pytestmark = pytest.mark.usefixtures("sound")
@@ -59,7 +59,7 @@
 
 
 def test_thousands_of_adapters_share_few_places(machines) -> None:
-    # Many adapters must not overfill an engine or starve a caller.
+    # More adapters than slots must not overfill an engine or starve a caller.
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         replies = list(
             pool.map(
@@ -97,7 +97,7 @@
 
 
 def test_a_lookup_that_fails_is_tried_at_another_endpoint(machines) -> None:
-    # A failing endpoint must not be seen by callers while retries are left.
+    # Callers must not see an endpoint's failure while retries are left.
     machines.faults("desk-0", status=500)
     replies = [machines.ask("/reads/1", method="GET") for _ in range(3)]
     assert [reply.status for reply in replies] == [200, 200, 200]
@@ -128,7 +128,7 @@
 def test_a_promise_that_the_endpoint_didnt_give_isnt_passed_on(
     machines, status
 ) -> None:
-    # Only the endpoint's word may tell a caller "not run".
+    # A caller may be told "not run" only when the endpoint itself said so.
     for name in ("desk-0", "desk-1"):
         machines.faults(name, status=status)
     reply = machines.ask("/orders/1", body=b"pay")
@@ -159,7 +159,7 @@
 
 
 def test_a_broken_stream_doesnt_look_whole(machines) -> None:
-    # A stream that can't be resumed must not look whole when it breaks off.
+    # A broken stream that can't be resumed must not look complete.
     for name in ("engine-0", "engine-1"):
         machines.faults(name, cut_after=2)
     with pytest.raises(
@@ -171,7 +171,7 @@
 def test_a_broken_stream_is_resumed_where_the_route_allows_it(
     machines,
 ) -> None:
-    # A broken stream must go on from its next event.
+    # A broken stream must be resumed at its next event.
     for name in ("engine-0", "engine-1"):
         machines.faults(name, cut_after=2)
     pieces = machines.generate("", path="/drafts/x", events=4).body
@@ -183,7 +183,8 @@
 def test_a_stream_that_resumes_at_a_failing_engine_doesnt_look_whole(
     machines,
 ) -> None:
-    # The failure's body was joined to the events that were out.
+    # The body of a failed resumption must not be appended to the events that
+    # were already sent.
     for name in ("engine-0", "engine-1"):
         machines.faults(name, cut_after=2, resumed_status=500)
     with pytest.raises(
@@ -284,7 +285,7 @@
 
 
 def test_an_endpoint_that_hangs_loses_its_requests(machines) -> None:
-    # An endpoint that never answers must lose its share of requests.
+    # An endpoint that never answers must get fewer and fewer requests.
     machines.faults("desk-0", silent=True)
     short = {"Boragefold-Deadline-Ms": "250"}
     statuses = [
--- a/tests/entry/test_gateway_processes.py
+++ b/tests/entry/test_gateway_processes.py
@@ -1,4 +1,4 @@
-"""Gateways that are killed, stopped and reloaded, on loopback."""
+"""Gateway processes that are killed, stopped and reloaded, on loopback."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_a_killed_instance_is_replaced_and_served_again(machines) -> None:
-    # The engines of a killed instance must get an owner.
+    # Another instance must take over the engines of a killed one.
     machines.signal(1, signal.SIGKILL)
     machines.wait(1)
     machines_module.eventually(
@@ -53,7 +53,8 @@
 def test_a_caller_that_takes_nothing_doesnt_hold_a_planned_stop(
     machines,
 ) -> None:
-    # A caller that reads nothing must not delay a stop until the kill.
+    # A caller that doesn't read its response must not delay a planned stop
+    # until the process is killed.
     host, _, port = machines.gateways[1]["front"].rpartition(":")
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -82,7 +83,7 @@
 def test_a_changed_settings_file_is_taken_over_and_a_bad_one_isnt(
     machines,
 ) -> None:
-    # A torn settings file must not replace the settings in use.
+    # A partly written settings file must not replace the settings in use.
     path = machines.folder / "gateway-0.json"
     text = path.read_text()
     path.write_text(text.replace('"retry_slack": 50', '"retry_slack": 40'))
--- a/tests/entry/test_operations.py
+++ b/tests/entry/test_operations.py
@@ -1,4 +1,4 @@
-"""The ways of docs/OPERATIONS.md, from a request's id to its cause."""
+"""Tracing a request from its id to its cause, as docs/OPERATIONS.md tells."""
 
 from __future__ import annotations
 
--- a/tests/entry/test_store_follower.py
+++ b/tests/entry/test_store_follower.py
@@ -1,4 +1,4 @@
-"""Following the store in virtual time, with a store that the test answers."""
+"""Following the store in virtual time, with answers that the test gives."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Side:
-    """A follower, and the calls that it makes."""
+    """A follower whose calls are recorded and answered by the test."""
 
     def __init__(self, *, wanted=lambda: True):
         self.clock = clocks.VirtualClock()
@@ -97,7 +97,8 @@
 
 
 def test_a_listing_is_followed_by_a_watch_from_its_first_page() -> None:
-    # A change made while pages are read must not be missed.
+    # The watch must start at the first page's revision, or a change made
+    # while the pages are read is missed.
     side = Side()
     side.answer(store_follower.Page((item("s/a", 2),), 5, "s/a", True))
     side.answer(store_follower.Page((item("s/b", 7),), 7, "s/b", False))
--- a/tests/entry/test_whole_path.py
+++ b/tests/entry/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path, over HTTP, with every part in its own process."""
+"""Requests over HTTP, with every part as a process of its own."""
 
 from __future__ import annotations
 
@@ -67,7 +67,8 @@
 
 
 def test_a_payout_runs_once_through_two_instances(fleet):
-    # A payout repeated with its ticket elsewhere must run once.
+    # A request repeated with the same ticket at another instance must run
+    # only once.
     first, other = fleet.entries[0], fleet.entries[2]
     minted = processes.call(
         first.address, "/v1/tickets", key=fleet.key, method="POST"
