--- a/src/boragefold/entry/fleet_log.py
+++ b/src/boragefold/entry/fleet_log.py
@@ -13,7 +13,7 @@
 # share one line.
 MAX_PEER_LINES = 8
 # The deployment's version, all endpoints, and the endpoints that are draining.
-Known = tuple[int | None, frozenset[str], frozenset[str]]
+Snapshot = tuple[int | None, frozenset[str], frozenset[str]]
 
 
 class FleetLog:
@@ -29,16 +29,19 @@
         self._fleet = fleet
         self._items = items
         self._log = log
-        self._logged: Known = (None, frozenset(), frozenset())
-        self._silence: list[tuple[ids.InstanceId, bool]] = []
+        self._last_snapshot: Snapshot = (None, frozenset(), frozenset())
+        self._silence_changes: list[tuple[ids.InstanceId, bool]] = []
 
     def fleet_changed(self) -> None:
         """Log the changes since the last such line, if there are any."""
-        before, self._logged = self._logged, self._known()
-        if self._logged == before:
+        before, self._last_snapshot = (
+            self._last_snapshot,
+            self._take_snapshot(),
+        )
+        if self._last_snapshot == before:
             # The change concerns only adapters that an engine has loaded.
             return
-        version, endpoints, leaving = self._logged
+        version, endpoints, leaving = self._last_snapshot
         self._log.write(
             "fleet_changed",
             deployment_version=version,
@@ -54,11 +57,11 @@
         :param peer: the instance whose state changed
         :param silent: whether it is silent now
         """
-        self._silence.append((peer, silent))
+        self._silence_changes.append((peer, silent))
 
     def write_silence(self) -> None:
         """Log the recorded peers, many of them in a single line."""
-        changes, self._silence = self._silence, []
+        changes, self._silence_changes = self._silence_changes, []
         for is_silent in (True, False):
             peers = [peer for peer, silent in changes if silent is is_silent]
             event = "peer_silent" if is_silent else "peer_heard"
@@ -77,7 +80,7 @@
                     event, peer=peer.address, data_centre=peer.data_centre
                 )
 
-    def _known(self) -> Known:
+    def _take_snapshot(self) -> Snapshot:
         current = self._fleet.deployment
         return (
             current and current.version,
--- a/src/boragefold/entry/gateway.py
+++ b/src/boragefold/entry/gateway.py
@@ -61,29 +61,29 @@
         :param request: as received
         :param exchange: takes the response
         """
-        understood = self._shared.dialect.read_request(request)
-        if isinstance(understood, dialects.Malformed):
-            self._refuse(exchange, None, refusals.MALFORMED, understood.reason)
+        parsed = self._shared.dialect.read_request(request)
+        if isinstance(parsed, dialects.Malformed):
+            self._refuse(exchange, None, refusals.MALFORMED, parsed.reason)
             return
         current = self._shared.fleet.deployment
         if current is None:
             self._refuse(
                 exchange,
-                understood,
+                parsed,
                 refusals.NOT_RUN,
                 "starting",
                 STARTING_RETRY_SECONDS,
             )
             return
-        route = current.route_of(understood.host, understood.path)
+        route = current.route_of(parsed.host, parsed.path)
         if route is None:
-            self._refuse(exchange, understood, refusals.NO_ROUTE, "no_route")
+            self._refuse(exchange, parsed, refusals.NO_ROUTE, "no_route")
             return
-        workspace = current.workspace_of(understood.key)
+        workspace = current.workspace_of(parsed.key)
         if workspace is None and current.workspaces and not route.public:
-            self._refuse(exchange, understood, refusals.NO_KEY, "key_unknown")
+            self._refuse(exchange, parsed, refusals.NO_KEY, "key_unknown")
             return
-        self._admit(understood, exchange, current, route, workspace)
+        self._admit(parsed, exchange, current, route, workspace)
 
     def _admit(
         self,
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -145,7 +145,7 @@
             timers=self.timers,
             members=self._members,
             seeds=settings.seeds,
-            compose=self._beat,
+            compose=self._make_beat,
             rng=self._rng,
             rates=rate_messages.RateMessages(
                 link=self._link,
@@ -191,7 +191,7 @@
         self.stopping = stopping.Stopping(
             timers=self.timers,
             notice_seconds=STOP_NOTICE_SECONDS,
-            hand_over=self._stop_taking,
+            hand_over=self._stop_accepting,
             finished=lambda: self._listeners.callers.close_idle() == 0,
             stop=self._stop,
             say=lambda step: self.log.write("stopping", step=step),
@@ -254,7 +254,7 @@
     def _wants_to_read(self) -> bool:
         return readers.reads(self._link.self_id, self._members.reachable())
 
-    def _beat(self) -> messages.Beat:
+    def _make_beat(self) -> messages.Beat:
         return messages.Beat(
             uptime_seconds=self._members.uptime_seconds,
             leaving=self.stopping.begun,
@@ -383,7 +383,7 @@
             rng=self._rng,
         )
 
-    def _stop_taking(self) -> None:
+    def _stop_accepting(self) -> None:
         self.log.write("stopping", step="no_new_callers")
         self._listeners.callers.stop_listening()
 
--- a/src/boragefold/entry/instance.py
+++ b/src/boragefold/entry/instance.py
@@ -86,7 +86,7 @@
             timers=self.timers,
             notice_seconds=settings.stop_notice_seconds,
             hand_over=self._hand_over,
-            finished=self._finished,
+            finished=self._is_finished,
             stop=self._stop,
             say=lambda step: logging.info("stopping: %s", step),
         )
@@ -219,7 +219,7 @@
         self._callers.stop_listening()
         self.together.leave()
 
-    def _finished(self) -> bool:
+    def _is_finished(self) -> bool:
         served = (
             self._callers.close_idle() == 0
             and self.together.runner.open_attempts == 0
--- a/src/boragefold/entry/reloading.py
+++ b/src/boragefold/entry/reloading.py
@@ -51,7 +51,7 @@
     def start(self) -> None:
         """Start polling, and handle SIGHUP as a request to reload."""
         # Python's default for this signal ends the process.
-        signal.signal(signal.SIGHUP, self._hang_up)
+        signal.signal(signal.SIGHUP, self._on_sighup)
         self._timers.every(period_seconds=CHECK_SECONDS, callback=self.check)
 
     def check(self) -> None:
@@ -76,7 +76,7 @@
         self._counters.add("settings_reloaded")
         self._log.write("settings_reloaded", changed=changed)
 
-    def _hang_up(self, number: int, frame: object) -> None:
+    def _on_sighup(self, number: int, frame: object) -> None:
         self._timers.once(delay_seconds=0.0, callback=self.check)
 
 
--- a/src/boragefold/entry/stopping.py
+++ b/src/boragefold/entry/stopping.py
@@ -56,7 +56,7 @@
         self._hand_over = hand_over
         self._finished = finished
         self._stop_loop = stop
-        self._say = say
+        self._log_step = say
         self.begun = False
 
     def begin(self) -> None:
@@ -65,9 +65,9 @@
             return
         self.begun = True
         self._begun_at_seconds = self._timers.now_seconds()
-        self._say("readiness probe fails, connections are still accepted")
+        self._log_step("readiness probe fails, connections are still accepted")
         self._timers.once(
-            delay_seconds=self._notice_seconds, callback=self._noticed
+            delay_seconds=self._notice_seconds, callback=self._stop_accepting
         )
 
     @circuits.handler("signal", channel="*")  # type: ignore[untyped-decorator]
@@ -78,19 +78,21 @@
         if number in STOP_SIGNALS:
             self.begin()
 
-    def _noticed(self) -> None:
-        self._say("accepting no more connections, finishing running requests")
+    def _stop_accepting(self) -> None:
+        self._log_step(
+            "accepting no more connections, finishing running requests"
+        )
         self._hand_over()
         self._timers.every(period_seconds=CHECK_SECONDS, callback=self._check)
 
     def _check(self) -> None:
         if self._finished():
-            self._say("finished")
+            self._log_step("finished")
             self._stop_loop()
         elif self._is_over_limit():
             # A caller that doesn't read its response keeps its connection
             # open.
-            self._say("time limit exceeded")
+            self._log_step("time limit exceeded")
             self._stop_loop()
 
     def _is_over_limit(self) -> bool:
--- a/src/boragefold/entry/store_follower.py
+++ b/src/boragefold/entry/store_follower.py
@@ -143,14 +143,14 @@
         self._rng = rng
         self._wanted = wanted
         self._returned = returned
-        self._resting = False
+        self._paused = False
         self._listed: list[published_items.Item] = []
         self._listed_revision: int | None = None
         self._revision: int | None = None
         self._retry_seconds = FIRST_RETRY_SECONDS
         self._asked_at_seconds = 0.0
         self._answered_at_seconds: float | None = None
-        self._lost = False
+        self._failing = False
 
     def start(self) -> None:
         """Begin with a full listing."""
@@ -161,7 +161,7 @@
 
         :return: whether the items may be out of date
         """
-        if self._answered_at_seconds is None or self._resting:
+        if self._answered_at_seconds is None or self._paused:
             return True
         now_seconds = self._timers.now_seconds()
         return now_seconds - self._answered_at_seconds > STALE_SECONDS
@@ -171,7 +171,7 @@
 
         :return: whether others can rely on the store being up
         """
-        if self._lost or self._resting or self._answered_at_seconds is None:
+        if self._failing or self._paused or self._answered_at_seconds is None:
             return False
         age_seconds = self._timers.now_seconds() - self._answered_at_seconds
         return age_seconds < SOUND_SECONDS
@@ -181,16 +181,16 @@
 
         :return: whether others can't rely on this instance to read the store
         """
-        return self._lost or (not self._resting and self.is_stale())
+        return self._failing or (not self._paused and self.is_stale())
 
     def _list(self, after_key: str) -> None:
         if not after_key:
             self._listed = []
             self._listed_revision = None
         call = self._dialect.list_call(self._prefix, after_key)
-        self._send(call, self._take_page)
+        self._send(call, self._handle_page)
 
-    def _take_page(
+    def _handle_page(
         self, answer: whole_answer.WholeAnswer | http_client.Failure
     ) -> None:
         page = (
@@ -199,9 +199,9 @@
             else self._dialect.read_page(answer)
         )
         if isinstance(page, StoreFailed):
-            self._fail(page.reason, lambda: self._list(""))
+            self._retry_later(page.reason, lambda: self._list(""))
             return
-        self._succeeded()
+        self._record_success()
         self._listed.extend(page.items)
         if self._listed_revision is None:
             # Pages are no snapshot: the watch starts at the revision of the
@@ -218,17 +218,17 @@
         self._watch()
 
     def _watch(self) -> None:
-        self._resting = not self._wanted()
-        if self._resting:
+        self._paused = not self._wanted()
+        if self._paused:
             # Enough other instances of the data centre read the store.
             self._timers.once(delay_seconds=REST_SECONDS, callback=self._watch)
             return
         call = self._dialect.watch_call(
             self._prefix, self._revision or 0, WAIT_SECONDS
         )
-        self._send(call, self._take_events)
+        self._send(call, self._handle_events)
 
-    def _take_events(
+    def _handle_events(
         self, answer: whole_answer.WholeAnswer | http_client.Failure
     ) -> None:
         events = (
@@ -237,9 +237,9 @@
             else self._dialect.read_events(answer)
         )
         if isinstance(events, StoreFailed):
-            self._fail(events.reason, self._watch)
+            self._retry_later(events.reason, self._watch)
             return
-        self._succeeded()
+        self._record_success()
         if isinstance(events, HistoryLost):
             self._counters.add("store_histories_lost", self._prefix)
             self._list("")
@@ -261,18 +261,18 @@
         self._counters.add("store_calls", self._prefix)
         self._client.send(call, whole_answer.WholeAnswerSink(done=done))
 
-    def _succeeded(self) -> None:
+    def _record_success(self) -> None:
         self._answered_at_seconds = self._timers.now_seconds()
         self._retry_seconds = FIRST_RETRY_SECONDS
-        if self._lost:
-            self._lost = False
+        if self._failing:
+            self._failing = False
             self._log.write("store_regained", prefix=self._prefix)
             self._returned()
 
-    def _fail(self, reason: str, again: Callable[[], None]) -> None:
+    def _retry_later(self, reason: str, again: Callable[[], None]) -> None:
         self._counters.add("store_failures", reason)
-        if not self._lost:
-            self._lost = True
+        if not self._failing:
+            self._failing = True
             self._log.write(
                 "store_lost",
                 prefix=self._prefix,
--- a/src/boragefold/entry/together.py
+++ b/src/boragefold/entry/together.py
@@ -42,7 +42,7 @@
     *rate_messages.KINDS,
     *view_messages.KINDS,
 )
-MILLISECONDS = 1_000
+MS_PER_SECOND = 1_000
 
 
 class Together:
@@ -71,7 +71,7 @@
             timer_service=timers,
             counters=counters,
             random_source=random.Random(),
-            wall_clock_ms=lambda: int(time.time() * MILLISECONDS),
+            wall_clock_ms=lambda: int(time.time() * MS_PER_SECOND),
             on_suspect=link.reconnect,
         )
         self.configuration = configuration.Configuration(
@@ -112,9 +112,9 @@
         self.lister = list_polling.ListPoller(
             reader=reader, timers=timers, counters=counters
         )
-        self.lister.subscribe(self._listed)
+        self.lister.subscribe(self._on_listing)
         self.lister.subscribe(self.configuration.note_listing)
-        self.tree.subscribe(self._changed)
+        self.tree.subscribe(self._on_change)
 
     def start(self) -> None:
         """Start the services."""
@@ -147,7 +147,7 @@
         here = self.link.self_id.data_centre
         return [peer for peer in self.others() if peer.data_centre == here]
 
-    def _listed(self, listing: platform_api.Listing) -> None:
+    def _on_listing(self, listing: platform_api.Listing) -> None:
         self.views.update_list(
             listings.ListEntry(
                 instance.address, instance.data_centre, instance.state
@@ -156,7 +156,7 @@
             if instance.kind == "entry"
         )
 
-    def _changed(self, change: trees.Change) -> None:
+    def _on_change(self, change: trees.Change) -> None:
         match paths.parse(change.path):
             case paths.TreePath("workspaces" | "defaults"):
                 self._update_rates()
--- a/tests/entry/test_failures.py
+++ b/tests/entry/test_failures.py
@@ -27,7 +27,7 @@
 
 
 @pytest.fixture(scope="module")
-def kept(tmp_path_factory):
+def shared_fleet(tmp_path_factory):
     """Start processes that the tests share and must leave running."""
     fleet = processes.Fleet(tmp_path_factory.mktemp("kept"))
     try:
@@ -71,49 +71,49 @@
     return [f"quadro/{model}:{number}" for number in range(tokens)]
 
 
-def served(fleet):
+def load_reports(fleet):
     return [
         processes.call(address, "/v1/load").json() for address in fleet.engines
     ]
 
 
-def busy(fleet):
-    reports = zip(fleet.engines, served(fleet), strict=True)
+def busy_engines(fleet):
+    reports = zip(fleet.engines, load_reports(fleet), strict=True)
     return [address for address, report in reports if report["running"]]
 
 
-def broken(entry):
+def broken_attempts(entry):
     lines = entry.metrics().splitlines()
     name = "boragefold_attempts_broken_total{"
     return sum(float(x.split()[-1]) for x in lines if x.startswith(name))
 
 
-def faults(address, **faults):
+def set_faults(address, **faults):
     processes.call(address, "/control/faults", body=faults, method="PUT")
 
 
-def serves(fleet, entry, model):
+def wait_until_served(fleet, entry, model):
     return processes.eventually(lambda: fleet.chat(entry, model).status == 200)
 
 
 def test_a_killed_instance_leaves_its_data_centre_served(fleet):
     # Callers of a data centre must still be served after an instance was
     # killed there.
-    serves(fleet, fleet.entries[0], fleet.adapter())
+    wait_until_served(fleet, fleet.entries[0], fleet.adapter())
     fleet.entries[0].signal(signal.SIGKILL)
     fleet.entries = fleet.entries[1:]
     fleet.publish_list()
     for number in range(4):
-        serves(fleet, fleet.entries[0], fleet.adapter(number))
-    assert not any(report["evicted_in_use"] for report in served(fleet))
+        wait_until_served(fleet, fleet.entries[0], fleet.adapter(number))
+    assert not any(report["evicted_in_use"] for report in load_reports(fleet))
 
 
-def test_a_paused_instance_wakes_without_its_rights(kept):
+def test_a_paused_instance_wakes_without_its_rights(shared_fleet):
     # An instance that was paused for longer than its leases last must not use
     # them when it continues.
-    fleet = kept
+    fleet = shared_fleet
     entry = fleet.entries[0]
-    serves(fleet, entry, fleet.adapter())
+    wait_until_served(fleet, entry, fleet.adapter())
     entry.signal(signal.SIGSTOP)
     time.sleep(LONG_PAUSE_SECONDS)
     entry.signal(signal.SIGCONT)
@@ -123,13 +123,13 @@
         for each in fleet.entries[:2]
     ]
     assert views[0][1:3] >= views[1][1:3]
-    serves(fleet, entry, fleet.adapter(1))
+    wait_until_served(fleet, entry, fleet.adapter(1))
 
 
 def test_a_planned_stop_cuts_off_no_stream(fleet):
     # A planned stop must not cut off a stream, even after a second signal.
     entry = fleet.entries[0]
-    serves(fleet, entry, fleet.adapter())
+    wait_until_served(fleet, entry, fleet.adapter())
     stream = Stream(fleet, entry, fleet.adapter())
     processes.eventually(lambda: entry.status()["open_chats"] == 1)
     entry.signal(signal.SIGTERM)
@@ -140,11 +140,11 @@
     assert entry.process.wait(processes.START_SECONDS) == 0
 
 
-def test_a_withdrawn_key_stops_working_on_open_streams(kept):
+def test_a_withdrawn_key_stops_working_on_open_streams(shared_fleet):
     # Withdrawing a key must end its open streams and refuse new requests.
-    fleet = kept
+    fleet = shared_fleet
     entry, model = fleet.entries[0], fleet.adapter()
-    serves(fleet, entry, model)
+    wait_until_served(fleet, entry, model)
     stream = Stream(fleet, entry, model, tokens=1000)
     processes.eventually(lambda: entry.status()["open_chats"] == 1)
     keys = fleet.example.tree["teams/quadro/keys"]
@@ -159,7 +159,7 @@
     stream.join(20)
     fleet.publish("teams/quadro/keys", keys)
     assert stream.reply is None or b"[DONE]" not in stream.reply.body
-    serves(fleet, entry, model)
+    wait_until_served(fleet, entry, model)
 
 
 @pytest.mark.parametrize(
@@ -167,49 +167,49 @@
     [{"restart": True}, {"truncate_after_tokens": 150}],
     ids=["engine restarts empty", "engine cuts the answer"],
 )
-def test_a_broken_stream_resumes_at_the_right_token(kept, fault):
+def test_a_broken_stream_resumes_at_the_right_token(shared_fleet, fault):
     # When an engine breaks off a stream, the caller must still receive every
     # token exactly once.
-    fleet = kept
+    fleet = shared_fleet
     entry, model = fleet.entries[0], fleet.adapter()
-    serves(fleet, entry, model)
-    before = broken(entry)
+    wait_until_served(fleet, entry, model)
+    before = broken_attempts(entry)
     stream = Stream(fleet, entry, model)
-    serving = processes.eventually(lambda: busy(fleet))[0]
-    faults(serving, **fault)
-    processes.eventually(lambda: broken(entry) > before)
-    faults(serving)
+    serving = processes.eventually(lambda: busy_engines(fleet))[0]
+    set_faults(serving, **fault)
+    processes.eventually(lambda: broken_attempts(entry) > before)
+    set_faults(serving)
     assert stream.tokens() == expected(model)
 
 
-def test_a_leaving_endpoint_gets_no_new_work(kept):
+def test_a_leaving_endpoint_gets_no_new_work(shared_fleet):
     # The platform's list is the only place that marks an endpoint as leaving;
     # instances must send it no new requests.
-    fleet = kept
+    fleet = shared_fleet
     entry, model = fleet.entries[0], fleet.adapter()
     leaving, staying = fleet.engines
-    serves(fleet, entry, model)
+    wait_until_served(fleet, entry, model)
     fleet.publish_list(leaving=(leaving,))
 
     def moved():
-        before = served(fleet)
+        before = load_reports(fleet)
         assert fleet.chat(entry, model).status == 200
-        after = served(fleet)
+        after = load_reports(fleet)
         return after[0]["served"] == before[0]["served"]
 
     processes.eventually(moved)
-    before = served(fleet)[0]["served"]
+    before = load_reports(fleet)[0]["served"]
     assert all(fleet.chat(entry, model).status == 200 for _ in range(10))
-    assert served(fleet)[0]["served"] == before
+    assert load_reports(fleet)[0]["served"] == before
     fleet.publish_list()
 
 
 def test_the_fleet_serves_on_without_the_platform(fleet):
     # Instances must go on serving while the configuration service is down.
-    serves(fleet, fleet.entries[0], fleet.adapter())
+    wait_until_served(fleet, fleet.entries[0], fleet.adapter())
     fleet.processes[0].kill()
     fleet.processes[0].wait()
-    serves(fleet, fleet.entries[1], fleet.adapter(1))
+    wait_until_served(fleet, fleet.entries[1], fleet.adapter(1))
 
 
 def test_a_payout_without_an_answer_is_unknown_and_never_repeated(fleet):
--- a/tests/entry/test_fleet_walk.py
+++ b/tests/entry/test_fleet_walk.py
@@ -17,10 +17,10 @@
 THREE_CENTRES = {"dc-a": 3, "dc-b": 2, "dc-c": 1}
 # Time to detect a partition or a killed instance, and for the lease of the
 # previous owner to expire.
-GOES_ON_SECONDS = 6.0
-LULL_BEGINS_SECONDS = 7.0
+FAILOVER_SECONDS = 6.0
+IDLE_FROM_SECONDS = 7.0
 # Limit of the time without orders while votes of lost instances are awaited.
-BOUNDED_SECONDS = 20.0
+MAX_VOTE_WAIT_SECONDS = 20.0
 
 
 def addresses(centre, centres):
@@ -67,7 +67,7 @@
     near = addresses("dc-a", THREE_CENTRES)
     faults = [cut_off(THREE_CENTRES, *near)]
     gaps = gaps_seconds(THREE_CENTRES, faults, seconds=10.0)
-    assert max(gaps.values()) < GOES_ON_SECONDS
+    assert max(gaps.values()) < FAILOVER_SECONDS
 
 
 @pytest.mark.parametrize("number", [0, 1])
@@ -82,7 +82,7 @@
         else cut_off(THREE_CENTRES, lost)
     ]
     gaps = gaps_seconds(THREE_CENTRES, faults, seconds=9.0)
-    assert max(gaps.values()) < GOES_ON_SECONDS
+    assert max(gaps.values()) < FAILOVER_SECONDS
 
 
 def test_the_last_of_a_data_centre_gives_orders_after_a_while() -> None:
@@ -92,7 +92,7 @@
     first, *lost = addresses("dc-a", centres)
     faults = [Fault(1.0, "kill", tuple(lost), math.inf)]
     gaps = gaps_seconds(centres, faults, seconds=24.0)
-    assert max(gaps.values()) < BOUNDED_SECONDS
+    assert max(gaps.values()) < MAX_VOTE_WAIT_SECONDS
 
 
 def test_a_planned_stop_costs_no_wait_for_votes() -> None:
@@ -102,7 +102,7 @@
     (last,) = addresses("dc-b", centres)
     faults = [Fault(1.0, "leave", (last,), 2.5)]
     gaps = gaps_seconds(centres, faults, seconds=12.0)
-    assert max(gaps.values()) < GOES_ON_SECONDS
+    assert max(gaps.values()) < FAILOVER_SECONDS
 
 
 def test_orders_go_on_soon_after_a_cut_has_healed() -> None:
@@ -112,16 +112,16 @@
     lost = (addresses("dc-a", centres)[1], *lost)
     faults = [cut_off(centres, each, seconds=5.0) for each in lost]
     gaps = gaps_seconds(centres, faults, seconds=14.0)
-    assert max(gaps.values()) < 5.0 + GOES_ON_SECONDS
+    assert max(gaps.values()) < 5.0 + FAILOVER_SECONDS
 
 
-class Lull(fleet_walk.FleetWalk):
+class IdleFleet(fleet_walk.FleetWalk):
     """A fleet that gets no requests for adapters during most of a cut."""
 
-    lull_ends_seconds = 25.0
+    idle_until_seconds = 25.0
 
     def _ask_owners(self) -> None:
-        if LULL_BEGINS_SECONDS < self.now() < self.lull_ends_seconds:
+        if IDLE_FROM_SECONDS < self.now() < self.idle_until_seconds:
             self.later(0.1, self._ask_owners)
             return
         super()._ask_owners()
@@ -137,7 +137,7 @@
     centres = {"dc-a": 3, "dc-b": 1}
     lone = addresses("dc-a", centres)[number]
     faults = [cut_off(centres, lone, seconds=22.0)]
-    walk = Lull(seed=seed, centres=centres, faults=faults)
+    walk = IdleFleet(seed=seed, centres=centres, faults=faults)
     assert not walk.run(22.5)
 
 
@@ -150,6 +150,6 @@
         cut_off(centres, each, seconds=60.0)
         for each in addresses("dc-a", centres)
     ]
-    walk = Lull(seed=seed, centres=centres, faults=faults)
-    walk.lull_ends_seconds = 37.0
+    walk = IdleFleet(seed=seed, centres=centres, faults=faults)
+    walk.idle_until_seconds = 37.0
     assert not walk.run(44.0)
--- a/tests/entry/test_gateway.py
+++ b/tests/entry/test_gateway.py
@@ -11,13 +11,13 @@
 from tests.fakes import machines as machines_module
 
 # On a busy machine an adapter may load later than estimated several times.
-RETURNS = 8
+MAX_ATTEMPTS = 8
 
 pytestmark = pytest.mark.usefixtures("sound")
 
 
-def _served(machines, adapter, *, number):
-    for _ in range(RETURNS):
+def _generate_with_retries(machines, adapter, *, number):
+    for _ in range(MAX_ATTEMPTS):
         reply = machines.generate(adapter, number=number)
         if reply.status != 503:
             break
@@ -25,7 +25,7 @@
     return reply
 
 
-def _reached(machines, name, *, requests):
+def _count_runs(machines, name, *, requests):
     before = len(machines.seen(name)["runs"])
     for _ in range(requests):
         machines.ask("/orders/1", body=b"x")
@@ -63,7 +63,9 @@
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         replies = list(
             pool.map(
-                lambda n: _served(machines, f"b{n % 12}", number=n % 2),
+                lambda n: _generate_with_retries(
+                    machines, f"b{n % 12}", number=n % 2
+                ),
                 range(36),
             )
         )
@@ -221,9 +223,9 @@
 def test_a_leaving_endpoint_gets_nothing_new(machines) -> None:
     machines.publish("desk-0", state="draining")
     machines_module.eventually(
-        lambda: not _reached(machines, "desk-0", requests=6)
+        lambda: not _count_runs(machines, "desk-0", requests=6)
     )
-    assert not _reached(machines, "desk-0", requests=10)
+    assert not _count_runs(machines, "desk-0", requests=10)
     machines.publish("desk-0")
 
 
--- a/tests/entry/test_store_follower.py
+++ b/tests/entry/test_store_follower.py
@@ -13,7 +13,7 @@
 from boragefold.transport import whole_answer
 
 
-class Spoken(store_follower.StoreDialect):
+class FakeDialect(store_follower.StoreDialect):
     def list_call(self, prefix, after_key):
         return ("list", after_key)
 
@@ -35,7 +35,7 @@
         self.events.append(event)
 
 
-class Side:
+class Harness:
     """A follower whose calls are recorded and answered by the test."""
 
     def __init__(self, *, wanted=lambda: True):
@@ -46,7 +46,7 @@
         self.calls = []
         self.follower = store_follower.StoreFollower(
             prefix="s/",
-            dialect=Spoken(),
+            dialect=FakeDialect(),
             client=self,
             items=self.items,
             timers=self.timers,
@@ -91,74 +91,74 @@
     return published_items.Item(key, revision, b"v")
 
 
-def listed(side, revision=5):
+def answer_listing(harness, revision=5):
     page = store_follower.Page((item("s/a", 2),), revision, "s/a", False)
-    assert side.answer(page) == ("list", "")
+    assert harness.answer(page) == ("list", "")
 
 
 def test_a_listing_is_followed_by_a_watch_from_its_first_page() -> None:
     # The watch must start at the first page's revision, or a change made
     # while the pages are read is missed.
-    side = Side()
-    side.answer(store_follower.Page((item("s/a", 2),), 5, "s/a", True))
-    side.answer(store_follower.Page((item("s/b", 7),), 7, "s/b", False))
-    call, _ = side.take()
+    harness = Harness()
+    harness.answer(store_follower.Page((item("s/a", 2),), 5, "s/a", True))
+    harness.answer(store_follower.Page((item("s/b", 7),), 7, "s/b", False))
+    call, _ = harness.take()
     assert call == ("watch", 5)
-    assert {each.key for each in side.items.below("s/")} == {"s/a", "s/b"}
+    assert {each.key for each in harness.items.below("s/")} == {"s/a", "s/b"}
 
 
 def test_changes_in_quick_succession_are_read_together() -> None:
-    side = Side()
-    listed(side)
-    side.answer(store_follower.Events((item("s/b", 6),), 6))
-    assert not side.calls
-    side.pass_time(store_follower.READ_PAUSE_SECONDS)
-    assert side.take()[0] == ("watch", 6)
+    harness = Harness()
+    answer_listing(harness)
+    harness.answer(store_follower.Events((item("s/b", 6),), 6))
+    assert not harness.calls
+    harness.pass_time(store_follower.READ_PAUSE_SECONDS)
+    assert harness.take()[0] == ("watch", 6)
 
 
 def test_a_lost_history_is_listed_anew() -> None:
-    side = Side()
-    listed(side)
-    side.answer(store_follower.HistoryLost())
+    harness = Harness()
+    answer_listing(harness)
+    harness.answer(store_follower.HistoryLost())
     page = store_follower.Page((item("s/b", 8),), 9, "s/b", False)
-    assert side.answer(page) == ("list", "")
-    assert {each.key for each in side.items.below("s/")} == {"s/b"}
+    assert harness.answer(page) == ("list", "")
+    assert {each.key for each in harness.items.below("s/")} == {"s/b"}
 
 
 def test_a_store_that_is_down_is_asked_again_and_seldom() -> None:
-    side = Side()
-    listed(side)
+    harness = Harness()
+    answer_listing(harness)
     asked = 0
     for _ in range(40):
-        if side.calls:
-            side.fail()
+        if harness.calls:
+            harness.fail()
             asked += 1
-        side.pass_time(0.25)
+        harness.pass_time(0.25)
     assert 8 <= asked <= 20
-    assert side.log.events == ["store_lost"]
-    assert side.follower.is_lost()
-    while not side.calls:
-        side.pass_time(0.1)
-    side.answer(store_follower.Events((), 5))
-    assert side.log.events == ["store_lost", "store_regained"]
-    assert not side.follower.is_lost()
+    assert harness.log.events == ["store_lost"]
+    assert harness.follower.is_lost()
+    while not harness.calls:
+        harness.pass_time(0.1)
+    harness.answer(store_follower.Events((), 5))
+    assert harness.log.events == ["store_lost", "store_regained"]
+    assert not harness.follower.is_lost()
 
 
 def test_a_silent_store_makes_what_is_known_stale() -> None:
-    side = Side()
-    listed(side)
-    assert not side.follower.is_stale()
-    side.pass_time(store_follower.STALE_SECONDS + 0.1)
-    assert side.follower.is_stale()
+    harness = Harness()
+    answer_listing(harness)
+    assert not harness.follower.is_stale()
+    harness.pass_time(store_follower.STALE_SECONDS + 0.1)
+    assert harness.follower.is_stale()
 
 
 def test_an_instance_that_isnt_wanted_reads_once_and_rests() -> None:
     wanted = []
-    side = Side(wanted=lambda: bool(wanted))
-    listed(side)
-    side.pass_time(10.0)
-    assert not side.calls
-    assert side.follower.is_stale()
+    harness = Harness(wanted=lambda: bool(wanted))
+    answer_listing(harness)
+    harness.pass_time(10.0)
+    assert not harness.calls
+    assert harness.follower.is_stale()
     wanted.append(True)
-    side.pass_time(store_follower.REST_SECONDS)
-    assert side.take()[0] == ("watch", 5)
+    harness.pass_time(store_follower.REST_SECONDS)
+    assert harness.take()[0] == ("watch", 5)
