--- a/src/boragefold/entry/fleet_log.py
+++ b/src/boragefold/entry/fleet_log.py
@@ -1,4 +1,4 @@
-"""The lines that tell what an instance knows of the fleet."""
+"""Logs changes of the endpoints, the deployment and the peers' silence."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from boragefold.state import published_items
 from boragefold.telemetry import decision_log
 
-# Peers that change together, behind a cut or a restart, share one line.
+# Peers whose state changes together, as in a network partition or a restart,
+# share one line.
 MAX_PEER_LINES = 8
-# The deployment's version, the endpoints, and those of them that leave.
-Known = tuple[int | None, frozenset[str], frozenset[str]]
+# The deployment's version, all endpoints, and the endpoints that are draining.
+Snapshot = tuple[int | None, frozenset[str], frozenset[str]]
 
 
 class FleetLog:
-    """Writes a line for each change of endpoints or deployment."""
+    """Logs each change of endpoints or deployment, and silent peers."""
 
     def __init__(
         self,
@@ -28,16 +29,19 @@
         self._fleet = fleet
         self._items = items
         self._log = log
-        self._logged: Known = (None, frozenset(), frozenset())
-        self._silence: list[tuple[ids.InstanceId, bool]] = []
+        self._last_snapshot: Snapshot = (None, frozenset(), frozenset())
+        self._silence_changes: list[tuple[ids.InstanceId, bool]] = []
 
     def fleet_changed(self) -> None:
-        """Write what has changed since the last line, if anything."""
-        before, self._logged = self._logged, self._known()
-        if self._logged == before:
-            # Only what an engine holds has changed.
+        """Log the changes since the last such line, if there are any."""
+        before, self._last_snapshot = (
+            self._last_snapshot,
+            self._take_snapshot(),
+        )
+        if self._last_snapshot == before:
+            # The change concerns only adapters that an engine has loaded.
             return
-        version, endpoints, leaving = self._logged
+        version, endpoints, leaving = self._last_snapshot
         self._log.write(
             "fleet_changed",
             deployment_version=version,
@@ -48,16 +52,16 @@
         )
 
     def silence_changed(self, peer: ids.InstanceId, silent: bool) -> None:
-        """Take note that a peer fell silent or is heard again.
+        """Record that a peer fell silent or was heard again.
 
-        :param peer: which
+        :param peer: the instance whose state changed
         :param silent: whether it is silent now
         """
-        self._silence.append((peer, silent))
+        self._silence_changes.append((peer, silent))
 
     def write_silence(self) -> None:
-        """Write a line for each such peer, or one for many at once."""
-        changes, self._silence = self._silence, []
+        """Log the recorded peers, many of them in a single line."""
+        changes, self._silence_changes = self._silence_changes, []
         for is_silent in (True, False):
             peers = [peer for peer, silent in changes if silent is is_silent]
             event = "peer_silent" if is_silent else "peer_heard"
@@ -76,7 +80,7 @@
                     event, peer=peer.address, data_centre=peer.data_centre
                 )
 
-    def _known(self) -> Known:
+    def _take_snapshot(self) -> Snapshot:
         current = self._fleet.deployment
         return (
             current and current.version,
--- a/src/boragefold/entry/together.py
+++ b/src/boragefold/entry/together.py
@@ -1,4 +1,4 @@
-"""What makes an instance one of many: views, configuration, rates, tickets."""
+"""Cluster services of an instance: views, configuration, rates, tickets."""
 
 from __future__ import annotations
 
@@ -42,11 +42,11 @@
     *rate_messages.KINDS,
     *view_messages.KINDS,
 )
-MILLISECONDS = 1_000
+MS_PER_SECOND = 1_000
 
 
 class Together:
-    """The parts that talk to other instances, on one link."""
+    """The services that exchange messages with other instances."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
             timer_service=timers,
             counters=counters,
             random_source=random.Random(),
-            wall_clock_ms=lambda: int(time.time() * MILLISECONDS),
+            wall_clock_ms=lambda: int(time.time() * MS_PER_SECOND),
             on_suspect=link.reconnect,
         )
         self.configuration = configuration.Configuration(
@@ -112,25 +112,25 @@
         self.lister = list_polling.ListPoller(
             reader=reader, timers=timers, counters=counters
         )
-        self.lister.subscribe(self._listed)
+        self.lister.subscribe(self._on_listing)
         self.lister.subscribe(self.configuration.note_listing)
-        self.tree.subscribe(self._changed)
+        self.tree.subscribe(self._on_change)
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start the services."""
         self.lister.start()
         self.configuration.start()
         self.views.start()
 
     def leave(self) -> None:
-        """Hand over what is ours, and leave the view."""
+        """Hand over this instance's leases, and leave the view."""
         self.rates.leave()
         self.views.leave()
 
     def others(self) -> list[ids.InstanceId]:
         """List the other instances that are known to be alive.
 
-        :return: of every data centre
+        :return: instances of all data centres
         """
         return [
             member
@@ -140,14 +140,14 @@
         ]
 
     def neighbours(self) -> list[ids.InstanceId]:
-        """List the other members of our own view.
+        """List the other members of this instance's view.
 
-        :return: of our data centre
+        :return: instances of the same data centre
         """
         here = self.link.self_id.data_centre
         return [peer for peer in self.others() if peer.data_centre == here]
 
-    def _listed(self, listing: platform_api.Listing) -> None:
+    def _on_listing(self, listing: platform_api.Listing) -> None:
         self.views.update_list(
             listings.ListEntry(
                 instance.address, instance.data_centre, instance.state
@@ -156,7 +156,7 @@
             if instance.kind == "entry"
         )
 
-    def _changed(self, change: trees.Change) -> None:
+    def _on_change(self, change: trees.Change) -> None:
         match paths.parse(change.path):
             case paths.TreePath("workspaces" | "defaults"):
                 self._update_rates()
--- a/tests/entry/test_failures.py
+++ b/tests/entry/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of real processes, judged by what callers receive."""
+"""Failures of real processes, checked by the responses that callers get."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 from tests.fakes import processes
 
-# Longer than any lease of the system.
+# Longer than any lease lasts.
 LONG_PAUSE_SECONDS = 6.0
 
 
 @pytest.fixture
 def fleet(tmp_path):
-    """Start a fleet that the test may ruin."""
+    """Start processes that the test may kill."""
     fleet = processes.Fleet(tmp_path)
     try:
         yield fleet.start()
@@ -27,8 +27,8 @@
 
 
 @pytest.fixture(scope="module")
-def kept(tmp_path_factory):
-    """Start a fleet that the tests leave as they found it."""
+def shared_fleet(tmp_path_factory):
+    """Start processes that the tests share and must leave running."""
     fleet = processes.Fleet(tmp_path_factory.mktemp("kept"))
     try:
         yield fleet.start()
@@ -37,7 +37,7 @@
 
 
 class Stream(threading.Thread):
-    """A caller that streams one long answer, beside the test."""
+    """A caller that streams one long answer in a thread of its own."""
 
     def __init__(self, fleet, entry, model, tokens=300):
         super().__init__(daemon=True)
@@ -71,47 +71,49 @@
     return [f"quadro/{model}:{number}" for number in range(tokens)]
 
 
-def served(fleet):
+def load_reports(fleet):
     return [
         processes.call(address, "/v1/load").json() for address in fleet.engines
     ]
 
 
-def busy(fleet):
-    reports = zip(fleet.engines, served(fleet), strict=True)
+def busy_engines(fleet):
+    reports = zip(fleet.engines, load_reports(fleet), strict=True)
     return [address for address, report in reports if report["running"]]
 
 
-def broken(entry):
+def broken_attempts(entry):
     lines = entry.metrics().splitlines()
     name = "boragefold_attempts_broken_total{"
     return sum(float(x.split()[-1]) for x in lines if x.startswith(name))
 
 
-def faults(address, **faults):
+def set_faults(address, **faults):
     processes.call(address, "/control/faults", body=faults, method="PUT")
 
 
-def serves(fleet, entry, model):
+def wait_until_served(fleet, entry, model):
     return processes.eventually(lambda: fleet.chat(entry, model).status == 200)
 
 
 def test_a_killed_instance_leaves_its_data_centre_served(fleet):
-    # Callers of a killed instance's data centre must still be served.
-    serves(fleet, fleet.entries[0], fleet.adapter())
+    # Callers of a data centre must still be served after an instance was
+    # killed there.
+    wait_until_served(fleet, fleet.entries[0], fleet.adapter())
     fleet.entries[0].signal(signal.SIGKILL)
     fleet.entries = fleet.entries[1:]
     fleet.publish_list()
     for number in range(4):
-        serves(fleet, fleet.entries[0], fleet.adapter(number))
-    assert not any(report["evicted_in_use"] for report in served(fleet))
+        wait_until_served(fleet, fleet.entries[0], fleet.adapter(number))
+    assert not any(report["evicted_in_use"] for report in load_reports(fleet))
 
 
-def test_a_paused_instance_wakes_without_its_rights(kept):
-    # An instance paused for longer than its leases must not use them.
-    fleet = kept
+def test_a_paused_instance_wakes_without_its_rights(shared_fleet):
+    # An instance that was paused for longer than its leases last must not use
+    # them when it continues.
+    fleet = shared_fleet
     entry = fleet.entries[0]
-    serves(fleet, entry, fleet.adapter())
+    wait_until_served(fleet, entry, fleet.adapter())
     entry.signal(signal.SIGSTOP)
     time.sleep(LONG_PAUSE_SECONDS)
     entry.signal(signal.SIGCONT)
@@ -121,13 +123,13 @@
         for each in fleet.entries[:2]
     ]
     assert views[0][1:3] >= views[1][1:3]
-    serves(fleet, entry, fleet.adapter(1))
+    wait_until_served(fleet, entry, fleet.adapter(1))
 
 
 def test_a_planned_stop_cuts_off_no_stream(fleet):
-    # A planned stop must not cut off a stream, even when signalled twice.
+    # A planned stop must not cut off a stream, even after a second signal.
     entry = fleet.entries[0]
-    serves(fleet, entry, fleet.adapter())
+    wait_until_served(fleet, entry, fleet.adapter())
     stream = Stream(fleet, entry, fleet.adapter())
     processes.eventually(lambda: entry.status()["open_chats"] == 1)
     entry.signal(signal.SIGTERM)
@@ -138,11 +140,11 @@
     assert entry.process.wait(processes.START_SECONDS) == 0
 
 
-def test_a_withdrawn_key_stops_working_on_open_streams(kept):
-    # A withdrawn key must stop its open streams and further requests.
-    fleet = kept
+def test_a_withdrawn_key_stops_working_on_open_streams(shared_fleet):
+    # Withdrawing a key must end its open streams and refuse new requests.
+    fleet = shared_fleet
     entry, model = fleet.entries[0], fleet.adapter()
-    serves(fleet, entry, model)
+    wait_until_served(fleet, entry, model)
     stream = Stream(fleet, entry, model, tokens=1000)
     processes.eventually(lambda: entry.status()["open_chats"] == 1)
     keys = fleet.example.tree["teams/quadro/keys"]
@@ -157,7 +159,7 @@
     stream.join(20)
     fleet.publish("teams/quadro/keys", keys)
     assert stream.reply is None or b"[DONE]" not in stream.reply.body
-    serves(fleet, entry, model)
+    wait_until_served(fleet, entry, model)
 
 
 @pytest.mark.parametrize(
@@ -165,51 +167,54 @@
     [{"restart": True}, {"truncate_after_tokens": 150}],
     ids=["engine restarts empty", "engine cuts the answer"],
 )
-def test_a_broken_stream_resumes_at_the_right_token(kept, fault):
-    # A stream that an engine breaks off must reach its caller whole and once.
-    fleet = kept
+def test_a_broken_stream_resumes_at_the_right_token(shared_fleet, fault):
+    # When an engine breaks off a stream, the caller must still receive every
+    # token exactly once.
+    fleet = shared_fleet
     entry, model = fleet.entries[0], fleet.adapter()
-    serves(fleet, entry, model)
-    before = broken(entry)
+    wait_until_served(fleet, entry, model)
+    before = broken_attempts(entry)
     stream = Stream(fleet, entry, model)
-    serving = processes.eventually(lambda: busy(fleet))[0]
-    faults(serving, **fault)
-    processes.eventually(lambda: broken(entry) > before)
-    faults(serving)
+    serving = processes.eventually(lambda: busy_engines(fleet))[0]
+    set_faults(serving, **fault)
+    processes.eventually(lambda: broken_attempts(entry) > before)
+    set_faults(serving)
     assert stream.tokens() == expected(model)
 
 
-def test_a_leaving_endpoint_gets_no_new_work(kept):
-    # An endpoint is marked leaving in the platform's list only.
-    fleet = kept
+def test_a_leaving_endpoint_gets_no_new_work(shared_fleet):
+    # The platform's list is the only place that marks an endpoint as leaving;
+    # instances must send it no new requests.
+    fleet = shared_fleet
     entry, model = fleet.entries[0], fleet.adapter()
     leaving, staying = fleet.engines
-    serves(fleet, entry, model)
+    wait_until_served(fleet, entry, model)
     fleet.publish_list(leaving=(leaving,))
 
     def moved():
-        before = served(fleet)
+        before = load_reports(fleet)
         assert fleet.chat(entry, model).status == 200
-        after = served(fleet)
+        after = load_reports(fleet)
         return after[0]["served"] == before[0]["served"]
 
     processes.eventually(moved)
-    before = served(fleet)[0]["served"]
+    before = load_reports(fleet)[0]["served"]
     assert all(fleet.chat(entry, model).status == 200 for _ in range(10))
-    assert served(fleet)[0]["served"] == before
+    assert load_reports(fleet)[0]["served"] == before
     fleet.publish_list()
 
 
 def test_the_fleet_serves_on_without_the_platform(fleet):
-    # Without the configuration service instances must serve on, and start.
-    serves(fleet, fleet.entries[0], fleet.adapter())
+    # Instances must go on serving while the configuration service is down.
+    wait_until_served(fleet, fleet.entries[0], fleet.adapter())
     fleet.processes[0].kill()
     fleet.processes[0].wait()
-    serves(fleet, fleet.entries[1], fleet.adapter(1))
+    wait_until_served(fleet, fleet.entries[1], fleet.adapter(1))
 
 
 def test_a_payout_without_an_answer_is_unknown_and_never_repeated(fleet):
-    # A payout without an answer must never be repeated.
+    # A non-idempotent request that was sent and not answered must never be
+    # sent again, by any instance.
     first = fleet.entries[0]
     ticket = processes.call(
         first.address, "/v1/tickets", key=fleet.key, method="POST"
