--- a/src/boragefold/entry/engine_asker.py
+++ b/src/boragefold/entry/engine_asker.py
@@ -230,14 +230,14 @@
         body = messages.EngineAsk(
             request_id=ask.request_id,
             engine=pending.engine,
-            model=ask.needs.model,
-            adapter=ask.needs.adapter,
+            model=ask.adapter.model,
+            adapter=ask.adapter.adapter,
             prompt_tokens=ask.prompt_tokens,
             output_tokens=ask.output_tokens,
             priority=ask.priority,
-            on_time_in_seconds=ask.on_time_by_seconds - now_seconds,
-            give_up_in_seconds=ask.give_up_at_seconds - now_seconds,
-            ends_in_seconds=ask.ends_by_seconds - now_seconds,
+            on_time_in_seconds=ask.start_deadline_seconds - now_seconds,
+            give_up_in_seconds=ask.queue_deadline_seconds - now_seconds,
+            ends_in_seconds=ask.end_deadline_seconds - now_seconds,
             unanswered=pending.unanswered,
             eager=ask.eager,
             event_gap_seconds=ask.event_gap_seconds,
@@ -256,9 +256,9 @@
             return
         self._granted[body.request_id] = sender
         waits = engine_decisions.QueueTimes(
-            place_seconds=body.place_wait_seconds,
+            slot_seconds=body.place_wait_seconds,
             load_seconds=body.load_wait_seconds,
-            turn_seconds=body.turn_wait_seconds,
+            capacity_seconds=body.turn_wait_seconds,
         )
         pending.asker.granted(body.engine, body.version, waits)
 
--- a/src/boragefold/entry/engine_forwarding.py
+++ b/src/boragefold/entry/engine_forwarding.py
@@ -160,9 +160,9 @@
         return {
             "prompt_tokens": self.admitted.request.prompt_tokens,
             "asks": len(self._tried),
-            "place_wait_seconds": round(waits.place_seconds, 4),
+            "place_wait_seconds": round(waits.slot_seconds, 4),
             "load_wait_seconds": round(waits.load_seconds, 4),
-            "turn_wait_seconds": round(waits.turn_seconds, 4),
+            "turn_wait_seconds": round(waits.capacity_seconds, 4),
         }
 
     def attempt_answering(self) -> None:
@@ -235,13 +235,13 @@
         return engine_decisions.EngineRequest(
             request_id=admitted.request.request_id,
             sender=self._self_id,
-            needs=self._needs,
+            adapter=self._needs,
             prompt_tokens=admitted.request.prompt_tokens,
             output_tokens=admitted.request.output_tokens,
             priority=priority,
-            on_time_by_seconds=self._start_deadline_seconds(),
-            give_up_at_seconds=self._queue_deadline_seconds(),
-            ends_by_seconds=self.ends_at_seconds + END_MARGIN_SECONDS,
+            start_deadline_seconds=self._start_deadline_seconds(),
+            queue_deadline_seconds=self._queue_deadline_seconds(),
+            end_deadline_seconds=self.ends_at_seconds + END_MARGIN_SECONDS,
             eager=eager,
             event_gap_seconds=admitted.route.event_gap_seconds,
         )
--- a/src/boragefold/entry/engine_owner.py
+++ b/src/boragefold/entry/engine_owner.py
@@ -164,7 +164,7 @@
         """
         now_seconds = self._timers.now_seconds()
         for name, engine in list(self._owned.items()):
-            withdrawn = engine.schedule.withdraw_where(
+            withdrawn = engine.schedule.remove_where(
                 lambda ask: ask.sender == peer, now_seconds=now_seconds
             )
             if withdrawn:
@@ -228,17 +228,17 @@
                 started_at_seconds=self._started_at_seconds,
             ),
         )
-        places = engine_slots.EngineSlots(
+        adapter_slots = engine_slots.EngineSlots(
             engine=engine,
-            newest=self._fleet.versions,
+            newest_versions=self._fleet.versions,
             loads_elsewhere=lambda: self._loads_on_other_engines(record.name),
-            engines=lambda: self._engines,
-            giver=self._giver,
+            count_engines=lambda: self._engines,
+            issuer=self._giver,
         )
         self._owned[record.name] = owned_engine.OwnedEngine(
             record=record,
             schedule=engine_schedule.EngineSchedule(
-                engine=engine, places=places
+                engine=engine, adapter_slots=adapter_slots
             ),
             turns=turns,
             lease=self._leases.lease(
@@ -257,7 +257,7 @@
     def _loads_on_other_engines(self, name: str) -> int:
         now_seconds = self._timers.now_seconds()
         own = sum(
-            engine.schedule.places.loading(now_seconds=now_seconds)
+            engine.schedule.adapter_slots.loading(now_seconds=now_seconds)
             for other, engine in self._owned.items()
             if other != name
         )
@@ -276,12 +276,12 @@
                 body.engine, engine_decisions.Refusal(ask, "not_owner", 0.0)
             )
             return
-        granted = owned.schedule.granted(ask.request_id)
+        granted = owned.schedule.find_grant(ask.request_id)
         if granted is not None:
             # The request is repeated since the reply was lost.
             self._reply(body.engine, granted)
             return
-        refusal = owned.schedule.offer(
+        refusal = owned.schedule.submit(
             ask, now_seconds=self._timers.now_seconds()
         )
         if refusal is not None:
@@ -296,7 +296,7 @@
     ) -> None:
         owned = self._owned.get(body.engine)
         if owned is not None:
-            owned.schedule.started(
+            owned.schedule.record_start(
                 body.request_id, now_seconds=self._timers.now_seconds()
             )
             self._run_engine(body.engine)
@@ -307,23 +307,23 @@
         owned = self._owned.get(body.engine)
         if owned is None:
             return
-        granted = owned.schedule.granted(body.request_id)
-        owned.schedule.withdraw(
+        granted = owned.schedule.find_grant(body.request_id)
+        owned.schedule.remove(
             body.request_id, now_seconds=self._timers.now_seconds()
         )
         if body.not_held and granted is not None:
-            owned.refused(granted.ask.needs)
+            owned.refused(granted.request.adapter)
         self._run_engine(body.engine)
 
     def _reply(self, engine: str, action: engine_decisions.Action) -> None:
         if isinstance(action, engine_decisions.Grant):
             self._link.send(
-                to=action.ask.sender,
+                to=action.request.sender,
                 body=messages.EngineGrant(
-                    action.ask.request_id,
+                    action.request.request_id,
                     engine,
                     action.version,
-                    *action.waits,
+                    *action.queue_times,
                 ),
             )
         elif isinstance(action, engine_decisions.Refusal):
@@ -332,9 +332,9 @@
                 # The requesting instance logs where the request went instead.
                 self._log_refusal(engine, action)
             self._link.send(
-                to=action.ask.sender,
+                to=action.request.sender,
                 body=messages.EngineRefusal(
-                    action.ask.request_id,
+                    action.request.request_id,
                     engine,
                     action.reason,
                     action.retry_after_seconds,
@@ -349,9 +349,9 @@
         state = {} if owned is None else owned.schedule.summary()
         self._log.write(
             "engine_turned_away",
-            request_id=action.ask.request_id,
+            request_id=action.request.request_id,
             engine=engine,
-            adapter=action.ask.needs.adapter,
+            adapter=action.request.adapter.adapter,
             reason=action.reason,
             **state,
         )
@@ -363,13 +363,13 @@
         return engine_decisions.EngineRequest(
             request_id=body.request_id,
             sender=sender,
-            needs=deployment.AdapterKey(body.model, body.adapter),
+            adapter=deployment.AdapterKey(body.model, body.adapter),
             prompt_tokens=body.prompt_tokens,
             output_tokens=body.output_tokens,
             priority=body.priority,
-            on_time_by_seconds=now_seconds + body.on_time_in_seconds,
-            give_up_at_seconds=now_seconds + body.give_up_in_seconds,
-            ends_by_seconds=now_seconds + body.ends_in_seconds,
+            start_deadline_seconds=now_seconds + body.on_time_in_seconds,
+            queue_deadline_seconds=now_seconds + body.give_up_in_seconds,
+            end_deadline_seconds=now_seconds + body.ends_in_seconds,
             eager=body.eager,
             event_gap_seconds=body.event_gap_seconds,
         )
@@ -403,16 +403,18 @@
 def _status(
     name: str, schedule: engine_schedule.EngineSchedule, now_seconds: float
 ) -> messages.EngineStatus:
-    places = schedule.places
+    adapter_slots = schedule.adapter_slots
     return messages.EngineStatus(
         name=name,
-        models=places.models(),
-        adapters=tuple((key.model, key.adapter) for key in places.held()),
+        models=adapter_slots.models(),
+        adapters=tuple(
+            (key.model, key.adapter) for key in adapter_slots.held()
+        ),
         backlog_seconds=_round_up(schedule.backlog_seconds()),
-        place_wait_seconds=_round_up(schedule.place_wait_seconds()),
-        loading=places.loading(now_seconds=now_seconds),
-        orders_in_seconds=_round_up(places.orders_in_seconds),
-        copies=adapter_digests.digests(places.copies()),
+        place_wait_seconds=_round_up(schedule.slot_wait_seconds()),
+        loading=adapter_slots.loading(now_seconds=now_seconds),
+        orders_in_seconds=_round_up(adapter_slots.orders_in_seconds),
+        copies=adapter_digests.digests(adapter_slots.host_memory_copies()),
     )
 
 
--- a/src/boragefold/entry/owned_engine.py
+++ b/src/boragefold/entry/owned_engine.py
@@ -113,7 +113,7 @@
         if restarted:
             # The restarted engine may be loading its model already. A load
             # that is ordered again before a report shows it isn't counted.
-            self.schedule.places.learn(
+            self.schedule.adapter_slots.apply_report(
                 {}, {}, now_seconds=self._timers.now_seconds(), busy=True
             )
             self.ask_report()
@@ -124,7 +124,7 @@
         :return: grants and refusals for requests
         """
         now_seconds = self._timers.now_seconds()
-        wants_order = self.schedule.wants_order()
+        wants_order = self.schedule.needs_order()
         if wants_order and not self._stopped:
             self._lease.want()
         self._turns.listen_since(self._lease.others_until_seconds())
@@ -138,14 +138,16 @@
             and not self.record.leaving
         )
         confirmed = self._turns.confirmed(now_seconds=now_seconds)
-        self.schedule.places.may_order = may_order and confirmed
-        self.schedule.places.orders_in_seconds = max(
+        self.schedule.adapter_slots.may_order = may_order and confirmed
+        self.schedule.adapter_slots.orders_in_seconds = max(
             self._turns.orders_in_seconds(now_seconds=now_seconds),
             self._lease.wait_seconds(now_seconds=now_seconds),
         )
         elapsed_seconds = now_seconds - self._asked_report_at_seconds
         if elapsed_seconds >= MIN_REPORT_INTERVAL_SECONDS and (
-            self.schedule.places.overdue(now_seconds=now_seconds)
+            self.schedule.adapter_slots.has_overdue_load(
+                now_seconds=now_seconds
+            )
             or (may_order and not confirmed and wants_order)
             or self._needs_report(elapsed_seconds)
         ):
@@ -176,7 +178,9 @@
         :param key: the adapter or model
         """
         now_seconds = self._timers.now_seconds()
-        self.schedule.places.not_there(key, now_seconds=now_seconds)
+        self.schedule.adapter_slots.record_missing(
+            key, now_seconds=now_seconds
+        )
         self.ask_report()
 
     def ask_report(self) -> None:
@@ -225,7 +229,7 @@
             believed=believed,
             born_milliseconds=report.counted.born_milliseconds,
             age_seconds=round(age_seconds, 3),
-            adapters=len(self.schedule.places.held()),
+            adapters=len(self.schedule.adapter_slots.held()),
             coming=len(report.coming),
             busy=report.busy,
             other_giver=other_giver_seen,
@@ -244,11 +248,13 @@
     def _apply_report(
         self, report: dialects.EngineReport, now_seconds: float
     ) -> None:
-        places = self.schedule.places
+        adapter_slots = self.schedule.adapter_slots
         if report.counted.orders != self._turns.expected:
-            places.learn_former(report.held, count=report.counted.orders)
+            adapter_slots.apply_old_report(
+                report.held, count=report.counted.orders
+            )
             return
-        places.learn(
+        adapter_slots.apply_report(
             report.held,
             report.coming,
             now_seconds=now_seconds,
@@ -341,7 +347,7 @@
             fence=sent.fence,
             leased=sent.leased,
             took_seconds=round(now_seconds - sent.order_sent_at_seconds, 3),
-            places=self.schedule.places.summary(),
+            places=self.schedule.adapter_slots.summary(),
             status=_status_of(answer),
             outcome=outcome,
         )
@@ -353,7 +359,7 @@
                 age_seconds=now_seconds - sent.order_sent_at_seconds,
                 now_seconds=now_seconds,
             )
-            self.schedule.places.ordered(
+            self.schedule.adapter_slots.record_order(
                 order,
                 done=done,
                 now_seconds=now_seconds,
@@ -380,7 +386,9 @@
             self._turns.unsent()
         else:
             self._turns.refused(now_seconds=now_seconds)
-        self.schedule.places.order_failed(now_seconds=now_seconds)
+        self.schedule.adapter_slots.record_failed_order(
+            now_seconds=now_seconds
+        )
         self._schedule_report(order_turns.REPORT_LAG_SECONDS)
 
     def _outcome(
--- a/src/boragefold/policy/adapter_slots.py
+++ b/src/boragefold/policy/adapter_slots.py
@@ -16,25 +16,25 @@
 
     ``confirmed`` is set once a report or an answer showed the adapter in the
     slot. ``warm`` is set while the load is assumed to come from the engine's
-    own memory rather than the weight store. ``count`` is the engine's count
-    of accepted orders after the load. While ``replaces`` is set, the engine
-    may hold an older version of the adapter too.
+    own memory rather than the weight store. ``order_count`` is the engine's
+    count of accepted orders after the load. While ``replaces`` is set, the
+    engine may hold an older version of the adapter too.
     """
 
     version: int
     ready_at_seconds: float
-    count: int = 0
+    order_count: int = 0
     confirmed: bool = False
-    running: int = 0
-    leaving: bool = False
+    running_requests: int = 0
+    unloading: bool = False
     warm: bool = False
     replaces: bool = False
 
 
-def learned(
+def from_report(
     before: Mapping[AdapterKey, AdapterSlot],
     held: Mapping[str, Mapping[str, int]],
-    coming: Mapping[AdapterKey, int],
+    loading: Mapping[AdapterKey, int],
     *,
     now_seconds: float,
 ) -> dict[AdapterKey, AdapterSlot]:
@@ -42,23 +42,23 @@
 
     :param before: the slots as known before the report
     :param held: versions by adapter by model
-    :param coming: versions of the adapters that are being loaded
+    :param loading: versions of the adapters that are being loaded
     :param now_seconds: reading of the process clock
     :return: the slots by adapter
     """
     present = _flatten(held)
     slots = {}
-    for key, version in {**present, **coming}.items():
+    for key, version in {**present, **loading}.items():
         slot = before.get(key)
         if slot is None or slot.version not in (0, version):
             slot = _new_slot(slot, version, now_seconds)
-        slot.confirmed = key not in coming
-        slot.replaces = key in coming and key in present
+        slot.confirmed = key not in loading
+        slot.replaces = key in loading and key in present
         slots[key] = slot
     return slots
 
 
-def confirm_former(
+def confirm_from_older_report(
     slots: Mapping[AdapterKey, AdapterSlot],
     held: Mapping[str, Mapping[str, int]],
     *,
@@ -73,7 +73,7 @@
     present = _flatten(held)
     for key, slot in slots.items():
         seen = slot.version in (0, present.get(key, -1))
-        if slot.count <= count and key in present and seen:
+        if slot.order_count <= count and key in present and seen:
             slot.confirmed = True
             slot.replaces = False
 
@@ -84,7 +84,7 @@
     return AdapterSlot(
         version=version,
         ready_at_seconds=ready_at_seconds,
-        running=0 if before is None else before.running,
+        running_requests=0 if before is None else before.running_requests,
     )
 
 
@@ -100,6 +100,6 @@
 
 __all__ = [
     "AdapterSlot",
-    "confirm_former",
-    "learned",
+    "confirm_from_older_report",
+    "from_report",
 ]
--- a/src/boragefold/policy/engine_decisions.py
+++ b/src/boragefold/policy/engine_decisions.py
@@ -15,8 +15,9 @@
     """A request that is to run on an engine.
 
     Times are readings of the process clock: the response is on time if it
-    starts by ``on_time_by_seconds``, the request is dropped from the queue at
-    ``give_up_at_seconds``, and it has certainly ended by ``ends_by_seconds``.
+    starts by ``start_deadline_seconds``, the request is dropped from the queue
+    at ``queue_deadline_seconds``, and it has certainly ended by
+    ``end_deadline_seconds``.
     ``sender`` is the instance that forwards it to the engine; a lower
     ``priority`` is more urgent. An ``eager`` request is refused at once if it
     would start late, so that the sender can try another engine.
@@ -26,13 +27,13 @@
 
     request_id: str
     sender: ids.InstanceId
-    needs: deployment.AdapterKey
+    adapter: deployment.AdapterKey
     prompt_tokens: int
     output_tokens: int
     priority: int
-    on_time_by_seconds: float
-    give_up_at_seconds: float
-    ends_by_seconds: float
+    start_deadline_seconds: float
+    queue_deadline_seconds: float
+    end_deadline_seconds: float
     eager: bool = False
     event_gap_seconds: float = 0.0
 
@@ -48,22 +49,22 @@
 class QueueTimes(NamedTuple):
     """Times that a request spent in the queue of an engine, in this order.
 
-    ``place_seconds`` until the load of its adapter was ordered,
-    ``load_seconds`` until the adapter was loaded, ``turn_seconds`` until the
-    engine had capacity for the request.
+    ``slot_seconds`` until the load of its adapter was ordered,
+    ``load_seconds`` until the adapter was loaded, ``capacity_seconds`` until
+    the engine had capacity for the request.
     """
 
-    place_seconds: float = 0.0
+    slot_seconds: float = 0.0
     load_seconds: float = 0.0
-    turn_seconds: float = 0.0
+    capacity_seconds: float = 0.0
 
 
 class Grant(NamedTuple):
     """The request may be sent now, with this version of its adapter."""
 
-    ask: EngineRequest
+    request: EngineRequest
     version: int
-    waits: QueueTimes = QueueTimes()
+    queue_times: QueueTimes = QueueTimes()
 
 
 class Refusal(NamedTuple):
@@ -72,7 +73,7 @@
     ``wait_seconds`` is the estimated wait of an eager request here.
     """
 
-    ask: EngineRequest
+    request: EngineRequest
     reason: str
     retry_after_seconds: float
     wait_seconds: float = 0.0
--- a/src/boragefold/policy/engine_schedule.py
+++ b/src/boragefold/policy/engine_schedule.py
@@ -49,10 +49,13 @@
     """The queue, the running requests and the adapters of one engine."""
 
     def __init__(
-        self, *, engine: deployment.Engine, places: engine_slots.EngineSlots
+        self,
+        *,
+        engine: deployment.Engine,
+        adapter_slots: engine_slots.EngineSlots,
     ) -> None:
         self.engine = engine
-        self.places = places
+        self.adapter_slots = adapter_slots
         # How long a request is queued before a load is ordered for it.
         self.order_delay_seconds = 0.0
         self._queue: dict[str, QueuedRequest] = {}
@@ -86,13 +89,15 @@
         return {
             "queued": len(self._queue),
             "running": len(self._runs),
-            "unstarted_tokens": self._runs.unstarted().tokens,
+            "unstarted_tokens": self._runs.pending_prompts().tokens,
             "fixed_seconds": round(self._speed.fixed_seconds, 3),
             "tokens_per_second": round(self._speed.tokens_per_second),
             "backlog_seconds": round(self.backlog_seconds(), 3),
-            "place_wait_seconds": round(self.place_wait_seconds(), 3),
-            "orders_in_seconds": round(self.places.orders_in_seconds, 3),
-            "places": self.places.summary(),
+            "place_wait_seconds": round(self.slot_wait_seconds(), 3),
+            "orders_in_seconds": round(
+                self.adapter_slots.orders_in_seconds, 3
+            ),
+            "places": self.adapter_slots.summary(),
         }
 
     def backlog_seconds(self) -> float:
@@ -104,98 +109,106 @@
         # prefilled when they have one: counted here, they would send requests
         # of loaded adapters to other engines, where each takes a further slot.
         soon = self._adapters_with_slots()
-        waiting = (ask for ask in self._queued_requests() if ask.needs in soon)
+        waiting = (
+            request
+            for request in self._queued_requests()
+            if request.adapter in soon
+        )
         return self._prefill_seconds(
-            self._runs.unstarted(), request_states.total_prompts(waiting)
+            self._runs.pending_prompts(), request_states.total_prompts(waiting)
         )
 
-    def place_wait_seconds(self) -> float:
+    def slot_wait_seconds(self) -> float:
         """Estimate how long an adapter that isn't loaded waits for a slot.
 
         :return: seconds; 0 if a slot is empty or its adapter idle
         """
-        return self._slot_wait_seconds(self._adapters_without_slot())
+        return self._estimate_slot_wait_seconds(self._adapters_without_slot())
 
-    def offer(
-        self, ask: EngineRequest, *, now_seconds: float
+    def submit(
+        self, request: EngineRequest, *, now_seconds: float
     ) -> engine_decisions.Refusal | None:
         """Queue a request unless it would start too late.
 
-        :param ask: the request
+        :param request: the request
         :param now_seconds: reading of the process clock
         :return: the refusal; None if the request is queued
         """
-        if ask.request_id in self._queue:
+        if request.request_id in self._queue:
             # Senders retry in case a message was lost; the request keeps its
             # position in the queue.
             return None
         waiting = QueuedRequest(
-            ask=ask, turn=next(self._arrivals), since_seconds=now_seconds
+            request=request,
+            arrival_number=next(self._arrivals),
+            queued_at_seconds=now_seconds,
         )
-        if ask.eager and self._would_be_late(waiting, now_seconds):
+        if request.eager and self._would_be_late(waiting, now_seconds):
             wait_seconds = self._wait_seconds(waiting, now_seconds)
             return engine_decisions.Refusal(
-                ask=ask,
+                request=request,
                 reason=BUSY,
                 retry_after_seconds=0.0,
                 wait_seconds=wait_seconds,
             )
         excess_seconds = self._excess_seconds(waiting, now_seconds)
         if excess_seconds > 0:
-            return self._refusal(ask, excess_seconds)
-        self._queue[ask.request_id] = waiting
+            return self._refusal(request, excess_seconds)
+        self._queue[request.request_id] = waiting
         return None
 
-    def granted(self, request_id: str) -> engine_decisions.Grant | None:
+    def find_grant(self, request_id: str) -> engine_decisions.Grant | None:
         """Look up the grant of a running request, to send it again.
 
         :param request_id: id of the request
         :return: the grant; None if the request is queued or unknown
         """
-        ask = self._runs.find(request_id)
-        if ask is None:
+        request = self._runs.find(request_id)
+        if request is None:
             return None
-        version = self.places.version(ask.needs)
-        return engine_decisions.Grant(ask=ask, version=version)
+        version = self.adapter_slots.version(request.adapter)
+        return engine_decisions.Grant(request=request, version=version)
 
-    def withdraw(self, request_id: str, *, now_seconds: float) -> None:
+    def remove(self, request_id: str, *, now_seconds: float) -> None:
         """Remove a request that has ended or was cancelled.
 
         :param request_id: id of the request
         :param now_seconds: reading of the process clock
         """
         self._queue.pop(request_id, None)
-        ask = self._runs.end(request_id, now_seconds=now_seconds)
-        if ask is not None:
-            self.places.leave(ask.needs, now_seconds=now_seconds)
+        request = self._runs.end(request_id, now_seconds=now_seconds)
+        if request is not None:
+            self.adapter_slots.record_end(
+                request.adapter, now_seconds=now_seconds
+            )
 
-    def withdraw_where(
-        self, gone: Callable[[EngineRequest], bool], *, now_seconds: float
+    def remove_where(
+        self, matches: Callable[[EngineRequest], bool], *, now_seconds: float
     ) -> int:
         """Remove the requests of an instance that has stopped.
 
-        :param gone: tells whether a request came from it
+        :param matches: tells whether a request came from it
         :param now_seconds: reading of the process clock
         :return: how many were removed
         """
-        asks = [
+        requests = [
             *self._queued_requests(),
-            *self._runs.asks(),
+            *self._runs.requests(),
         ]
-        lost = list(filter(gone, asks))
-        for ask in lost:
-            self.withdraw(ask.request_id, now_seconds=now_seconds)
+        lost = list(filter(matches, requests))
+        for request in lost:
+            self.remove(request.request_id, now_seconds=now_seconds)
         return len(lost)
 
-    def started(self, request_id: str, *, now_seconds: float) -> None:
+    def record_start(self, request_id: str, *, now_seconds: float) -> None:
         """Record the first event of a response.
 
         :param request_id: id of the request
         :param now_seconds: reading of the process clock
         """
-        ask = self._runs.started(request_id, now_seconds=now_seconds)
-        if ask is not None:
-            self.places.confirm(ask.needs)
+        request = self._runs.record_start(request_id, now_seconds=now_seconds)
+        if request is not None:
+            self.adapter_slots.confirm_loaded(request.adapter)
 
     def advance(self, *, now_seconds: float) -> list[Action]:
         """Make the decisions that are due; call it after each event as well.
@@ -209,29 +222,32 @@
         actions.extend(self._shed(by_urgency, now_seconds))
         self._record_progress(now_seconds)
         ready = (
-            ask
-            for ask in self._still_queued(by_urgency)
-            if self.places.ready(ask.needs, now_seconds=now_seconds)
+            request
+            for request in self._still_queued(by_urgency)
+            if self.adapter_slots.is_ready(
+                request.adapter, now_seconds=now_seconds
+            )
         )
-        for ask in ready:
+        for request in ready:
             # Requests behind one that doesn't fit wait too: if shorter ones
             # could pass it, a long prompt would starve.
-            if not self._runs.has_room(ask):
+            if not self._runs.has_room(request):
                 break
-            actions.append(self._grant(ask, now_seconds))
+            actions.append(self._grant(request, now_seconds))
         order = self._next_order(by_urgency, now_seconds)
         return actions if order is None else [*actions, order]
 
-    def wants_order(self) -> bool:
+    def needs_order(self) -> bool:
         """Check whether the engine lacks an adapter, whoever may order it.
 
         :return: whether a queued request needs an adapter that isn't loaded,
             or a newer version of a loaded one was published
         """
         lacking = any(
-            not self.places.holds(ask.needs) for ask in self._queued_requests()
+            not self.adapter_slots.holds(request.adapter)
+            for request in self._queued_requests()
         )
-        return lacking or self.places.outdated() is not None
+        return lacking or self.adapter_slots.outdated() is not None
 
     def next_due_seconds(self, *, now_seconds: float) -> float | None:
         """Compute when :meth:`advance` has to be called at the latest.
@@ -241,37 +257,42 @@
         """
         if not self._queue:
             return None
-        expiries = (ask.give_up_at_seconds for ask in self._queued_requests())
-        dues = self.places.dues(now_seconds=now_seconds)
+        expiries = (
+            request.queue_deadline_seconds
+            for request in self._queued_requests()
+        )
+        dues = self.adapter_slots.due_times(now_seconds=now_seconds)
         return min(itertools.chain(expiries, dues))
 
     def _next_order(
         self, by_urgency: Iterable[QueuedRequest], now_seconds: float
     ) -> engine_decisions.Order | None:
         latest_seconds = now_seconds - self.order_delay_seconds
-        unplaced = [
-            waiting.ask
+        awaiting_slot = [
+            waiting.request
             for waiting in by_urgency
-            if waiting.ask.request_id in self._queue
-            and waiting.since_seconds <= latest_seconds
-            and not self.places.holds(waiting.ask.needs)
+            if waiting.request.request_id in self._queue
+            and waiting.queued_at_seconds <= latest_seconds
+            and not self.adapter_slots.holds(waiting.request.adapter)
         ]
-        return self.places.next_order(
-            unplaced,
+        return self.adapter_slots.next_order(
+            awaiting_slot,
             self._queued_by_adapter(),
             now_seconds=now_seconds,
-            renews=not self.order_delay_seconds,
+            update_loaded=not self.order_delay_seconds,
         )
 
     def _queued_requests(self) -> Iterator[EngineRequest]:
-        return (waiting.ask for waiting in self._queue.values())
+        return (waiting.request for waiting in self._queue.values())
 
     def _record_progress(self, now_seconds: float) -> None:
         for waiting in self._queue.values():
-            needs = waiting.ask.needs
-            waiting.note(
-                placed=self.places.holds(needs),
-                ready=self.places.ready(needs, now_seconds=now_seconds),
+            adapter = waiting.request.adapter
+            waiting.record_progress(
+                placed=self.adapter_slots.holds(adapter),
+                ready=self.adapter_slots.is_ready(
+                    adapter, now_seconds=now_seconds
+                ),
                 now_seconds=now_seconds,
             )
 
@@ -285,9 +306,9 @@
         self, by_urgency: Iterable[QueuedRequest]
     ) -> Iterator[EngineRequest]:
         return (
-            waiting.ask
+            waiting.request
             for waiting in by_urgency
-            if waiting.ask.request_id in self._queue
+            if waiting.request.request_id in self._queue
         )
 
     def _urgency(
@@ -296,36 +317,41 @@
         # Requests that can start on time go first. In overload the one that
         # waited longest is late already; if it went first, it would make each
         # of the others late in turn.
-        ask = waiting.ask
-        late = self._is_late(ask, now_seconds)
-        return (late, ask.priority, ask.on_time_by_seconds, waiting.turn)
+        request = waiting.request
+        late = self._is_late(request, now_seconds)
+        return (
+            late,
+            request.priority,
+            request.start_deadline_seconds,
+            waiting.arrival_number,
+        )
 
-    def _is_late(self, ask: EngineRequest, now_seconds: float) -> bool:
+    def _is_late(self, request: EngineRequest, now_seconds: float) -> bool:
         # A request whose adapter can't be loaded in time is late too: if it
         # got the next slot, one that could start on time would miss it.
         starts_at_seconds = (
             now_seconds
-            + self.places.until_ready_seconds(
-                ask.needs, now_seconds=now_seconds
+            + self.adapter_slots.until_ready_seconds(
+                request.adapter, now_seconds=now_seconds
             )
-            + self._speed.reading_seconds(ask.prompt_tokens)
+            + self._speed.prefill_seconds(request.prompt_tokens)
         )
-        return starts_at_seconds > ask.on_time_by_seconds
+        return starts_at_seconds > request.start_deadline_seconds
 
     def _excess_seconds(
         self, waiting: QueuedRequest, now_seconds: float
     ) -> float:
-        ask = waiting.ask
+        request = waiting.request
         wait_seconds = self._wait_seconds(waiting, now_seconds)
-        remaining_seconds = ask.give_up_at_seconds - now_seconds
+        remaining_seconds = request.queue_deadline_seconds - now_seconds
         excess_seconds = wait_seconds - MAX_WAIT_SHARE * remaining_seconds
-        reading_seconds = self._speed.reading_seconds(ask.prompt_tokens)
+        reading_seconds = self._speed.prefill_seconds(request.prompt_tokens)
         starts_at_seconds = now_seconds + wait_seconds + reading_seconds
-        if starts_at_seconds <= ask.on_time_by_seconds:
+        if starts_at_seconds <= request.start_deadline_seconds:
             return excess_seconds
         backlog_seconds = self.backlog_seconds()
-        if not self._has_slot(ask):
-            backlog_seconds = max(backlog_seconds, self.place_wait_seconds())
+        if not self._has_slot(request):
+            backlog_seconds = max(backlog_seconds, self.slot_wait_seconds())
         late_seconds = (
             backlog_seconds - MAX_LATE_WAIT_SHARE * remaining_seconds
         )
@@ -334,54 +360,54 @@
     def _would_be_late(
         self, waiting: QueuedRequest, now_seconds: float
     ) -> bool:
-        ask = waiting.ask
+        request = waiting.request
         # Other instances know the state of this engine as of half a second
         # ago; since then, the idle slot may be taken or a queue have formed.
-        held = self.places.holds(ask.needs)
-        if not held and not self.places.has_place_for(
+        held = self.adapter_slots.holds(request.adapter)
+        if not held and not self.adapter_slots.can_load_one_more(
             self._adapters_without_slot(),
             self._queued_by_adapter(),
             now_seconds=now_seconds,
         ):
             return True
         wait_seconds = self._wait_seconds(waiting, now_seconds)
-        reading_seconds = self._speed.reading_seconds(ask.prompt_tokens)
+        reading_seconds = self._speed.prefill_seconds(request.prompt_tokens)
         starts_at_seconds = now_seconds + wait_seconds + reading_seconds
-        return starts_at_seconds > ask.on_time_by_seconds
+        return starts_at_seconds > request.start_deadline_seconds
 
     def _wait_seconds(
         self, waiting: QueuedRequest, now_seconds: float
     ) -> float:
         urgency = self._urgency(waiting, now_seconds)
-        soon = self._adapters_with_slots() | {waiting.ask.needs}
+        soon = self._adapters_with_slots() | {waiting.request.adapter}
         ahead = (
-            other.ask
+            other.request
             for other in self._queue.values()
-            if other.ask.needs in soon
+            if other.request.adapter in soon
             and self._urgency(other, now_seconds) < urgency
         )
         wait_seconds = self._prefill_seconds(
-            self._runs.unstarted(), request_states.total_prompts(ahead)
+            self._runs.pending_prompts(), request_states.total_prompts(ahead)
         )
-        needs = waiting.ask.needs
-        slot_seconds = self.places.until_ready_seconds(
-            needs, now_seconds=now_seconds
+        adapter = waiting.request.adapter
+        slot_seconds = self.adapter_slots.until_ready_seconds(
+            adapter, now_seconds=now_seconds
         )
-        if not self.places.holds(needs):
-            slot_seconds += self.place_wait_seconds()
+        if not self.adapter_slots.holds(adapter):
+            slot_seconds += self.slot_wait_seconds()
         # The engine prefills other prompts while it loads the adapter.
         return max(wait_seconds, slot_seconds)
 
     def _refusal(
-        self, ask: EngineRequest, excess_seconds: float
+        self, request: EngineRequest, excess_seconds: float
     ) -> engine_decisions.Refusal:
-        orders_in_seconds = self.places.orders_in_seconds
-        if not orders_in_seconds or self.places.holds(ask.needs):
-            return _queue_too_long(ask, excess_seconds)
+        orders_in_seconds = self.adapter_slots.orders_in_seconds
+        if not orders_in_seconds or self.adapter_slots.holds(request.adapter):
+            return _queue_too_long(request, excess_seconds)
         # A retry before orders are allowed would be refused again, and most
         # callers retry only once.
         return engine_decisions.Refusal(
-            ask=ask,
+            request=request,
             reason="orders_wait",
             retry_after_seconds=max(excess_seconds, orders_in_seconds),
         )
@@ -392,53 +418,77 @@
         # More urgent requests may have come since. A request that can't start
         # any more before it gives up is refused now, while its caller has time
         # to try another engine.
-        reading_seconds = self._prefill_seconds(self._runs.unstarted())
-        unplaced: set[AdapterKey] = set()
+        reading_seconds = self._prefill_seconds(self._runs.pending_prompts())
+        awaiting_slot: set[AdapterKey] = set()
         for waiting in by_urgency:
-            ask = waiting.ask
-            remaining_seconds = ask.give_up_at_seconds - now_seconds
-            if self._has_slot(ask):
+            request = waiting.request
+            remaining_seconds = request.queue_deadline_seconds - now_seconds
+            if self._has_slot(request):
                 wait_seconds = reading_seconds
-                reading_seconds += self._speed.reading_seconds(
-                    ask.prompt_tokens
+                reading_seconds += self._speed.prefill_seconds(
+                    request.prompt_tokens
                 )
             else:
-                wait_seconds = self._slot_wait_seconds(len(unplaced))
-                unplaced.add(ask.needs)
-                if self._is_late(ask, now_seconds):
+                wait_seconds = self._estimate_slot_wait_seconds(
+                    len(awaiting_slot)
+                )
+                awaiting_slot.add(request.adapter)
+                if self._is_late(request, now_seconds):
                     remaining_seconds *= MAX_LATE_WAIT_SHARE
             if wait_seconds > remaining_seconds:
-                self.withdraw(ask.request_id, now_seconds=now_seconds)
-                yield _queue_too_long(ask, wait_seconds - remaining_seconds)
+                self.remove(request.request_id, now_seconds=now_seconds)
+                yield _queue_too_long(
+                    request, wait_seconds - remaining_seconds
+                )
 
-    def _slot_wait_seconds(self, ahead: int) -> float:
+    def _estimate_slot_wait_seconds(self, ahead: int) -> float:
         # Until a slot is free for an adapter with so many others ahead of it.
-        behind = 1 + ahead - self.places.free(self._queued_by_adapter())
+        behind = (
+            1 + ahead - self.adapter_slots.available(self._queued_by_adapter())
+        )
         if behind <= 0:
             return 0.0
-        return self._speed.run_seconds * behind / max(1, self.places.capacity)
+        return (
+            self._speed.mean_run_seconds
+            * behind
+            / max(1, self.adapter_slots.capacity)
+        )
 
     def _adapters_with_slots(self) -> set[AdapterKey]:
         # The adapters that have a slot, and those that get an idle one now.
         wanted = self._queued_by_adapter()
-        unplaced = (key for key in wanted if not self.places.holds(key))
-        coming = set(itertools.islice(unplaced, self.places.free(wanted)))
-        return coming | {key for key in wanted if self.places.holds(key)}
+        awaiting_slot = (
+            key for key in wanted if not self.adapter_slots.holds(key)
+        )
+        coming = set(
+            itertools.islice(
+                awaiting_slot, self.adapter_slots.available(wanted)
+            )
+        )
+        return coming | {
+            key for key in wanted if self.adapter_slots.holds(key)
+        }
 
-    def _has_slot(self, ask: EngineRequest) -> bool:
-        return self.places.holds(ask.needs)
+    def _has_slot(self, request: EngineRequest) -> bool:
+        return self.adapter_slots.holds(request.adapter)
 
     def _grant(
-        self, ask: EngineRequest, now_seconds: float
+        self, request: EngineRequest, now_seconds: float
     ) -> engine_decisions.Grant:
-        waits = self._queue.pop(ask.request_id).waits(now_seconds)
-        self._runs.begin(ask, now_seconds=now_seconds)
-        self.places.enter(ask.needs, now_seconds=now_seconds)
-        version = self.places.version(ask.needs)
-        return engine_decisions.Grant(ask=ask, version=version, waits=waits)
+        queue_times = self._queue.pop(request.request_id).queue_times(
+            now_seconds
+        )
+        self._runs.add(request, now_seconds=now_seconds)
+        self.adapter_slots.record_start(
+            request.adapter, now_seconds=now_seconds
+        )
+        version = self.adapter_slots.version(request.adapter)
+        return engine_decisions.Grant(
+            request=request, version=version, queue_times=queue_times
+        )
 
     def _prefill_seconds(self, *parts: PromptTotals) -> float:
-        return self._speed.reading_seconds(
+        return self._speed.prefill_seconds(
             sum(part.tokens for part in parts),
             prompts=sum(part.number for part in parts),
         )
@@ -446,29 +496,29 @@
     def _adapters_without_slot(self) -> int:
         return len(
             {
-                ask.needs
-                for ask in self._queued_requests()
-                if not self.places.holds(ask.needs)
+                request.adapter
+                for request in self._queued_requests()
+                if not self.adapter_slots.holds(request.adapter)
             }
         )
 
     def _queued_by_adapter(self) -> collections.Counter[AdapterKey]:
         return collections.Counter(
-            ask.needs for ask in self._queued_requests()
+            request.adapter for request in self._queued_requests()
         )
 
     def _expire(
         self, now_seconds: float
     ) -> Iterator[engine_decisions.Refusal]:
         expired = [
-            ask
-            for ask in self._queued_requests()
-            if ask.give_up_at_seconds <= now_seconds
+            request
+            for request in self._queued_requests()
+            if request.queue_deadline_seconds <= now_seconds
         ]
-        for ask in expired:
-            self.withdraw(ask.request_id, now_seconds=now_seconds)
+        for request in expired:
+            self.remove(request.request_id, now_seconds=now_seconds)
             yield engine_decisions.Refusal(
-                ask=ask,
+                request=request,
                 reason="waited_too_long",
                 retry_after_seconds=MIN_RETRY_AFTER_SECONDS,
             )
@@ -476,16 +526,16 @@
     def _expire_unreported(self, now_seconds: float) -> None:
         # The report of a start or an end may be lost with its message or its
         # sender. Such a request must not occupy the engine for ever.
-        self._runs.take_for_started(now_seconds=now_seconds)
+        self._runs.assume_started(now_seconds=now_seconds)
         for request_id in self._runs.overdue(now_seconds=now_seconds):
-            self.withdraw(request_id, now_seconds=now_seconds)
+            self.remove(request_id, now_seconds=now_seconds)
 
 
 def _queue_too_long(
-    ask: EngineRequest, excess_seconds: float
+    request: EngineRequest, excess_seconds: float
 ) -> engine_decisions.Refusal:
     return engine_decisions.Refusal(
-        ask=ask,
+        request=request,
         reason="queue_too_long",
         retry_after_seconds=max(MIN_RETRY_AFTER_SECONDS, excess_seconds),
     )
--- a/src/boragefold/policy/engine_slots.py
+++ b/src/boragefold/policy/engine_slots.py
@@ -41,27 +41,27 @@
         self,
         *,
         engine: deployment.Engine,
-        newest: Mapping[AdapterKey, int],
+        newest_versions: Mapping[AdapterKey, int],
         loads_elsewhere: Callable[[], int] = lambda: 0,
-        engines: Callable[[], int] = lambda: 1,
-        giver: int = 0,
+        count_engines: Callable[[], int] = lambda: 1,
+        issuer: int = 0,
     ) -> None:
         """Start with nothing loaded.
 
         :param engine: the capacity of the engine
-        :param newest: the newest version of each adapter that has several
+        :param newest_versions: of each adapter that has several versions
         :param loads_elsewhere: returns how many loads other engines have in
             progress
-        :param engines: returns how many engines share the weight store
-        :param giver: the number of the instance that issues the orders
+        :param count_engines: returns how many engines share the weight store
+        :param issuer: the number of the instance that issues the orders
         """
-        self._issuer = giver
+        self._issuer = issuer
         self._load_times = load_times.LoadTimes(
-            loads_elsewhere=loads_elsewhere, engines=engines
+            loads_elsewhere=loads_elsewhere, count_engines=count_engines
         )
         self.capacity = engine.adapter_places
         self._engine = engine
-        self._newest = newest
+        self._newest_versions = newest_versions
         self._models: dict[str, float] = {}
         self._slots: dict[AdapterKey, adapter_slots.AdapterSlot] = {}
         self._popularity = popularity.Popularity()
@@ -82,14 +82,14 @@
         """
         return tuple(self._slots)
 
-    def copies(self) -> tuple[AdapterKey, ...]:
+    def host_memory_copies(self) -> tuple[AdapterKey, ...]:
         """List the adapters that the engine could load from host memory.
 
         :return: the keys of those that aren't loaded but have a copy there
         """
         return tuple(
             key
-            for key in self._load_times.remembered()
+            for key in self._load_times.warm_adapters()
             if key not in self._slots
         )
 
@@ -101,9 +101,9 @@
         """
         return {
             key.adapter: (
-                f"{slot.running}"
+                f"{slot.running_requests}"
                 f"{'' if slot.confirmed else '?'}"
-                f"{'-' if slot.leaving else ''}"
+                f"{'-' if slot.unloading else ''}"
             )
             for key, slot in self._slots.items()
         }
@@ -128,11 +128,11 @@
         slot = self._slots.get(key)
         return (
             slot is not None
-            and not slot.leaving
-            and slot.version >= self._newest.get(key, 0)
+            and not slot.unloading
+            and slot.version >= self._newest_versions.get(key, 0)
         )
 
-    def ready(self, key: AdapterKey, *, now_seconds: float) -> bool:
+    def is_ready(self, key: AdapterKey, *, now_seconds: float) -> bool:
         """Check whether requests of an adapter can run.
 
         :param key: the adapter or model
@@ -155,7 +155,9 @@
         """
         if not self.holds(key):
             loading = self.loading(now_seconds=now_seconds)
-            load_seconds = self._load_times.seconds(key, loading=loading)
+            load_seconds = self._load_times.estimate_seconds(
+                key, loads_in_progress=loading
+            )
             return load_seconds + self.orders_in_seconds
         ready_at_seconds = self._models[key.model]
         if (slot := self._slots.get(key)) is not None:
@@ -171,79 +173,91 @@
         slot = self._slots.get(key)
         return 0 if slot is None else slot.version
 
-    def enter(self, key: AdapterKey, *, now_seconds: float) -> None:
+    def record_start(self, key: AdapterKey, *, now_seconds: float) -> None:
         """Record that a request of an adapter starts running.
 
         :param key: the adapter or model
         :param now_seconds: reading of the process clock
         """
         if (slot := self._slots.get(key)) is not None:
-            slot.running += 1
+            slot.running_requests += 1
         if key.adapter:
             self._popularity.note(key, now_seconds=now_seconds)
 
-    def leave(self, key: AdapterKey, *, now_seconds: float) -> None:
+    def record_end(self, key: AdapterKey, *, now_seconds: float) -> None:
         """Record that a request of an adapter has ended.
 
         :param key: the adapter or model
         :param now_seconds: reading of the process clock
         """
         if (slot := self._slots.get(key)) is not None:
-            slot.running = max(0, slot.running - 1)
+            slot.running_requests = max(0, slot.running_requests - 1)
 
-    def free(self, wanted: Mapping[AdapterKey, int]) -> int:
+    def available(self, queued_by_adapter: Mapping[AdapterKey, int]) -> int:
         """Count the slots that further adapters could have at once.
 
-        :param wanted: how many requests wait for each adapter
+        :param queued_by_adapter: how many requests wait for each adapter
         :return: the slots that are empty or hold an idle adapter
         """
         free = self.capacity - self._occupied_slots()
-        return max(0, free + sum(1 for _ in self._idle_adapters(wanted)))
+        return max(
+            0, free + sum(1 for _ in self._idle_adapters(queued_by_adapter))
+        )
 
-    def has_place_for(
+    def can_load_one_more(
         self,
         waiting: int,
-        wanted: Mapping[AdapterKey, int],
+        queued_by_adapter: Mapping[AdapterKey, int],
         *,
         now_seconds: float,
     ) -> bool:
         """Check whether one more adapter could be loaded now.
 
         :param waiting: how many adapters wait for a slot already
-        :param wanted: how many requests wait for each adapter
+        :param queued_by_adapter: how many requests wait for each adapter
         :param now_seconds: reading of the process clock
         :return: whether a slot is left and the limit of loads isn't reached
         """
-        if self.loading(now_seconds=now_seconds) >= load_times.MAX_LOADING:
+        if (
+            self.loading(now_seconds=now_seconds)
+            >= load_times.MAX_CONCURRENT_LOADS
+        ):
             return False
-        return self.free(wanted) > waiting
+        return self.available(queued_by_adapter) > waiting
 
     def next_order(
         self,
-        unplaced: Sequence[engine_decisions.EngineRequest],
-        wanted: Mapping[AdapterKey, int],
+        awaiting_slot: Sequence[engine_decisions.EngineRequest],
+        queued_by_adapter: Mapping[AdapterKey, int],
         *,
         now_seconds: float,
-        renews: bool = True,
+        update_loaded: bool = True,
     ) -> engine_decisions.Order | None:
         """Choose the next order.
 
-        :param unplaced: requests whose adapter has no slot, most urgent first
-        :param wanted: how many requests wait for each adapter
+        :param awaiting_slot: requests whose adapter has no slot, most urgent
+            first
+        :param queued_by_adapter: how many requests wait for each adapter
         :param now_seconds: reading of the process clock
-        :param renews: whether newer versions of loaded adapters are loaded
-            before a request needs them
+        :param update_loaded: whether newer versions of loaded adapters are
+            loaded before a request needs them
         :return: the order; None if there is nothing to order now
         """
         if not self.may_order or now_seconds < self._next_order_at_seconds:
             return None
-        for ask in unplaced:
-            order = self._order_for(ask.needs, wanted, now_seconds)
+        for request in awaiting_slot:
+            order = self._order_for(
+                request.adapter, queued_by_adapter, now_seconds
+            )
             if order is not None:
                 return order
-        return self._update_order(wanted, now_seconds) if renews else None
+        return (
+            self._update_order(queued_by_adapter, now_seconds)
+            if update_loaded
+            else None
+        )
 
-    def ordered(
+    def record_order(
         self,
         order: engine_decisions.Order,
         *,
@@ -264,34 +278,36 @@
             if done:
                 self._slots.pop(key, None)
             elif key in self._slots:
-                self._slots[key].leaving = True
+                self._slots[key].unloading = True
         elif not key.adapter:
             load_seconds = self._model_seconds.get(key.model, 0.0)
             self._models[key.model] = now_seconds + load_seconds
         else:
-            load_seconds = self._load_times.seconds(
-                key, loading=self.loading(now_seconds=now_seconds)
+            load_seconds = self._load_times.estimate_seconds(
+                key, loads_in_progress=self.loading(now_seconds=now_seconds)
             )
             # Requests of an older version go on running beside the newer one.
             previous = self._slots.get(key)
             self._slots[key] = adapter_slots.AdapterSlot(
                 version=order.version,
                 ready_at_seconds=now_seconds + load_seconds,
-                count=count,
-                running=0 if previous is None else previous.running,
+                order_count=count,
+                running_requests=0
+                if previous is None
+                else previous.running_requests,
                 warm=self._load_times.is_warm(key),
                 replaces=previous is not None,
             )
-        self._load_times.remember(key)
+        self._load_times.add_warm(key)
 
-    def order_failed(self, *, now_seconds: float) -> None:
+    def record_failed_order(self, *, now_seconds: float) -> None:
         """Record that the engine refused an order, or didn't reply.
 
         :param now_seconds: reading of the process clock
         """
         self._next_order_at_seconds = now_seconds + ORDER_RETRY_SECONDS
 
-    def not_there(self, key: AdapterKey, *, now_seconds: float) -> None:
+    def record_missing(self, key: AdapterKey, *, now_seconds: float) -> None:
         """Record that the engine refused a request: its adapter isn't loaded.
 
         :param key: the adapter or model
@@ -304,11 +320,11 @@
             # The engine had dropped its copy: it loads from the store.
             delay_seconds = load_times.COLD_LOAD_SECONDS
         elif not slot.confirmed:
-            self._load_times.late()
+            self._load_times.record_late()
         slot.warm = slot.confirmed = False
         slot.ready_at_seconds = now_seconds + delay_seconds
 
-    def confirm(self, key: AdapterKey) -> None:
+    def confirm_loaded(self, key: AdapterKey) -> None:
         """Record that an adapter is loaded, since a request ran on it.
 
         :param key: the adapter or model
@@ -316,11 +332,11 @@
         if (slot := self._slots.get(key)) is None:
             return
         if not slot.confirmed and not slot.warm:
-            self._load_times.in_time()
+            self._load_times.record_in_time()
         slot.confirmed = True
         slot.replaces = False
 
-    def overdue(self, *, now_seconds: float) -> bool:
+    def has_overdue_load(self, *, now_seconds: float) -> bool:
         """Check for a load that should have finished and is unconfirmed.
 
         :param now_seconds: reading of the process clock
@@ -343,10 +359,10 @@
             for slot in self._slots.values()
         )
 
-    def learn(
+    def apply_report(
         self,
         held: Mapping[str, Mapping[str, int]],
-        coming: Mapping[AdapterKey, int],
+        loading: Mapping[AdapterKey, int],
         *,
         now_seconds: float,
         busy: bool = False,
@@ -357,14 +373,14 @@
         expects: after another report, the slots wouldn't match that count.
 
         :param held: versions by adapter by model
-        :param coming: versions of the adapters that are loading
+        :param loading: versions of the adapters that are loading
         :param now_seconds: reading of the process clock
         :param busy: whether the engine loads or unloads a model, which it
             lists only when that is done
         """
         self._is_changing_model = busy
-        self._slots = adapter_slots.learned(
-            self._slots, held, coming, now_seconds=now_seconds
+        self._slots = adapter_slots.from_report(
+            self._slots, held, loading, now_seconds=now_seconds
         )
         self._models = {
             model: ready_at_seconds
@@ -372,7 +388,7 @@
             if busy
         } | {model: self._models.get(model, 0.0) for model in held}
 
-    def learn_former(
+    def apply_old_report(
         self, held: Mapping[str, Mapping[str, int]], *, count: int
     ) -> None:
         """Confirm loads by a report that is older than the last orders.
@@ -380,9 +396,9 @@
         :param held: versions by adapter by model
         :param count: how many orders the engine had accepted by then
         """
-        adapter_slots.confirm_former(self._slots, held, count=count)
+        adapter_slots.confirm_from_older_report(self._slots, held, count=count)
 
-    def dues(self, *, now_seconds: float) -> Iterator[float]:
+    def due_times(self, *, now_seconds: float) -> Iterator[float]:
         """List the times at which a load or a delay should be over.
 
         :param now_seconds: reading of the process clock
@@ -398,7 +414,7 @@
     def _order_for(
         self,
         key: AdapterKey,
-        wanted: Mapping[AdapterKey, int],
+        queued_by_adapter: Mapping[AdapterKey, int],
         now_seconds: float,
     ) -> engine_decisions.Order | None:
         if key.model not in self._models:
@@ -406,17 +422,19 @@
         if self._models[key.model] > now_seconds or not key.adapter:
             return None
         if not self._load_times.may_load(
-            key, loading=self.loading(now_seconds=now_seconds)
+            key, loads_in_progress=self.loading(now_seconds=now_seconds)
         ):
             return None
         slot = self._slots.get(key)
-        if slot is not None and slot.leaving:
+        if slot is not None and slot.unloading:
             return None
         if self._occupied_slots() < self.capacity:
-            return engine_decisions.Load(key, self._newest.get(key, 0))
-        if slot is not None and slot.confirmed and not slot.running:
+            return engine_decisions.Load(
+                key, self._newest_versions.get(key, 0)
+            )
+        if slot is not None and slot.confirmed and not slot.running_requests:
             return engine_decisions.Unload(key)
-        victim = self._eviction_candidate(wanted, now_seconds)
+        victim = self._eviction_candidate(queued_by_adapter, now_seconds)
         return None if victim is None else engine_decisions.Unload(victim)
 
     def _occupied_slots(self) -> int:
@@ -445,25 +463,26 @@
         outdated = (
             key
             for key, slot in self._slots.items()
-            if slot.version < self._newest.get(key, 0) and not slot.leaving
+            if slot.version < self._newest_versions.get(key, 0)
+            and not slot.unloading
         )
         return next(outdated, None)
 
     def _update_order(
-        self, wanted: Mapping[AdapterKey, int], now_seconds: float
+        self, queued_by_adapter: Mapping[AdapterKey, int], now_seconds: float
     ) -> engine_decisions.Order | None:
         # No request may start on the older version much later, so it is
         # replaced before a request needs the adapter.
         key = self.outdated()
         if key is None:
             return None
-        return self._order_for(key, wanted, now_seconds)
+        return self._order_for(key, queued_by_adapter, now_seconds)
 
     def _eviction_candidate(
-        self, wanted: Mapping[AdapterKey, int], now_seconds: float
+        self, queued_by_adapter: Mapping[AdapterKey, int], now_seconds: float
     ) -> AdapterKey | None:
         return min(
-            self._idle_adapters(wanted),
+            self._idle_adapters(queued_by_adapter),
             key=lambda key: (
                 self._popularity.of(key, now_seconds=now_seconds),
                 self._tie_break(key),
@@ -479,15 +498,15 @@
         return xxhash.xxh3_64_intdigest(text.encode())
 
     def _idle_adapters(
-        self, wanted: Mapping[AdapterKey, int]
+        self, queued_by_adapter: Mapping[AdapterKey, int]
     ) -> Iterator[AdapterKey]:
         return (
             key
             for key, slot in self._slots.items()
             if slot.confirmed
-            and not slot.running
-            and not slot.leaving
-            and not wanted.get(key)
+            and not slot.running_requests
+            and not slot.unloading
+            and not queued_by_adapter.get(key)
         )
 
 
--- a/src/boragefold/policy/engine_speed.py
+++ b/src/boragefold/policy/engine_speed.py
@@ -58,18 +58,18 @@
 
     ``fixed_seconds`` is the part of a prefill that doesn't depend on the
     length of the prompt, ``tokens_per_second`` the speed of the rest, and
-    ``run_seconds`` how long a request occupies the engine.
+    ``mean_run_seconds`` how long a request occupies the engine.
     """
 
     def __init__(self) -> None:
         self.fixed_seconds = INITIAL_FIXED_SECONDS
         self.tokens_per_second = INITIAL_TOKENS_PER_SECOND
-        self.run_seconds = INITIAL_RUN_SECONDS
+        self.mean_run_seconds = INITIAL_RUN_SECONDS
         self._sums = DecayedSums()
         for tokens in INITIAL_PROMPTS_TOKENS:
-            self._sums.add(tokens, self.reading_seconds(tokens))
+            self._sums.add(tokens, self.prefill_seconds(tokens))
 
-    def reading_seconds(self, tokens: int, prompts: int = 1) -> float:
+    def prefill_seconds(self, tokens: int, prompts: int = 1) -> float:
         """Estimate how long the prefill of some prompts takes.
 
         :param tokens: of all prompts together
@@ -78,7 +78,7 @@
         """
         return prompts * self.fixed_seconds + tokens / self.tokens_per_second
 
-    def blocking_seconds(self, tokens: int) -> float:
+    def decode_stall_seconds(self, tokens: int) -> float:
         """Estimate how long a prefill holds up the running responses.
 
         :param tokens: of the prompt
@@ -86,14 +86,14 @@
         """
         return tokens / self.tokens_per_second
 
-    def started(self, tokens: int, took_seconds: float) -> None:
+    def record_start(self, tokens: int, took_seconds: float) -> None:
         """Record the first event of a response.
 
         :param tokens: of its prompt
         :param took_seconds: since the request was granted or, if that was
             later, since the previous response started
         """
-        expected_seconds = self.reading_seconds(tokens)
+        expected_seconds = self.prefill_seconds(tokens)
         shortest_seconds = expected_seconds / MAX_DEVIATION
         longest_seconds = expected_seconds * MAX_DEVIATION
         counted_seconds = min(
@@ -102,12 +102,14 @@
         self._sums.add(tokens, counted_seconds)
         self._fit()
 
-    def ended(self, took_seconds: float) -> None:
+    def record_end(self, took_seconds: float) -> None:
         """Record the end of a response.
 
         :param took_seconds: since the request was granted
         """
-        self.run_seconds += RUN_SMOOTHING * (took_seconds - self.run_seconds)
+        self.mean_run_seconds += RUN_SMOOTHING * (
+            took_seconds - self.mean_run_seconds
+        )
 
     def _fit(self) -> None:
         sums = self._sums
--- a/src/boragefold/policy/load_times.py
+++ b/src/boragefold/policy/load_times.py
@@ -15,7 +15,7 @@
 
 # An engine accepts four concurrent loads of adapters and has five slots; fewer
 # loads at once leave more slots to the adapters that it has loaded already.
-MAX_LOADING = 3
+MAX_CONCURRENT_LOADS = 3
 # Loads that the store delivers at full speed to all engines of a service
 # together, by the data sheets of the deployments: about one per engine, and at
 # least eight. With more, each takes longer in proportion and none finishes
@@ -46,16 +46,16 @@
         self,
         *,
         loads_elsewhere: Callable[[], int],
-        engines: Callable[[], int],
+        count_engines: Callable[[], int],
     ) -> None:
         """Start with no adapter in host memory.
 
         :param loads_elsewhere: returns how many loads other engines have in
             progress
-        :param engines: returns how many engines share the store
+        :param count_engines: returns how many engines share the store
         """
         self._loads_elsewhere = loads_elsewhere
-        self._engines = engines
+        self._count_engines = count_engines
         self._warm: collections.OrderedDict[deployment.AdapterKey, None] = (
             collections.OrderedDict()
         )
@@ -69,51 +69,58 @@
         """
         return key in self._warm
 
-    def remembered(self) -> tuple[deployment.AdapterKey, ...]:
+    def warm_adapters(self) -> tuple[deployment.AdapterKey, ...]:
         """List the adapters that the engine should have in host memory.
 
         :return: their keys, least recently loaded first
         """
         return tuple(self._warm)
 
-    def late(self) -> None:
+    def record_late(self) -> None:
         """Record that a load from the store was late."""
         self._correction = min(
             MAX_CORRECTION, self._correction + CORRECTION_INCREASE
         )
 
-    def in_time(self) -> None:
+    def record_in_time(self) -> None:
         """Record that a load from the store was in time."""
         self._correction = max(1.0, self._correction - CORRECTION_DECREASE)
 
-    def seconds(self, key: deployment.AdapterKey, *, loading: int) -> float:
+    def estimate_seconds(
+        self, key: deployment.AdapterKey, *, loads_in_progress: int
+    ) -> float:
         """Estimate how long a load takes that begins now.
 
         :param key: the adapter
-        :param loading: how many loads the engine has in progress
+        :param loads_in_progress: how many loads the engine has in progress
         :return: seconds
         """
         if self.is_warm(key):
             return WARM_LOAD_SECONDS + LOAD_SLACK_SECONDS
-        concurrent = 1 + loading + self._loads_elsewhere()
+        concurrent = 1 + loads_in_progress + self._loads_elsewhere()
         slowdown = max(1.0, concurrent / self._full_speed_loads())
         load_seconds = COLD_LOAD_SECONDS * slowdown
         return self._correction * load_seconds + LOAD_SLACK_SECONDS
 
-    def may_load(self, key: deployment.AdapterKey, *, loading: int) -> bool:
+    def may_load(
+        self, key: deployment.AdapterKey, *, loads_in_progress: int
+    ) -> bool:
         """Check whether one more load may begin.
 
         :param key: the adapter
-        :param loading: how many loads the engine has in progress
+        :param loads_in_progress: how many loads the engine has in progress
         :return: whether the engine and the store have capacity for it
         """
-        if loading >= MAX_LOADING:
+        if loads_in_progress >= MAX_CONCURRENT_LOADS:
             return False
-        if not loading or self.is_warm(key):
+        if not loads_in_progress or self.is_warm(key):
             return True
-        return loading + self._loads_elsewhere() < self._full_speed_loads()
+        return (
+            loads_in_progress + self._loads_elsewhere()
+            < self._full_speed_loads()
+        )
 
-    def remember(self, key: deployment.AdapterKey) -> None:
+    def add_warm(self, key: deployment.AdapterKey) -> None:
         """Record that the engine has, or had, an adapter loaded.
 
         :param key: the adapter; base models have no copies in host memory
@@ -125,7 +132,7 @@
             self._warm.popitem(last=False)
 
     def _full_speed_loads(self) -> int:
-        return max(FULL_SPEED_LOADS, self._engines())
+        return max(FULL_SPEED_LOADS, self._count_engines())
 
 
 __all__ = [
--- a/src/boragefold/policy/prompt_spacing.py
+++ b/src/boragefold/policy/prompt_spacing.py
@@ -34,31 +34,32 @@
         self._speed = speed
         self._burst_seconds = 0.0
 
-    def allows(self, tokens: int, pauses_seconds: Iterable[float]) -> bool:
+    def allows(self, tokens: int, max_pauses_seconds: Iterable[float]) -> bool:
         """Check whether one more prompt may go to an engine in prefill.
 
         :param tokens: of the prompt
-        :param pauses_seconds: the longest pause that each response may make;
-            0 if unspecified
+        :param max_pauses_seconds: the longest pause that each response may
+            make; 0 if unspecified
         :return: whether no response would pause too long
         """
         pause_seconds = min(
-            filter(None, pauses_seconds), default=DEFAULT_PAUSE_SECONDS
+            filter(None, max_pauses_seconds), default=DEFAULT_PAUSE_SECONDS
         )
-        burst_seconds = self._burst_seconds + self._speed.blocking_seconds(
+        burst_seconds = self._burst_seconds + self._speed.decode_stall_seconds(
             tokens
         )
         return burst_seconds <= MAX_PREFILL_SHARE * pause_seconds
 
-    def gave(self, tokens: int, *, reads: bool) -> None:
+    def record_sent(self, tokens: int, *, is_prefilling: bool) -> None:
         """Record that a prompt was sent to the engine.
 
         :param tokens: of the prompt
-        :param reads: whether the engine had other prompts left to prefill
+        :param is_prefilling: whether the engine had other prompts left to
+            prefill
         """
-        if not reads:
+        if not is_prefilling:
             self._burst_seconds = 0.0
-        self._burst_seconds += self._speed.blocking_seconds(tokens)
+        self._burst_seconds += self._speed.decode_stall_seconds(tokens)
 
 
 __all__ = [
--- a/src/boragefold/policy/request_states.py
+++ b/src/boragefold/policy/request_states.py
@@ -13,42 +13,44 @@
 class QueuedRequest:
     """A queued request, and the progress of its adapter.
 
-    ``placed_at_seconds`` is when the load of its adapter was ordered, and
-    ``ready_at_seconds`` when the adapter was loaded; None until then.
+    ``load_ordered_at_seconds`` is when the load of its adapter was ordered,
+    and ``ready_at_seconds`` when the adapter was loaded; None until then.
     """
 
-    ask: engine_decisions.EngineRequest
-    turn: int
-    since_seconds: float
-    placed_at_seconds: float | None = None
+    request: engine_decisions.EngineRequest
+    arrival_number: int
+    queued_at_seconds: float
+    load_ordered_at_seconds: float | None = None
     ready_at_seconds: float | None = None
 
-    def note(self, *, placed: bool, ready: bool, now_seconds: float) -> None:
+    def record_progress(
+        self, *, placed: bool, ready: bool, now_seconds: float
+    ) -> None:
         """Record the progress of its adapter.
 
         :param placed: whether the load was ordered
         :param ready: whether the adapter is loaded
         :param now_seconds: reading of the process clock
         """
-        if placed and self.placed_at_seconds is None:
-            self.placed_at_seconds = now_seconds
+        if placed and self.load_ordered_at_seconds is None:
+            self.load_ordered_at_seconds = now_seconds
         if ready and self.ready_at_seconds is None:
             self.ready_at_seconds = now_seconds
 
-    def waits(self, now_seconds: float) -> engine_decisions.QueueTimes:
+    def queue_times(self, now_seconds: float) -> engine_decisions.QueueTimes:
         """Split its time in the queue until now by what it waited for.
 
         :param now_seconds: reading of the process clock
         :return: the parts
         """
         ready_at_seconds = _or_default(self.ready_at_seconds, now_seconds)
-        placed_at_seconds = _or_default(
-            self.placed_at_seconds, ready_at_seconds
+        load_ordered_at_seconds = _or_default(
+            self.load_ordered_at_seconds, ready_at_seconds
         )
         return engine_decisions.QueueTimes(
-            place_seconds=placed_at_seconds - self.since_seconds,
-            load_seconds=ready_at_seconds - placed_at_seconds,
-            turn_seconds=now_seconds - ready_at_seconds,
+            slot_seconds=load_ordered_at_seconds - self.queued_at_seconds,
+            load_seconds=ready_at_seconds - load_ordered_at_seconds,
+            capacity_seconds=now_seconds - ready_at_seconds,
         )
 
 
@@ -56,7 +58,7 @@
 class RunningRequest:
     """A request that was granted and has not ended."""
 
-    ask: engine_decisions.EngineRequest
+    request: engine_decisions.EngineRequest
     granted_at_seconds: float
     started: bool = False
 
@@ -69,14 +71,14 @@
 
 
 def total_prompts(
-    asks: Iterable[engine_decisions.EngineRequest],
+    requests: Iterable[engine_decisions.EngineRequest],
 ) -> PromptTotals:
     """Sum up the prompts of some requests.
 
-    :param asks: the requests
+    :param requests: the requests
     :return: their number and their tokens
     """
-    tokens = [ask.prompt_tokens for ask in asks]
+    tokens = [request.prompt_tokens for request in requests]
     return PromptTotals(number=len(tokens), tokens=sum(tokens))
 
 
--- a/src/boragefold/policy/running_requests.py
+++ b/src/boragefold/policy/running_requests.py
@@ -39,12 +39,12 @@
     def __len__(self) -> int:
         return len(self._runs)
 
-    def asks(self) -> Iterator[engine_decisions.EngineRequest]:
+    def requests(self) -> Iterator[engine_decisions.EngineRequest]:
         """List the running requests.
 
         :return: the requests
         """
-        return (run.ask for run in self._runs.values())
+        return (run.request for run in self._runs.values())
 
     def find(self, request_id: str) -> engine_decisions.EngineRequest | None:
         """Look up a running request.
@@ -53,21 +53,22 @@
         :return: the request; None if it doesn't run
         """
         run = self._runs.get(request_id)
-        return None if run is None else run.ask
+        return None if run is None else run.request
 
-    def begin(
-        self, ask: engine_decisions.EngineRequest, *, now_seconds: float
+    def add(
+        self, request: engine_decisions.EngineRequest, *, now_seconds: float
     ) -> None:
         """Record that a request was granted.
 
-        :param ask: the request
+        :param request: the request
         :param now_seconds: reading of the process clock
         """
-        self._spacing.gave(
-            ask.prompt_tokens, reads=self.unstarted().number > 0
+        self._spacing.record_sent(
+            request.prompt_tokens,
+            is_prefilling=self.pending_prompts().number > 0,
         )
-        self._runs[ask.request_id] = request_states.RunningRequest(
-            ask=ask,
+        self._runs[request.request_id] = request_states.RunningRequest(
+            request=request,
             granted_at_seconds=now_seconds,
         )
 
@@ -83,10 +84,10 @@
         run = self._runs.pop(request_id, None)
         if run is None:
             return None
-        self._speed.ended(now_seconds - run.granted_at_seconds)
-        return run.ask
+        self._speed.record_end(now_seconds - run.granted_at_seconds)
+        return run.request
 
-    def started(
+    def record_start(
         self, request_id: str, *, now_seconds: float
     ) -> engine_decisions.EngineRequest | None:
         """Record the first event of a response.
@@ -103,34 +104,38 @@
         # when the one before it ended, or when the request was granted.
         since_seconds = max(run.granted_at_seconds, self._last_start_seconds)
         self._last_start_seconds = now_seconds
-        self._speed.started(run.ask.prompt_tokens, now_seconds - since_seconds)
-        return run.ask
+        self._speed.record_start(
+            run.request.prompt_tokens, now_seconds - since_seconds
+        )
+        return run.request
 
-    def unstarted(self) -> request_states.PromptTotals:
+    def pending_prompts(self) -> request_states.PromptTotals:
         """Sum up the prompts that the engine has not prefilled yet.
 
         :return: their number and tokens
         """
         return request_states.total_prompts(
-            run.ask for run in self._runs.values() if not run.started
+            run.request for run in self._runs.values() if not run.started
         )
 
-    def has_room(self, ask: engine_decisions.EngineRequest) -> bool:
+    def has_room(self, request: engine_decisions.EngineRequest) -> bool:
         """Check whether one more request could run.
 
-        :param ask: the request
+        :param request: the request
         :return: whether request slots, KV cache and the pauses of running
             responses allow it
         """
         if len(self._runs) >= self._engine.slots:
             return False
-        if self.unstarted().number and self._pauses_responses_too_long(ask):
+        if self.pending_prompts().number and self._pauses_responses_too_long(
+            request
+        ):
             return False
-        used = sum(each.total_tokens for each in self.asks())
+        used = sum(each.total_tokens for each in self.requests())
         limit = MAX_KV_CACHE_SHARE * self._engine.kv_tokens
-        return not used or used + ask.total_tokens <= limit
+        return not used or used + request.total_tokens <= limit
 
-    def take_for_started(self, *, now_seconds: float) -> None:
+    def assume_started(self, *, now_seconds: float) -> None:
         """Take requests as started whose start is long unreported.
 
         :param now_seconds: reading of the process clock
@@ -149,17 +154,17 @@
         :return: their ids
         """
         return [
-            ask.request_id
-            for ask in self.asks()
-            if now_seconds > ask.ends_by_seconds
+            request.request_id
+            for request in self.requests()
+            if now_seconds > request.end_deadline_seconds
         ]
 
     def _pauses_responses_too_long(
-        self, ask: engine_decisions.EngineRequest
+        self, request: engine_decisions.EngineRequest
     ) -> bool:
         return not self._spacing.allows(
-            ask.prompt_tokens,
-            (each.event_gap_seconds for each in (ask, *self.asks())),
+            request.prompt_tokens,
+            (each.event_gap_seconds for each in (request, *self.requests())),
         )
 
 
--- a/tests/entry/test_owned_engine.py
+++ b/tests/entry/test_owned_engine.py
@@ -119,11 +119,13 @@
 
 
 def start_owning(node, engine, giver, *, log=None, client=None):
-    places = engine_slots.EngineSlots(engine=engine_loads.ENGINE, newest={})
+    adapter_slots = engine_slots.EngineSlots(
+        engine=engine_loads.ENGINE, newest_versions={}
+    )
     return owned_engine.OwnedEngine(
         record=gateways.ENGINES[0],
         schedule=engine_schedule.EngineSchedule(
-            engine=engine_loads.ENGINE, places=places
+            engine=engine_loads.ENGINE, adapter_slots=adapter_slots
         ),
         turns=order_turns.OrderTurns(
             lease_seconds=model_engine.LEASE_SECONDS, giver=giver
@@ -146,7 +148,7 @@
         ask = engine_loads.ask(
             f"r{now_seconds}-{step}", f"new-{step}", at=now_seconds
         )
-        owned.schedule.offer(ask, now_seconds=owned._timers.now_seconds())
+        owned.schedule.submit(ask, now_seconds=owned._timers.now_seconds())
         owned.advance()
         network.run_for(0.1)
 
--- a/tests/fakes/chunked_engine.py
+++ b/tests/fakes/chunked_engine.py
@@ -36,12 +36,14 @@
     def __init__(self, *, tokens_per_second: float, event_tokens: int):
         self._speed = tokens_per_second
         self._event_tokens = event_tokens
-        places = engine_slots.EngineSlots(
-            engine=engine_loads.ENGINE, newest={}
+        adapter_slots = engine_slots.EngineSlots(
+            engine=engine_loads.ENGINE, newest_versions={}
+        )
+        adapter_slots.apply_report(
+            {engine_loads.MODEL: {}}, {}, now_seconds=0.0
         )
-        places.learn({engine_loads.MODEL: {}}, {}, now_seconds=0.0)
         self.schedule = engine_schedule.EngineSchedule(
-            engine=engine_loads.ENGINE, places=places
+            engine=engine_loads.ENGINE, adapter_slots=adapter_slots
         )
         self.answers: dict[str, Answer] = {}
         self.refused: dict[str, engine_decisions.Refusal] = {}
@@ -73,18 +75,18 @@
                 )
                 continue
             if kind == "ask":
-                refusal = self.schedule.offer(ask, now_seconds=at)
+                refusal = self.schedule.submit(ask, now_seconds=at)
                 if refusal is not None:
                     self.refused[ask.request_id] = refusal
             elif kind == "started":
-                self.schedule.started(ask.request_id, now_seconds=at)
+                self.schedule.record_start(ask.request_id, now_seconds=at)
             else:
-                self.schedule.withdraw(ask.request_id, now_seconds=at)
+                self.schedule.remove(ask.request_id, now_seconds=at)
             for action in self.schedule.advance(now_seconds=at):
                 if isinstance(action, engine_decisions.Grant):
-                    self._post(at + MESSAGE_SECONDS, "grant", action.ask)
+                    self._post(at + MESSAGE_SECONDS, "grant", action.request)
                 elif isinstance(action, engine_decisions.Refusal):
-                    self.refused[action.ask.request_id] = action
+                    self.refused[action.request.request_id] = action
 
     def _step(self, now: float) -> float:
         room = PIECE_TOKENS
--- a/tests/fakes/engine_loads.py
+++ b/tests/fakes/engine_loads.py
@@ -45,13 +45,13 @@
     return engine_decisions.EngineRequest(
         request_id=request_id,
         sender=SENDER,
-        needs=key(adapter),
+        adapter=key(adapter),
         prompt_tokens=prompt,
         output_tokens=output,
         priority=priority,
-        on_time_by_seconds=at + target,
-        give_up_at_seconds=at + patience,
-        ends_by_seconds=at + patience + 1.0,
+        start_deadline_seconds=at + target,
+        queue_deadline_seconds=at + patience,
+        end_deadline_seconds=at + patience + 1.0,
     )
 
 
@@ -68,13 +68,13 @@
         self, *, newest: dict[deployment.AdapterKey, int] | None = None
     ):
         self.newest = newest or {}
-        self.places = engine_slots.EngineSlots(
-            engine=ENGINE, newest=self.newest
+        self.adapter_slots = engine_slots.EngineSlots(
+            engine=ENGINE, newest_versions=self.newest
         )
-        self.places.learn({MODEL: {}}, {}, now_seconds=0.0)
-        self.places.may_order = True
+        self.adapter_slots.apply_report({MODEL: {}}, {}, now_seconds=0.0)
+        self.adapter_slots.may_order = True
         self.schedule = engine_schedule.EngineSchedule(
-            engine=ENGINE, places=self.places
+            engine=ENGINE, adapter_slots=self.adapter_slots
         )
         self.outcomes: dict[str, Outcome] = {}
         self.orders: list[engine_decisions.Order] = []
@@ -120,33 +120,35 @@
         self, kind: str, one: engine_decisions.EngineRequest, now: float
     ) -> None:
         if kind == "ask":
-            refusal = self.schedule.offer(one, now_seconds=now)
+            refusal = self.schedule.submit(one, now_seconds=now)
             if refusal is not None:
                 self._refuse(refusal, now)
         elif kind == "started":
-            self.schedule.started(one.request_id, now_seconds=now)
+            self.schedule.record_start(one.request_id, now_seconds=now)
             self.outcomes[one.request_id] = Outcome(now, "", 0.0)
         else:
-            self.schedule.withdraw(one.request_id, now_seconds=now)
+            self.schedule.remove(one.request_id, now_seconds=now)
 
     def _advance(self, now: float) -> None:
         for _ in range(20):
             actions = self.schedule.advance(now_seconds=now)
             for action in actions:
                 self._act(action, now)
-            self.most_held = max(self.most_held, len(self.places.held()))
+            self.most_held = max(
+                self.most_held, len(self.adapter_slots.held())
+            )
             if not actions:
                 return
 
     def _act(self, action: engine_decisions.Action, now: float) -> None:
         if isinstance(action, engine_decisions.Grant):
-            self._serve(action.ask, now)
+            self._serve(action.request, now)
         elif isinstance(action, engine_decisions.Refusal):
             self._refuse(action, now)
         else:
             self.orders.append(action)
             done = isinstance(action, engine_decisions.Unload)
-            self.places.ordered(action, done=done, now_seconds=now)
+            self.adapter_slots.record_order(action, done=done, now_seconds=now)
 
     def _serve(self, one: engine_decisions.EngineRequest, now: float) -> None:
         begin = max(now, self._prefill_free)
@@ -156,7 +158,7 @@
         self._push(start + one.output_tokens * TOKEN_SECONDS, "ended", one)
 
     def _refuse(self, refusal: engine_decisions.Refusal, now: float) -> None:
-        self.outcomes[refusal.ask.request_id] = Outcome(
+        self.outcomes[refusal.request.request_id] = Outcome(
             None, refusal.reason, now
         )
 
--- a/tests/fakes/engine_wire.py
+++ b/tests/fakes/engine_wire.py
@@ -89,7 +89,7 @@
         ask = engine_loads.ask(
             f"{next(self._numbers)}/{run_seconds}", adapter, at=now_seconds
         )
-        self.owned.schedule.offer(ask, now_seconds=now_seconds)
+        self.owned.schedule.submit(ask, now_seconds=now_seconds)
         self._in_process(self.advance)
         return ask.request_id
 
@@ -98,7 +98,7 @@
 
         :param request_id: which
         """
-        self.owned.schedule.withdraw(
+        self.owned.schedule.remove(
             request_id, now_seconds=self.clock.now_seconds()
         )
 
@@ -126,16 +126,16 @@
         """Let the owner decide, and carry its grants out."""
         for action in self.owned.advance():
             if isinstance(action, engine_decisions.Grant):
-                self._run(action.ask)
+                self._run(action.request)
 
     def _owner(self) -> owned_engine.OwnedEngine:
-        places = engine_slots.EngineSlots(
-            engine=engine_loads.ENGINE, newest=self.newest
+        adapter_slots = engine_slots.EngineSlots(
+            engine=engine_loads.ENGINE, newest_versions=self.newest
         )
         return owned_engine.OwnedEngine(
             record=gateways.ENGINES[0],
             schedule=engine_schedule.EngineSchedule(
-                engine=engine_loads.ENGINE, places=places
+                engine=engine_loads.ENGINE, adapter_slots=adapter_slots
             ),
             turns=order_turns.OrderTurns(lease_seconds=3.0, giver=GIVER),
             lease=leases.Held(),
@@ -184,9 +184,9 @@
 
     def _run(self, ask: engine_decisions.EngineRequest) -> None:
         run_seconds = float(ask.request_id.partition("/")[2])
-        if not self.engine.run(ask.needs, seconds=run_seconds):
+        if not self.engine.run(ask.adapter, seconds=run_seconds):
             self._end(ask)
-            self.owned.refused(ask.needs)
+            self.owned.refused(ask.adapter)
             return
         first_seconds = min(run_seconds, FIRST_EVENT_SECONDS)
         self._later(
@@ -197,12 +197,12 @@
         )
 
     def _start(self, ask: engine_decisions.EngineRequest) -> None:
-        self.owned.schedule.started(
+        self.owned.schedule.record_start(
             ask.request_id, now_seconds=self.clock.now_seconds()
         )
 
     def _end(self, ask: engine_decisions.EngineRequest) -> None:
-        self.owned.schedule.withdraw(
+        self.owned.schedule.remove(
             ask.request_id, now_seconds=self.clock.now_seconds()
         )
 
--- a/tests/policy/test_engine_pace.py
+++ b/tests/policy/test_engine_pace.py
@@ -6,9 +6,9 @@
 def test_the_estimate_follows_measured_prefills() -> None:
     speed = engine_speed.EngineSpeed()
     for _ in range(60):
-        speed.started(4_000, 0.5)
+        speed.record_start(4_000, 0.5)
     assert 7_900 < speed.tokens_per_second < 8_200
-    assert 0.45 < speed.reading_seconds(4_000) < 0.55
+    assert 0.45 < speed.prefill_seconds(4_000) < 0.55
 
 
 def test_short_prompts_dont_make_an_engine_look_slow() -> None:
@@ -17,20 +17,20 @@
     # that it would have prefilled in time.
     speed = engine_speed.EngineSpeed()
     for prompt in (600, 800, 9_000, 500, 1_200, 700, 4_000) * 5:
-        speed.started(prompt, 0.04 + prompt / 38_000)
+        speed.record_start(prompt, 0.04 + prompt / 38_000)
     for prompt in (500, 4_000, 20_000):
         seconds = 0.04 + prompt / 38_000
-        assert abs(speed.reading_seconds(prompt) - seconds) < 0.1 * seconds
+        assert abs(speed.prefill_seconds(prompt) - seconds) < 0.1 * seconds
     burst_seconds = 5 * 0.04 + 20_000 / 38_000
-    assert abs(speed.reading_seconds(20_000, 5) - burst_seconds) < 0.05
+    assert abs(speed.prefill_seconds(20_000, 5) - burst_seconds) < 0.05
 
 
 def test_a_slowdown_is_noticed_within_some_prefills() -> None:
     speed = engine_speed.EngineSpeed()
     for slowdown, starts in ((1, 40), (5, 25)):
         for prompt in ((600, 9_000, 1_200, 700, 4_000) * 8)[:starts]:
-            speed.started(prompt, slowdown * (0.04 + prompt / 38_000))
-    assert speed.reading_seconds(9_000) > 3 * (0.04 + 9_000 / 38_000)
+            speed.record_start(prompt, slowdown * (0.04 + prompt / 38_000))
+    assert speed.prefill_seconds(9_000) > 3 * (0.04 + 9_000 / 38_000)
 
 
 def test_one_outlier_changes_the_estimate_little() -> None:
@@ -38,14 +38,14 @@
     # the engine after seconds. Neither shows the engine's speed.
     speed = engine_speed.EngineSpeed()
     before = speed.tokens_per_second
-    speed.started(6_000, 0.0)
+    speed.record_start(6_000, 0.0)
     assert speed.tokens_per_second < 1.5 * before
-    speed.started(6_000, 30.0)
+    speed.record_start(6_000, 30.0)
     assert speed.tokens_per_second > 0.8 * before
 
 
 def test_one_long_answer_doesnt_make_an_engine_look_blocked() -> None:
     speed = engine_speed.EngineSpeed()
-    before = speed.run_seconds
-    speed.ended(10 * before)
-    assert speed.run_seconds <= 2 * before
+    before = speed.mean_run_seconds
+    speed.record_end(10 * before)
+    assert speed.mean_run_seconds <= 2 * before
--- a/tests/policy/test_engine_schedule.py
+++ b/tests/policy/test_engine_schedule.py
@@ -119,8 +119,8 @@
     bench = engine_loads.Bench()
     bench.submit(0.0, engine_loads.ask("r", "a1"))
     bench.run(0.3)
-    granted = bench.schedule.granted("r")
-    assert granted is not None and granted.ask.request_id == "r"
+    granted = bench.schedule.find_grant("r")
+    assert granted is not None and granted.request.request_id == "r"
     assert bench.schedule.running == 1
 
 
@@ -129,11 +129,13 @@
     # The adapter slot and the memory of the request must not stay taken.
     bench = engine_loads.Bench()
     one = engine_loads.ask("lost", "a1", patience=2.0)
-    bench.schedule.offer(one, now_seconds=0.0)
+    bench.schedule.submit(one, now_seconds=0.0)
     for now in (0.0, 0.3):
         for action in bench.schedule.advance(now_seconds=now):
             if isinstance(action, engine_decisions.Load):
-                bench.places.ordered(action, done=False, now_seconds=now)
+                bench.adapter_slots.record_order(
+                    action, done=False, now_seconds=now
+                )
     assert bench.schedule.running == 1
     bench.schedule.advance(now_seconds=3.5)
     assert bench.schedule.running == 0
@@ -143,8 +145,8 @@
     # An instance restarts. Its earlier requests must not hold slots for
     # callers whose connections are gone.
     bench = engine_loads.Bench()
-    bench.schedule.offer(engine_loads.ask("r", "a1"), now_seconds=0.0)
-    bench.schedule.withdraw_where(
+    bench.schedule.submit(engine_loads.ask("r", "a1"), now_seconds=0.0)
+    bench.schedule.remove_where(
         lambda ask: ask.sender == engine_loads.SENDER, now_seconds=0.1
     )
     assert bench.schedule.queued == 0
@@ -185,7 +187,7 @@
     bench.run(0.01)
     assert bench.schedule.queued
     repeated = engine_loads.ask("r8", "a1", prompt=90_000)
-    assert bench.schedule.offer(repeated, now_seconds=0.02) is None
+    assert bench.schedule.submit(repeated, now_seconds=0.02) is None
     bench.run(10.0)
     assert bench.outcomes["r8"].started_seconds is not None
 
@@ -196,13 +198,13 @@
     # delay it would be refused again, and callers retry once. One that gives
     # up later is queued, and starts when its adapter is loaded.
     bench = engine_loads.Bench()
-    bench.places.orders_in_seconds = 2.0
+    bench.adapter_slots.orders_in_seconds = 2.0
     impatient = engine_loads.ask("impatient", "a1", patience=1.5)
-    refusal = bench.schedule.offer(impatient, now_seconds=0.0)
+    refusal = bench.schedule.submit(impatient, now_seconds=0.0)
     assert refusal is not None and refusal.reason == "orders_wait"
     assert refusal.retry_after_seconds >= 2.0
     patient = engine_loads.ask("patient", "a1", patience=4.0)
-    assert bench.schedule.offer(patient, now_seconds=0.0) is None
+    assert bench.schedule.submit(patient, now_seconds=0.0) is None
 
 
 def test_an_eager_request_that_would_be_late_is_refused() -> None:
@@ -212,15 +214,15 @@
     bench = engine_loads.Bench()
     for number in range(9):
         queued = engine_loads.ask(f"r{number}", "a1")
-        assert bench.schedule.offer(queued, now_seconds=0.0) is None
+        assert bench.schedule.submit(queued, now_seconds=0.0) is None
     eager = engine_loads.ask("eager", "a1")._replace(eager=True)
-    refusal = bench.schedule.offer(eager, now_seconds=0.0)
+    refusal = bench.schedule.submit(eager, now_seconds=0.0)
     assert refusal is not None
     assert refusal.reason == engine_schedule.BUSY
     assert refusal.wait_seconds > 0.5
     assert bench.schedule.queued == 9
     patient = eager._replace(eager=False)
-    assert bench.schedule.offer(patient, now_seconds=0.0) is None
+    assert bench.schedule.submit(patient, now_seconds=0.0) is None
 
 
 def test_an_eager_request_is_refused_without_an_idle_slot() -> None:
@@ -232,10 +234,10 @@
         bench.submit(0.0, held)
     bench.run(2.0)
     sixth = engine_loads.ask("sixth", "a9", at=2.0)._replace(eager=True)
-    refusal = bench.schedule.offer(sixth, now_seconds=2.0)
+    refusal = bench.schedule.submit(sixth, now_seconds=2.0)
     assert refusal is not None and refusal.reason == engine_schedule.BUSY
     held = engine_loads.ask("held", "a1", at=2.0)._replace(eager=True)
-    assert bench.schedule.offer(held, now_seconds=2.0) is None
+    assert bench.schedule.submit(held, now_seconds=2.0) is None
 
 
 def test_a_slot_goes_to_a_request_that_can_be_on_time() -> None:
@@ -266,7 +268,7 @@
         wanted = engine_loads.ask(
             f"r{number}", f"a{number}", at=at, output=250, patience=8.0
         )
-        bench.submit(at, wanted._replace(give_up_at_seconds=at + 4.0))
+        bench.submit(at, wanted._replace(queue_deadline_seconds=at + 4.0))
     bench.run(20.0)
     waited = [
         outcome.refused_seconds - arrivals[request_id]
@@ -288,8 +290,8 @@
     bench.run(1.5)
     for number in range(8):
         waits_for_slot = engine_loads.ask(f"w{number}", f"b{number}", at=1.5)
-        bench.schedule.offer(waits_for_slot, now_seconds=1.5)
+        bench.schedule.submit(waits_for_slot, now_seconds=1.5)
     assert bench.schedule.queued >= 4
     joining = engine_loads.ask("joining", "a1", at=1.5)._replace(eager=True)
-    assert bench.schedule.offer(joining, now_seconds=1.5) is None
+    assert bench.schedule.submit(joining, now_seconds=1.5) is None
     assert bench.schedule.backlog_seconds() < 0.5
--- a/tests/policy/test_prompt_spacing.py
+++ b/tests/policy/test_prompt_spacing.py
@@ -54,10 +54,10 @@
 def test_the_shortest_tolerated_pause_applies() -> None:
     speed = engine_speed.EngineSpeed()
     spacing = prompt_spacing.PromptSpacing(speed=speed)
-    spacing.gave(2_000, reads=False)
+    spacing.record_sent(2_000, is_prefilling=False)
     tokens = int(0.2 * speed.tokens_per_second)
     assert spacing.allows(tokens, [1.0, 0.0])
     assert not spacing.allows(tokens, [1.0, 0.2, 0.0])
-    spacing.gave(1_000, reads=True)
-    spacing.gave(1_000, reads=False)
+    spacing.record_sent(1_000, is_prefilling=True)
+    spacing.record_sent(1_000, is_prefilling=False)
     assert spacing.allows(tokens, [0.5])
