--- a/src/boragefold/coordination/configuration/service.py
+++ b/src/boragefold/coordination/configuration/service.py
@@ -256,7 +256,7 @@
 
 def _log_rejection(path: str, rejection: rejecting.Rejection) -> None:
     logging.warning(
-        "rejected revision %d of %s: %s; %s",
+        "revision %d of %s was not put into force: %s; %s",
         rejection.revision,
         path,
         rejection.rejected.reason,
@@ -265,7 +265,7 @@
 
 
 def _log_ready(ready: judging.Ready) -> None:
-    logging.info("the configuration is ready (source: %s)", ready.source)
+    logging.info("the configuration is ready, from the %s", ready.source)
 
 
 __all__ = [
