--- a/src/boragefold/bench/capacity_views.py
+++ b/src/boragefold/bench/capacity_views.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from boragefold.bench import virtual_process
-from boragefold.coordination import listing
+from boragefold.coordination import instance_list
 from boragefold.coordination import views
 from boragefold.protocol import envelope
 from boragefold.protocol import ids
@@ -30,7 +30,7 @@
 class ViewsCost(NamedTuple):
     """What one data centre's members send and receive, steadily.
 
-    Rates are sums of both directions. ``busiest`` is the steward.
+    Rates are sums of both directions. ``busiest`` is the leader.
     """
 
     members: int
@@ -101,7 +101,7 @@
         self.network = _Network()
         self.instances: list[views.Views] = []
         self.entries = [
-            listing.ListEntry(
+            instance_list.ListEntry(
                 f"10.{centre}.0.{member}:7000", f"dc-{centre:02d}", "live"
             )
             for centre in range(data_centres)
@@ -115,7 +115,7 @@
             first_delay_seconds=0.0,
         )
 
-    def start(self, index: int, entry: listing.ListEntry) -> views.Views:
+    def start(self, index: int, entry: instance_list.ListEntry) -> views.Views:
         source = random.Random(index)
         self_id = ids.InstanceId(
             entry.data_centre, entry.address, f"{source.getrandbits(128):032x}"
--- a/src/boragefold/coordination/founding.py
+++ b/src/boragefold/coordination/bootstrap.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 import dataclasses
 
-from boragefold.coordination import inquiry as inquiries
 from boragefold.coordination import link
+from boragefold.coordination import peer_status as peer_statuses
 from boragefold.coordination import quorum
 from boragefold.coordination import rights
 from boragefold.coordination import view_state
@@ -28,7 +28,7 @@
     ends: dict[ids.InstanceId, float]
 
 
-class Founding:
+class Bootstrap:
     """Bootstraps a view of all listed instances if none of them has a view.
 
     All have to agree: two instances whose lists differ could each find a
@@ -41,14 +41,14 @@
         *,
         peer_link: link.PeerLink,
         state: view_state.ViewState,
-        inquiry: inquiries.Inquiry,
+        peer_status: peer_statuses.PeerStatus,
         counters: telemetry.Counters,
         new_epoch: Callable[[], int],
         on_founded: Callable[[rights.View, dict[ids.InstanceId, float]], None],
     ) -> None:
         self._link = peer_link
         self._state = state
-        self._inquiry = inquiry
+        self._peer_status = peer_status
         self._counters = counters
         self._new_epoch = new_epoch
         self._on_founded = on_founded
@@ -120,7 +120,7 @@
             return None
         if not state.may_promise(state.self_id.incarnation):
             return None
-        answers = self._inquiry.answers()
+        answers = self._peer_status.answers()
         if answers is None:
             return None
         if any(one.standing.view_id != messages.NO_VIEW for one in answers):
@@ -131,7 +131,7 @@
     def _create_proposal(
         self, members: tuple[ids.InstanceId, ...]
     ) -> Proposal:
-        answers = self._inquiry.answers() or ()
+        answers = self._peer_status.answers() or ()
         heard_epoch = max(
             (one.standing.highest_id.epoch for one in answers), default=0
         )
@@ -179,6 +179,6 @@
 __all__ = [
     "HOLD_SECONDS",
     "RESEND_SECONDS",
-    "Founding",
+    "Bootstrap",
     "Proposal",
 ]
--- a/src/boragefold/coordination/directory.py
+++ b/src/boragefold/coordination/directory.py
@@ -6,8 +6,8 @@
 
 import xxhash
 
+from boragefold.coordination import instance_list as instance_lists
 from boragefold.coordination import link
-from boragefold.coordination import listing as listings
 from boragefold.coordination import quorum
 from boragefold.coordination import rights
 from boragefold.coordination import view_state
@@ -37,13 +37,13 @@
         peer_link: link.PeerLink,
         timer_service: timers.TimerService,
         state: view_state.ViewState,
-        listing: listings.Listing,
+        instance_list: instance_lists.InstanceList,
         random_source: random.Random,
     ) -> None:
         self._link = peer_link
         self._timers = timer_service
         self._state = state
-        self._listing = listing
+        self._instance_list = instance_list
         self._random = random_source
         self._others: dict[str, rights.View] = {}
 
@@ -136,10 +136,10 @@
 
     def _gossip_remote(self) -> None:
         view = self._state.view
-        others = self._listing.others()
+        others = self._instance_list.others()
         if view is None or not others:
             return
-        senders = {*view.members[:SPEAKERS], self._state.steward}
+        senders = {*view.members[:SPEAKERS], self._state.leader}
         if self._state.self_id not in senders:
             return
         data_centre = self._random.choice(sorted(others))
--- a/src/boragefold/coordination/election.py
+++ b/src/boragefold/coordination/election.py
@@ -6,9 +6,9 @@
 import random
 from typing import NamedTuple
 
-from boragefold.coordination import inquiry as inquiries
+from boragefold.coordination import instance_list as instance_lists
 from boragefold.coordination import link
-from boragefold.coordination import listing as listings
+from boragefold.coordination import peer_status as peer_statuses
 from boragefold.coordination import quorum
 from boragefold.coordination import rights
 from boragefold.coordination import view_state
@@ -22,7 +22,7 @@
 RETRY_SECONDS = 0.4
 
 
-class Victory(NamedTuple):
+class ElectionResult(NamedTuple):
     """A quorum's promises, and an undecided successor view to complete."""
 
     ballot: messages.Ballot
@@ -39,17 +39,17 @@
         *,
         peer_link: link.PeerLink,
         state: view_state.ViewState,
-        inquiry: inquiries.Inquiry,
+        peer_status: peer_statuses.PeerStatus,
         counters: telemetry.Counters,
         random_source: random.Random,
-        on_victory: Callable[[Victory], None],
+        on_won: Callable[[ElectionResult], None],
     ) -> None:
         self._link = peer_link
         self._state = state
-        self._inquiry = inquiry
+        self._peer_status = peer_status
         self._counters = counters
         self._random = random_source
-        self._on_victory = on_victory
+        self._on_won = on_won
         self._ballot = messages.NO_BALLOT
         self._promise_ends: dict[ids.InstanceId, float] = {}
         self._accepted: list[tuple[messages.Ballot, rights.View]] = []
@@ -66,7 +66,7 @@
         if view is None or state.is_outdated():
             self.running = False
             return
-        dead = self._inquiry.verified_dead()
+        dead = self._peer_status.verified_dead()
         voters = quorum.electorate(view, dead or ())
         if state.self_id not in voters or now_seconds < self._next_try_seconds:
             return
@@ -87,7 +87,7 @@
         self._ballot = messages.Ballot(
             self._highest_round, state.self_id.incarnation
         )
-        self._dead = self._inquiry.verified_dead()
+        self._dead = self._peer_status.verified_dead()
         self._promise_ends = {}
         self._accepted = []
         self._next_try_seconds = now_seconds + RETRY_SECONDS * (
@@ -151,10 +151,10 @@
         }
         alone_until_seconds = state.alone_until_seconds
         if self._dead is not None:
-            alone_until_seconds = now_seconds + listings.FRESH_SECONDS
+            alone_until_seconds = now_seconds + instance_lists.FRESH_SECONDS
         led_until_seconds = quorum.led_until_seconds(
             view,
-            steward=state.self_id,
+            leader=state.self_id,
             ends=ends,
             alone_until_seconds=alone_until_seconds,
             dead=self._dead or (),
@@ -169,8 +169,10 @@
             accepted.append((state.accepted_ballot, state.accepted))
         successor = max(accepted)[1] if accepted else None
         self._counters.add("view_elections", "won")
-        self._on_victory(
-            Victory(self._ballot, ends, self._dead or frozenset(), successor)
+        self._on_won(
+            ElectionResult(
+                self._ballot, ends, self._dead or frozenset(), successor
+            )
         )
 
 
@@ -178,5 +180,5 @@
     "RANK_SECONDS",
     "RETRY_SECONDS",
     "Election",
-    "Victory",
+    "ElectionResult",
 ]
--- a/src/boragefold/coordination/listing.py
+++ b/src/boragefold/coordination/instance_list.py
@@ -32,7 +32,7 @@
     state: Literal["live", "leaving"]
 
 
-class Listing:
+class InstanceList:
     """The last list, and since when addresses are on it or missing."""
 
     def __init__(self, *, self_id: ids.InstanceId) -> None:
@@ -185,5 +185,5 @@
     "SETTLED_SECONDS",
     "SKEW_SECONDS",
     "ListEntry",
-    "Listing",
+    "InstanceList",
 ]
--- a/src/boragefold/coordination/stewardship.py
+++ b/src/boragefold/coordination/leader_role.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 from boragefold.coordination import election as elections
-from boragefold.coordination import inquiry as inquiries
+from boragefold.coordination import instance_list as instance_lists
 from boragefold.coordination import leadership as leaderships
-from boragefold.coordination import listing as listings
+from boragefold.coordination import member_tracker as member_trackers
+from boragefold.coordination import peer_status as peer_statuses
 from boragefold.coordination import quorum
 from boragefold.coordination import rights
-from boragefold.coordination import roster as rosters
 from boragefold.coordination import view_changes
 from boragefold.coordination import view_state
 from boragefold.protocol import ids
@@ -21,26 +21,26 @@
 NUDGE_SECONDS = 0.2
 
 
-class Stewardship:
+class LeaderRole:
     """Leads the view as long as a quorum's promises last."""
 
     def __init__(
         self,
         *,
         state: view_state.ViewState,
-        inquiry: inquiries.Inquiry,
-        listing: listings.Listing,
+        peer_status: peer_statuses.PeerStatus,
+        instance_list: instance_lists.InstanceList,
         leadership: leaderships.Leadership,
-        roster: rosters.Roster,
+        member_tracker: member_trackers.MemberTracker,
         changes: view_changes.ViewChanges,
         counters: telemetry.Counters,
         new_epoch: Callable[[], int],
     ) -> None:
         self._state = state
-        self._inquiry = inquiry
-        self._listing = listing
+        self._peer_status = peer_status
+        self._instance_list = instance_list
         self._leadership = leadership
-        self._roster = roster
+        self._member_tracker = member_tracker
         self._changes = changes
         self._counters = counters
         self._new_epoch = new_epoch
@@ -54,21 +54,21 @@
         """
         return self._leadership.leading
 
-    def begin(self, victory: elections.Victory) -> None:
+    def begin(self, result: elections.ElectionResult) -> None:
         """Start to lead after an election.
 
-        :param victory: the result of the election
+        :param result: the result of the election
         """
         view = self._state.view
         if view is None:
             return
-        self._leadership.begin(victory.ballot, victory.ends, victory.dead)
-        self._roster.begin(view.members)
-        if victory.dead:
-            successor = self._successor_without(victory.dead, view)
+        self._leadership.begin(result.ballot, result.ends, result.dead)
+        self._member_tracker.begin(view.members)
+        if result.dead:
+            successor = self._successor_without(result.dead, view)
             self._changes.propose(successor, recovered=False)
-        elif victory.successor is not None:
-            self._changes.propose(victory.successor, recovered=True)
+        elif result.successor is not None:
+            self._changes.propose(result.successor, recovered=True)
         else:
             self._leadership.renew_own()
             self._requested_seconds = float("-inf")
@@ -85,13 +85,13 @@
         ballot = messages.Ballot(1, self._state.self_id.incarnation)
         self._state.promise(ballot, quorum.PROMISE_SECONDS)
         self._state.alone_until_seconds = (
-            self._state.now_seconds() + listings.FRESH_SECONDS
+            self._state.now_seconds() + instance_lists.FRESH_SECONDS
         )
         self._leadership.begin(ballot, ends, frozenset())
         for member in view.members:
             if member != self._state.self_id:
                 self.send_view(member)
-        self.begin(elections.Victory(ballot, ends, frozenset(), None))
+        self.begin(elections.ElectionResult(ballot, ends, frozenset(), None))
 
     def step_down(self) -> None:
         """Stop leading; granted leases last until they expire."""
@@ -118,8 +118,8 @@
         view = self._state.view
         if view is None or sender not in view.members:
             return
-        self._roster.hear(sender)
-        self._roster.hear_by_relay(view, sender, beat.quiet)
+        self._member_tracker.hear(sender)
+        self._member_tracker.hear_by_relay(view, sender, beat.quiet)
         if beat.round == self._leadership.ballot.round:
             if beat.echo_seconds > 0:
                 self._leadership.count(sender, beat.echo_seconds)
@@ -140,19 +140,19 @@
             return
         if sender in view.members:
             self.send_view(sender)
-        elif not self._listing.shows(sender.address):
+        elif not self._instance_list.shows(sender.address):
             self._counters.add("view_joins_refused", "not_listed")
         else:
-            self._roster.join(sender)
+            self._member_tracker.join(sender)
             if any(one.address == sender.address for one in view.members):
-                self._inquiry.ask(sender.address)
+                self._peer_status.ask(sender.address)
 
     def on_leave(self, sender: ids.InstanceId) -> None:
         """Record that a member, possibly this instance, asks to leave.
 
         :param sender: the member
         """
-        self._roster.leave(sender)
+        self._member_tracker.leave(sender)
         self._change_if_due()
 
     def send_view(self, to: ids.InstanceId) -> None:
@@ -164,7 +164,7 @@
             self._changes.send_view(to, self._state.view)
 
     def _request_heartbeats(self, view: rights.View) -> None:
-        silent = self._roster.silent(view)
+        silent = self._member_tracker.silent(view)
         now_seconds = self._state.now_seconds()
         if now_seconds - self._requested_seconds < NUDGE_SECONDS:
             return
@@ -178,7 +178,7 @@
             return
         if not self._leadership.holds():
             return
-        members = self._roster.members_after(view)
+        members = self._member_tracker.members_after(view)
         founded = view.number == quorum.FOUNDED_NUMBER
         if not members:
             self._end_view(view)
@@ -209,5 +209,5 @@
 
 __all__ = [
     "NUDGE_SECONDS",
-    "Stewardship",
+    "LeaderRole",
 ]
--- a/src/boragefold/coordination/leadership.py
+++ b/src/boragefold/coordination/leadership.py
@@ -52,7 +52,7 @@
         self.leading = True
         self.granting = True
         self._promise_ends = dict(ends)
-        self._state.steward = self._state.self_id
+        self._state.leader = self._state.self_id
 
     def end(self) -> None:
         """Stop leading; granted leases last until they expire."""
@@ -69,7 +69,7 @@
             return 0.0
         return quorum.led_until_seconds(
             view,
-            steward=self._state.self_id,
+            leader=self._state.self_id,
             ends=self._promise_ends,
             alone_until_seconds=self._state.alone_until_seconds,
             dead=self.dead,
--- a/src/boragefold/coordination/relaying.py
+++ b/src/boragefold/coordination/lease_relay.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from boragefold.coordination import link
+from boragefold.coordination import member_tracker as member_trackers
 from boragefold.coordination import quorum
 from boragefold.coordination import rights
-from boragefold.coordination import roster as rosters
 from boragefold.coordination import view_state
 from boragefold.protocol import ids
 from boragefold.protocol import view_messages as messages
 
 
-class Relaying:
+class LeaseRelay:
     """Grants members leases that expire no later than the relay's own.
 
     An instance that has waited for the relay's lease to expire has thereby
@@ -69,7 +69,7 @@
         if view is None:
             return ()
         suspect_before_seconds = (
-            self._state.now_seconds() - rosters.SUSPECT_SECONDS
+            self._state.now_seconds() - member_trackers.SUSPECT_SECONDS
         )
         return tuple(
             position
@@ -105,5 +105,5 @@
 
 
 __all__ = [
-    "Relaying",
+    "LeaseRelay",
 ]
--- a/src/boragefold/coordination/roster.py
+++ b/src/boragefold/coordination/member_tracker.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from collections.abc import Iterable
 
-from boragefold.coordination import inquiry as inquiries
 from boragefold.coordination import leadership as leaderships
+from boragefold.coordination import peer_status as peer_statuses
 from boragefold.coordination import quorum
 from boragefold.coordination import rights
 from boragefold.coordination import view_state
@@ -21,20 +21,20 @@
 GRACE_SECONDS = 0.6
 
 
-class Roster:
+class MemberTracker:
     """The leader's records of members and of instances that ask to join."""
 
     def __init__(
         self,
         *,
         state: view_state.ViewState,
-        inquiry: inquiries.Inquiry,
+        peer_status: peer_statuses.PeerStatus,
         leadership: leaderships.Leadership,
         counters: telemetry.Counters,
         on_suspect: Callable[[ids.InstanceId], None],
     ) -> None:
         self._state = state
-        self._inquiry = inquiry
+        self._peer_status = peer_status
         self._leadership = leadership
         self._counters = counters
         self._on_suspect = on_suspect
@@ -160,7 +160,7 @@
             return True
         if member == self._state.self_id:
             return False
-        if self._inquiry.is_replaced(member):
+        if self._peer_status.is_replaced(member):
             return True
         silent_seconds = self._state.now_seconds() - self._heard_seconds.get(
             member, 0.0
@@ -174,5 +174,5 @@
 __all__ = [
     "GRACE_SECONDS",
     "SUSPECT_SECONDS",
-    "Roster",
+    "MemberTracker",
 ]
--- a/src/boragefold/coordination/membership.py
+++ b/src/boragefold/coordination/membership.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from boragefold.coordination import election as elections
-from boragefold.coordination import inquiry as inquiries
+from boragefold.coordination import leader_role as leader_roles
+from boragefold.coordination import lease_relay as lease_relays
 from boragefold.coordination import link
+from boragefold.coordination import member_tracker as member_trackers
+from boragefold.coordination import peer_status as peer_statuses
 from boragefold.coordination import quorum
-from boragefold.coordination import relaying as relayings
 from boragefold.coordination import rights
-from boragefold.coordination import roster as rosters
-from boragefold.coordination import stewardship as stewardships
 from boragefold.coordination import view_state
 from boragefold.protocol import ids
 from boragefold.protocol import view_messages as messages
@@ -33,19 +33,19 @@
         *,
         peer_link: link.PeerLink,
         state: view_state.ViewState,
-        inquiry: inquiries.Inquiry,
+        peer_status: peer_statuses.PeerStatus,
         election: elections.Election,
-        stewardship: stewardships.Stewardship,
-        relaying: relayings.Relaying,
+        leader_role: leader_roles.LeaderRole,
+        lease_relay: lease_relays.LeaseRelay,
         counters: telemetry.Counters,
         on_suspect: Callable[[ids.InstanceId], None],
     ) -> None:
         self._link = peer_link
         self._state = state
-        self._inquiry = inquiry
+        self._peer_status = peer_status
         self._election = election
-        self._stewardship = stewardship
-        self._relaying = relaying
+        self._leader_role = leader_role
+        self._lease_relay = lease_relay
         self._counters = counters
         self._on_suspect = on_suspect
         self._echo_seconds = 0.0
@@ -57,8 +57,8 @@
     def tick(self) -> None:
         """Send the heartbeat, if it is due."""
         state = self._state
-        steward = state.steward
-        if state.is_outdated() or steward is None or steward == state.self_id:
+        leader = state.leader
+        if state.is_outdated() or leader is None or leader == state.self_id:
             return
         now_seconds = state.now_seconds()
         since_seconds = now_seconds - self._heartbeat_sent_seconds
@@ -70,10 +70,10 @@
             if answered
             else UNANSWERED_SECONDS
         ):
-            self._send_heartbeat(self._heartbeat_target(steward, answered))
+            self._send_heartbeat(self._heartbeat_target(leader, answered))
         silent_seconds = now_seconds - self._heartbeat_answered_seconds
-        if silent_seconds >= rosters.SUSPECT_SECONDS:
-            self._report_suspect(steward)
+        if silent_seconds >= member_trackers.SUSPECT_SECONDS:
+            self._report_suspect(leader)
 
     def on_renewal(
         self, sender: ids.InstanceId, renewal: messages.Renewal
@@ -132,7 +132,7 @@
             self._refuse(sender)
             return
         if ballot != state.promised:
-            self._stewardship.step_down()
+            self._leader_role.step_down()
         state.promise(ballot, quorum.PREPARE_SECONDS)
         accepted = state.accepted
         self._link.send(
@@ -163,14 +163,17 @@
         if not state.follow(ballot):
             self._refuse(sender)
             return
-        state.steward = sender
+        state.leader = sender
         state.accept(ballot, successor)
         now_seconds = state.now_seconds()
         self._heartbeat_sent_seconds = self._heartbeat_answered_seconds = (
             now_seconds
         )
         ack = messages.ChangeAck(
-            state.view_id(), change.round, now_seconds, self._relaying.left()
+            state.view_id(),
+            change.round,
+            now_seconds,
+            self._lease_relay.left(),
         )
         self._link.send(to=sender, body=ack)
 
@@ -215,7 +218,7 @@
                 and sender in view.members
                 and standing.view_id < state.view_id()
             ):
-                self._stewardship.send_view(sender)
+                self._leader_role.send_view(sender)
             return
         if (
             standing.view_id == messages.NO_VIEW
@@ -236,15 +239,15 @@
         sent_seconds: float,
     ) -> bool:
         state = self._state
-        is_new = ballot != state.promised or state.steward != sender
+        is_new = ballot != state.promised or state.leader != sender
         if sender.incarnation != ballot.owner or not state.follow(ballot):
             return False
         if sender != state.self_id:
-            self._stewardship.step_down()
+            self._leader_role.step_down()
         if is_new:
             self._echo_seconds = 0.0
             self._heartbeat_answered_seconds = state.now_seconds()
-        state.steward = sender
+        state.leader = sender
         self._suspected = False
         self._echo_seconds = max(self._echo_seconds, sent_seconds)
         return True
@@ -254,27 +257,27 @@
         refusal = messages.Refusal(state.view_id(), state.promised)
         self._link.send(to=sender, body=refusal)
 
-    def _send_heartbeat(self, steward: ids.InstanceId) -> None:
+    def _send_heartbeat(self, leader: ids.InstanceId) -> None:
         state = self._state
         self._heartbeat_sent_seconds = state.now_seconds()
         self._link.send(
-            to=steward,
+            to=leader,
             body=messages.Beat(
                 view_id=state.view_id(),
                 round=state.promised.round,
                 echo_seconds=self._echo_seconds,
                 sent_seconds=self._heartbeat_sent_seconds,
-                quiet=self._relaying.quiet(),
+                quiet=self._lease_relay.quiet(),
             ),
         )
 
     def _heartbeat_target(
-        self, steward: ids.InstanceId, answered: bool
+        self, leader: ids.InstanceId, answered: bool
     ) -> ids.InstanceId:
         # An unanswered heartbeat goes to the leader, as the relay may be dead.
         view = self._state.view
         relay = view and quorum.relay_of(view, self._state.self_id)
-        return relay if relay and answered else steward
+        return relay if relay and answered else leader
 
     def _heartbeat_period_seconds(self) -> float:
         view = self._state.view
@@ -282,11 +285,11 @@
             return BEAT_SECONDS
         return SLOW_BEAT_SECONDS
 
-    def _report_suspect(self, steward: ids.InstanceId) -> None:
+    def _report_suspect(self, leader: ids.InstanceId) -> None:
         if not self._suspected:
             self._suspected = True
             self._counters.add("view_suspects", "steward_silent")
-            self._on_suspect(steward)
+            self._on_suspect(leader)
 
 
 __all__ = [
--- a/src/boragefold/coordination/inquiry.py
+++ b/src/boragefold/coordination/peer_status.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
+from boragefold.coordination import instance_list as instance_lists
 from boragefold.coordination import link
-from boragefold.coordination import listing as listings
 from boragefold.coordination import view_state
 from boragefold.protocol import ids
 from boragefold.protocol import view_messages as messages
@@ -16,7 +16,7 @@
 
 # Two queries in a row may be lost. An instance that answered that there is no
 # leader can't become the leader later because of a list without this instance.
-ANSWER_SECONDS = listings.MATURE_SECONDS - listings.SKEW_SECONDS
+ANSWER_SECONDS = instance_lists.MATURE_SECONDS - instance_lists.SKEW_SECONDS
 
 # After this time no message to an earlier incarnation is still in transit.
 HEARD_SECONDS = 5.0
@@ -30,7 +30,7 @@
     standing: messages.Standing
 
 
-class Inquiry:
+class PeerStatus:
     """Queries the addresses of this data centre and stores the answers."""
 
     def __init__(
@@ -38,11 +38,11 @@
         *,
         peer_link: link.PeerLink,
         state: view_state.ViewState,
-        listing: listings.Listing,
+        instance_list: instance_lists.InstanceList,
     ) -> None:
         self._link = peer_link
         self._state = state
-        self._listing = listing
+        self._instance_list = instance_list
         self._last_query_seconds = float("-inf")
         self._answers: dict[str, Answer] = {}
         self._heard_seconds: dict[str, float] = {}
@@ -83,9 +83,11 @@
             address
             for address, heard_seconds in self._heard_seconds.items()
             if now_seconds - heard_seconds < HEARD_SECONDS
-            and not self._listing.settled(address)
+            and not self._instance_list.settled(address)
         }
-        return tuple(sorted(heard.union(self._listing.peers(now_seconds))))
+        return tuple(
+            sorted(heard.union(self._instance_list.peers(now_seconds)))
+        )
 
     def note_heard(self, sender: ids.InstanceId) -> None:
         """Record that an instance of this data centre has sent a message.
@@ -145,8 +147,8 @@
             member, now_seconds
         )
         return (
-            now_seconds - since_seconds >= listings.MATURE_SECONDS
-            or self._listing.gone(
+            now_seconds - since_seconds >= instance_lists.MATURE_SECONDS
+            or self._instance_list.gone(
                 member.address, known_since_seconds, now_seconds
             )
         )
@@ -161,7 +163,7 @@
             list is not fresh or does not show this instance
         """
         now_seconds = self._state.now_seconds()
-        if not self._listing.is_steady(now_seconds):
+        if not self._instance_list.is_steady(now_seconds):
             return None
         found = [self._answers.get(one) for one in self.addresses()]
         recent = [
@@ -201,7 +203,7 @@
         if set(state.view.members) - answered - dead:
             return None
         # The last list may lack an instance that has started since.
-        if not dead and uncovered_seconds < listings.MATURE_SECONDS:
+        if not dead and uncovered_seconds < instance_lists.MATURE_SECONDS:
             return None
         return dead
 
@@ -233,5 +235,5 @@
     "ASK_PERIOD_SECONDS",
     "HEARD_SECONDS",
     "Answer",
-    "Inquiry",
+    "PeerStatus",
 ]
--- a/src/boragefold/coordination/quorum.py
+++ b/src/boragefold/coordination/quorum.py
@@ -115,7 +115,7 @@
 def led_until_seconds(
     view: rights.View,
     *,
-    steward: ids.InstanceId,
+    leader: ids.InstanceId,
     ends: Mapping[ids.InstanceId, float],
     alone_until_seconds: float,
     dead: Collection[ids.InstanceId] = (),
@@ -127,7 +127,7 @@
     dropped it the others may take over, which it could not notice.
 
     :param view: the view
-    :param steward: the leader
+    :param leader: the leader
     :param ends: when each voter's promise ends, on the leader's clock
     :param alone_until_seconds: until when the leader may lead alone
     :param dead: members that the list or a new process shows as dead
@@ -141,10 +141,10 @@
         return sorted_ends[-1]
     half = len(voters) // 2
     majority_end = sorted_ends[half]
-    if len(voters) % 2 or steward != view.members[0]:
+    if len(voters) % 2 or leader != view.members[0]:
         return majority_end
     tie_end = min(
-        sorted_ends[half - 1], ends.get(steward, 0.0), alone_until_seconds
+        sorted_ends[half - 1], ends.get(leader, 0.0), alone_until_seconds
     )
     return max(majority_end, tie_end)
 
--- a/src/boragefold/coordination/view_changes.py
+++ b/src/boragefold/coordination/view_changes.py
@@ -4,12 +4,12 @@
 
 import dataclasses
 
-from boragefold.coordination import inquiry as inquiries
 from boragefold.coordination import leadership as leaderships
 from boragefold.coordination import link
+from boragefold.coordination import member_tracker as member_trackers
+from boragefold.coordination import peer_status as peer_statuses
 from boragefold.coordination import quorum
 from boragefold.coordination import rights
-from boragefold.coordination import roster as rosters
 from boragefold.coordination import view_state
 from boragefold.protocol import ids
 from boragefold.protocol import view_messages as messages
@@ -39,16 +39,16 @@
         *,
         peer_link: link.PeerLink,
         state: view_state.ViewState,
-        inquiry: inquiries.Inquiry,
+        peer_status: peer_statuses.PeerStatus,
         leadership: leaderships.Leadership,
-        roster: rosters.Roster,
+        member_tracker: member_trackers.MemberTracker,
         counters: telemetry.Counters,
     ) -> None:
         self._link = peer_link
         self._state = state
-        self._inquiry = inquiry
+        self._peer_status = peer_status
         self._leadership = leadership
-        self._roster = roster
+        self._member_tracker = member_tracker
         self._counters = counters
         self._pending: Pending | None = None
 
@@ -103,7 +103,7 @@
             or ack.round != self._leadership.ballot.round
         ):
             return
-        self._roster.hear(sender)
+        self._member_tracker.hear(sender)
         if sender not in pending.accepted:
             for position, left_seconds in ack.relayed:
                 member = view.members[position]
@@ -180,7 +180,7 @@
 
     def _has_stopped(self, member: ids.InstanceId, view: rights.View) -> bool:
         accepted = self._pending.accepted if self._pending else set()
-        if member in accepted or self._inquiry.is_replaced(member):
+        if member in accepted or self._peer_status.is_replaced(member):
             return True
         return self._leadership.has_ended(
             member
@@ -202,7 +202,7 @@
             self._leadership.renew_own()
         else:
             self._leadership.end()
-        self._roster.installed(successor)
+        self._member_tracker.installed(successor)
         for member in dict.fromkeys((*view.members, *successor.members)):
             if member != state.self_id:
                 self._install_at(member, successor, pending)
--- a/src/boragefold/coordination/view_router.py
+++ b/src/boragefold/coordination/view_router.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 from typing import TypeVar
 
+from boragefold.coordination import bootstrap as bootstraps
 from boragefold.coordination import directory as directories
 from boragefold.coordination import election as elections
-from boragefold.coordination import founding as foundings
-from boragefold.coordination import inquiry as inquiries
+from boragefold.coordination import leader_role as leader_roles
 from boragefold.coordination import leadership as leaderships
+from boragefold.coordination import lease_relay as lease_relays
 from boragefold.coordination import link
 from boragefold.coordination import membership as memberships
-from boragefold.coordination import relaying as relayings
-from boragefold.coordination import stewardship as stewardships
+from boragefold.coordination import peer_status as peer_statuses
 from boragefold.coordination import view_changes
 from boragefold.coordination import view_state
 from boragefold.protocol import ids
@@ -42,14 +42,14 @@
         *,
         peer_link: link.PeerLink,
         state: view_state.ViewState,
-        inquiry: inquiries.Inquiry,
+        peer_status: peer_statuses.PeerStatus,
         leadership: leaderships.Leadership,
         election: elections.Election,
-        founding: foundings.Founding,
-        stewardship: stewardships.Stewardship,
+        bootstrap: bootstraps.Bootstrap,
+        leader_role: leader_roles.LeaderRole,
         changes: view_changes.ViewChanges,
         membership: memberships.Membership,
-        relaying: relayings.Relaying,
+        lease_relay: lease_relays.LeaseRelay,
         directory: directories.Directory,
         counters: telemetry.Counters,
         is_leaving: Callable[[], bool],
@@ -57,14 +57,14 @@
     ) -> None:
         self._link = peer_link
         self._state = state
-        self._inquiry = inquiry
+        self._peer_status = peer_status
         self._leadership = leadership
         self._election = election
-        self._founding = founding
-        self._stewardship = stewardship
+        self._bootstrap = bootstrap
+        self._leader_role = leader_role
         self._changes = changes
         self._membership = membership
-        self._relaying = relaying
+        self._lease_relay = lease_relay
         self._directory = directory
         self._counters = counters
         self._is_leaving = is_leaving
@@ -75,12 +75,12 @@
         self._subscribe(messages.Greeting, self._on_greeting)
         self._subscribe(messages.Standing, self._on_standing)
         self._subscribe(
-            messages.Join, lambda peer, _: self._stewardship.on_join(peer)
+            messages.Join, lambda peer, _: self._leader_role.on_join(peer)
         )
         self._subscribe(messages.Leave, lambda peer, _: self._on_leave(peer))
         self._subscribe(messages.Install, self._membership.on_install)
-        self._subscribe(messages.Foundation, self._founding.on_foundation)
-        self._subscribe(messages.FoundationAck, self._founding.on_ack)
+        self._subscribe(messages.Foundation, self._bootstrap.on_foundation)
+        self._subscribe(messages.FoundationAck, self._bootstrap.on_ack)
         self._subscribe_same_view(messages.Beat, self._on_beat)
         self._subscribe_same_view(
             messages.Renewal, self._membership.on_renewal
@@ -107,7 +107,7 @@
             if sender.data_centre != self._state.self_id.data_centre:
                 self._counters.add("view_messages_dropped", "data_centre")
                 return
-            self._inquiry.note_heard(sender)
+            self._peer_status.note_heard(sender)
             handler(sender, body)
             self._on_handled()
 
@@ -147,7 +147,7 @@
                 view_id=messages.NO_VIEW if outdated else state.view_id(),
                 highest_id=state.highest_id,
                 covered=state.covered(),
-                steward=None if outdated else state.steward,
+                steward=None if outdated else state.leader,
             ),
         )
 
@@ -155,7 +155,7 @@
         self, sender: ids.InstanceId, standing: messages.Standing
     ) -> None:
         if standing.echo_seconds > 0:
-            self._inquiry.note_answer(sender, standing)
+            self._peer_status.note_answer(sender, standing)
         if not self._is_leaving() or not self._state.is_outdated():
             self._membership.on_standing(sender, standing)
 
@@ -163,27 +163,27 @@
         view = self._state.view
         if view is not None and sender not in view.members:
             self._send_standing(sender, 0.0)
-        elif self._stewardship.leading:
-            self._stewardship.on_leave(sender)
+        elif self._leader_role.leading:
+            self._leader_role.on_leave(sender)
 
     def _on_beat(self, sender: ids.InstanceId, beat: messages.Beat) -> None:
-        if self._stewardship.leading:
-            self._stewardship.on_beat(sender, beat)
+        if self._leader_role.leading:
+            self._leader_role.on_beat(sender, beat)
         else:
-            self._relaying.on_beat(sender, beat)
+            self._lease_relay.on_beat(sender, beat)
 
     def _on_refusal(
         self, sender: ids.InstanceId, refusal: messages.Refusal
     ) -> None:
         self._election.note_round(refusal.ballot.round)
-        if not self._stewardship.leading:
+        if not self._leader_role.leading:
             return
         if refusal.ballot <= self._leadership.ballot:
             return
         # This voter would never accept a lower ballot, so a new election with
         # a higher one is needed.
         self._counters.add("view_steward_ended", "higher_ballot")
-        self._stewardship.step_down()
+        self._leader_role.step_down()
         self._election.start()
 
 
--- a/src/boragefold/coordination/view_state.py
+++ b/src/boragefold/coordination/view_state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from boragefold.coordination import listing as listings
+from boragefold.coordination import instance_list as instance_lists
 from boragefold.coordination import quorum
 from boragefold.coordination import rights
 from boragefold.protocol import ids
@@ -18,14 +18,14 @@
         *,
         self_id: ids.InstanceId,
         timer_service: timers.TimerService,
-        listing: listings.Listing,
+        instance_list: instance_lists.InstanceList,
     ) -> None:
         self._timers = timer_service
-        self._listing = listing
+        self._instance_list = instance_list
         self.self_id = self_id
         self.view: rights.View | None = None
         self.highest_id = messages.NO_VIEW
-        self.steward: ids.InstanceId | None = None
+        self.leader: ids.InstanceId | None = None
         self.promised = messages.NO_BALLOT
         self.promise_until_seconds = 0.0
         self.accepted_ballot = messages.NO_BALLOT
@@ -192,10 +192,10 @@
             self.uncovered_since_seconds = now_seconds
         if not covered and now_seconds >= self.alone_until_seconds:
             return
-        if not self._listing.shows(self.self_id.address):
+        if not self._instance_list.shows(self.self_id.address):
             return
-        until_seconds = self._listing.fresh_until_seconds()
-        if not self._listing.peers(now_seconds):
+        until_seconds = self._instance_list.fresh_until_seconds()
+        if not self._instance_list.peers(now_seconds):
             until_seconds = now_seconds + quorum.PROMISE_SECONDS
         self.alone_until_seconds = max(self.alone_until_seconds, until_seconds)
 
--- a/src/boragefold/coordination/views.py
+++ b/src/boragefold/coordination/views.py
@@ -8,18 +8,18 @@
 
 from absl import logging
 
+from boragefold.coordination import bootstrap as bootstraps
 from boragefold.coordination import directory as directories
 from boragefold.coordination import election as elections
-from boragefold.coordination import founding as foundings
-from boragefold.coordination import inquiry as inquiries
+from boragefold.coordination import instance_list as instance_lists
+from boragefold.coordination import leader_role as leader_roles
 from boragefold.coordination import leadership as leaderships
+from boragefold.coordination import lease_relay as lease_relays
 from boragefold.coordination import link
-from boragefold.coordination import listing as listings
+from boragefold.coordination import member_tracker as member_trackers
 from boragefold.coordination import membership as memberships
-from boragefold.coordination import relaying as relayings
+from boragefold.coordination import peer_status as peer_statuses
 from boragefold.coordination import rights
-from boragefold.coordination import roster as rosters
-from boragefold.coordination import stewardship as stewardships
 from boragefold.coordination import view_changes
 from boragefold.coordination import view_router
 from boragefold.coordination import view_state
@@ -63,21 +63,25 @@
         self._leaving = False
         self._started = False
         suspect = on_suspect or (lambda peer: None)
-        self._listing = listings.Listing(self_id=peer_link.self_id)
+        self._instance_list = instance_lists.InstanceList(
+            self_id=peer_link.self_id
+        )
         self._state = view_state.ViewState(
             self_id=peer_link.self_id,
             timer_service=timer_service,
-            listing=self._listing,
+            instance_list=self._instance_list,
         )
-        self._inquiry = inquiries.Inquiry(
-            peer_link=peer_link, state=self._state, listing=self._listing
+        self._peer_status = peer_statuses.PeerStatus(
+            peer_link=peer_link,
+            state=self._state,
+            instance_list=self._instance_list,
         )
         leadership = leaderships.Leadership(
             peer_link=peer_link, state=self._state, counters=counters
         )
-        roster = rosters.Roster(
+        member_tracker = member_trackers.MemberTracker(
             state=self._state,
-            inquiry=self._inquiry,
+            peer_status=self._peer_status,
             leadership=leadership,
             counters=counters,
             on_suspect=suspect,
@@ -85,18 +89,20 @@
         changes = view_changes.ViewChanges(
             peer_link=peer_link,
             state=self._state,
-            inquiry=self._inquiry,
+            peer_status=self._peer_status,
             leadership=leadership,
-            roster=roster,
+            member_tracker=member_tracker,
             counters=counters,
         )
-        relaying = relayings.Relaying(peer_link=peer_link, state=self._state)
-        self._stewardship = stewardships.Stewardship(
+        lease_relay = lease_relays.LeaseRelay(
+            peer_link=peer_link, state=self._state
+        )
+        self._leader_role = leader_roles.LeaderRole(
             state=self._state,
-            inquiry=self._inquiry,
-            listing=self._listing,
+            peer_status=self._peer_status,
+            instance_list=self._instance_list,
             leadership=leadership,
-            roster=roster,
+            member_tracker=member_tracker,
             changes=changes,
             counters=counters,
             new_epoch=self._new_epoch,
@@ -104,26 +110,26 @@
         self._election = elections.Election(
             peer_link=peer_link,
             state=self._state,
-            inquiry=self._inquiry,
+            peer_status=self._peer_status,
             counters=counters,
             random_source=random_source,
-            on_victory=self._stewardship.begin,
+            on_won=self._leader_role.begin,
         )
-        self._founding = foundings.Founding(
+        self._bootstrap = bootstraps.Bootstrap(
             peer_link=peer_link,
             state=self._state,
-            inquiry=self._inquiry,
+            peer_status=self._peer_status,
             counters=counters,
             new_epoch=self._new_epoch,
-            on_founded=self._stewardship.found,
+            on_founded=self._leader_role.found,
         )
         self._membership = memberships.Membership(
             peer_link=peer_link,
             state=self._state,
-            inquiry=self._inquiry,
+            peer_status=self._peer_status,
             election=self._election,
-            stewardship=self._stewardship,
-            relaying=relaying,
+            leader_role=self._leader_role,
+            lease_relay=lease_relay,
             counters=counters,
             on_suspect=suspect,
         )
@@ -131,20 +137,20 @@
             peer_link=peer_link,
             timer_service=timer_service,
             state=self._state,
-            listing=self._listing,
+            instance_list=self._instance_list,
             random_source=random_source,
         )
         view_router.ViewRouter(
             peer_link=peer_link,
             state=self._state,
-            inquiry=self._inquiry,
+            peer_status=self._peer_status,
             leadership=leadership,
             election=self._election,
-            founding=self._founding,
-            stewardship=self._stewardship,
+            bootstrap=self._bootstrap,
+            leader_role=self._leader_role,
             changes=changes,
             membership=self._membership,
-            relaying=relaying,
+            lease_relay=lease_relay,
             directory=self._directory,
             counters=counters,
             is_leaving=lambda: self._leaving,
@@ -160,12 +166,12 @@
         return self._state.self_id
 
     @property
-    def is_steward(self) -> bool:
+    def is_leader(self) -> bool:
         """Return whether this instance leads the view.
 
         :return: whether it does, as far as it knows
         """
-        return self._stewardship.leading
+        return self._leader_role.leading
 
     @property
     def has_left(self) -> bool:
@@ -183,12 +189,12 @@
         self._timers.every(period_seconds=TICK_SECONDS, callback=self._tick)
         self._directory.start()
 
-    def update_list(self, entries: Iterable[listings.ListEntry]) -> None:
+    def update_list(self, entries: Iterable[instance_lists.ListEntry]) -> None:
         """Store the platform's list after each read, changed or not.
 
         :param entries: all instances of all data centres
         """
-        self._listing.update(entries, self._timers.now_seconds())
+        self._instance_list.update(entries, self._timers.now_seconds())
         self._state.follow_time()
 
     def leave(self) -> None:
@@ -230,24 +236,24 @@
 
     def _tick(self) -> None:
         self._state.follow_time()
-        self._stewardship.tick()
+        self._leader_role.tick()
         self._membership.tick()
-        self._inquiry.tick()
-        if not self._stewardship.leading:
+        self._peer_status.tick()
+        if not self._leader_role.leading:
             self._election.tick()
         if self._leaving:
             self._ask_to_leave()
         else:
-            self._founding.tick()
-        self._inquiry.forget()
+            self._bootstrap.tick()
+        self._peer_status.forget()
         self._notify_subscribers()
 
     def _ask_to_leave(self) -> None:
-        steward = self._state.steward
-        if self._stewardship.leading:
-            self._stewardship.on_leave(self.self_id)
-        elif steward is not None and not self._state.is_outdated():
-            self._link.send(to=steward, body=messages.Leave())
+        leader = self._state.leader
+        if self._leader_role.leading:
+            self._leader_role.on_leave(self.self_id)
+        elif leader is not None and not self._state.is_outdated():
+            self._link.send(to=leader, body=messages.Leave())
 
     def _notify_subscribers(self) -> None:
         view = self.valid_view()
--- a/src/boragefold/entry/inspection.py
+++ b/src/boragefold/entry/inspection.py
@@ -64,7 +64,7 @@
             },
             "view": view,
             "view_valid_for_seconds": self._together.views.valid_for_seconds(),
-            "is_steward": self._together.views.is_steward,
+            "is_steward": self._together.views.is_leader,
             "adapters": len(self._together.catalogue.adapters),
             "open_chats": self._desk.open_chats,
             "tickets_recorded": len(self._together.register),
--- a/src/boragefold/entry/together.py
+++ b/src/boragefold/entry/together.py
@@ -9,7 +9,7 @@
 from boragefold.coordination.configuration import listing as list_polling
 from boragefold.coordination.configuration import reader as readers
 from boragefold.coordination.configuration import service as configuration
-import boragefold.coordination.listing as listings
+import boragefold.coordination.instance_list as instance_lists
 import boragefold.coordination.load_budget as load_budgets
 from boragefold.coordination.once import reach as reaches
 from boragefold.coordination.once import register as registers
@@ -149,7 +149,7 @@
 
     def _listed(self, listing: platform_api.Listing) -> None:
         self.views.update_list(
-            listings.ListEntry(
+            instance_lists.ListEntry(
                 instance.address, instance.data_centre, instance.state
             )
             for instance in listing.instances
--- a/src/boragefold/protocol/view_messages.py
+++ b/src/boragefold/protocol/view_messages.py
@@ -57,15 +57,15 @@
 
 
 class Join(NamedTuple):
-    """Asks the steward to be taken into the next view."""
+    """Asks the leader to be taken into the next view."""
 
 
 class Leave(NamedTuple):
-    """Asks the steward to be left out of the next view."""
+    """Asks the leader to be left out of the next view."""
 
 
 class Beat(NamedTuple):
-    """A member's heartbeat; confirms the promise that it gave the steward.
+    """A member's heartbeat; confirms the promise that it gave the leader.
 
     ``quiet`` has the places in the view of those members that should beat to
     the sender and don't.
@@ -89,7 +89,7 @@
 
 
 class Relayed(NamedTuple):
-    """Answers a heartbeat in the steward's stead, with a shorter lease."""
+    """Answers a heartbeat in the leader's stead, with a shorter lease."""
 
     view_id: ViewId
     ballot: Ballot
--- a/tests/coordination/test_quorum.py
+++ b/tests/coordination/test_quorum.py
@@ -66,7 +66,7 @@
     assert (
         quorum.led_until_seconds(
             view(count),
-            steward=MEMBERS[0],
+            leader=MEMBERS[0],
             ends=dict(zip(MEMBERS, ends, strict=False)),
             alone_until_seconds=7.0,
         )
@@ -78,7 +78,7 @@
     ends = {MEMBERS[0]: 5.0, MEMBERS[1]: 9.0}
     assert (
         quorum.led_until_seconds(
-            view(2), steward=MEMBERS[1], ends=ends, alone_until_seconds=20.0
+            view(2), leader=MEMBERS[1], ends=ends, alone_until_seconds=20.0
         )
         == 5.0
     )
--- a/tests/coordination/test_view_changes.py
+++ b/tests/coordination/test_view_changes.py
@@ -1,11 +1,11 @@
 from __future__ import annotations
 
-from boragefold.coordination import inquiry
+from boragefold.coordination import instance_list
 from boragefold.coordination import leadership as leaderships
-from boragefold.coordination import listing
+from boragefold.coordination import member_tracker
+from boragefold.coordination import peer_status
 from boragefold.coordination import quorum
 from boragefold.coordination import rights
-from boragefold.coordination import roster
 from boragefold.coordination import view_changes
 from boragefold.coordination import view_state
 from boragefold.protocol import ids
@@ -24,14 +24,14 @@
         self.network.clock.move_to(100.0)
         self.node = networks.Node(network=self.network, self_id=MEMBERS[0])
         counters = telemetry.Counters()
-        own_listing = listing.Listing(self_id=MEMBERS[0])
+        own_list = instance_list.InstanceList(self_id=MEMBERS[0])
         self.state = view_state.ViewState(
             self_id=MEMBERS[0],
             timer_service=self.node.timers,
-            listing=own_listing,
+            instance_list=own_list,
         )
-        self.inquiry = inquiry.Inquiry(
-            peer_link=self.node.link, state=self.state, listing=own_listing
+        self.peer_status = peer_status.PeerStatus(
+            peer_link=self.node.link, state=self.state, instance_list=own_list
         )
         self.leadership = leaderships.Leadership(
             peer_link=self.node.link, state=self.state, counters=counters
@@ -39,11 +39,11 @@
         self.changes = view_changes.ViewChanges(
             peer_link=self.node.link,
             state=self.state,
-            inquiry=self.inquiry,
+            peer_status=self.peer_status,
             leadership=self.leadership,
-            roster=roster.Roster(
+            member_tracker=member_tracker.MemberTracker(
                 state=self.state,
-                inquiry=self.inquiry,
+                peer_status=self.peer_status,
                 leadership=self.leadership,
                 counters=counters,
                 on_suspect=lambda member: None,
@@ -130,7 +130,7 @@
         100.5, messages.NO_VIEW, messages.NO_VIEW, False, None
     )
     restarted = MEMBERS[1]._replace(incarnation="new")
-    leader.inquiry.note_answer(restarted, standing)
+    leader.peer_status.note_answer(restarted, standing)
     leader.changes.propose(
         leader.view._replace(number=3, members=MEMBERS[:1] + MEMBERS[2:8]),
         recovered=False,
--- a/tests/coordination/test_view_state.py
+++ b/tests/coordination/test_view_state.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from boragefold.coordination import listing as listings
+from boragefold.coordination import instance_list as instance_lists
 from boragefold.coordination import rights
 from boragefold.coordination import view_state
 from boragefold.protocol import ids
@@ -20,7 +20,7 @@
     state = view_state.ViewState(
         self_id=A,
         timer_service=timers.TimerService(clock=clock),
-        listing=listings.Listing(self_id=A),
+        instance_list=instance_lists.InstanceList(self_id=A),
     )
     state.install(view(1, 2), messages.Ballot(3, "x"))
     return state, clock
--- a/tests/coordination/test_views_faults.py
+++ b/tests/coordination/test_views_faults.py
@@ -26,7 +26,7 @@
     (found,) = [
         instance
         for instance in fleet.instances.values()
-        if instance.views.is_steward
+        if instance.views.is_leader
     ]
     return found
 
@@ -72,15 +72,15 @@
 
 
 @pytest.mark.parametrize("count", [2, 3, 7])
-@pytest.mark.parametrize("is_steward", [True, False])
-def test_a_planned_leave_is_fast(count: int, is_steward: bool) -> None:
+@pytest.mark.parametrize("is_leader", [True, False])
+def test_a_planned_leave_is_fast(count: int, is_leader: bool) -> None:
     # An instance is stopped for a new release. It hands over its rights before
     # it exits, so nobody waits for a lease and callers see almost no gap.
     network, fleet, _ = settled_fleet(count)
     leaver = next(
         one
         for one in fleet.instances.values()
-        if one.views.is_steward == is_steward
+        if one.views.is_leader == is_leader
     )
     gap_seconds = 0.0
     leaver.views.leave()
@@ -279,7 +279,7 @@
     # The connection to a member is dead while a new one would work. The
     # transport is told in time to replace it, and the member stays.
     network, fleet, instances = settled_fleet(3)
-    silent = next(one for one in instances if not one.views.is_steward)
+    silent = next(one for one in instances if not one.views.is_leader)
     leader = leader_of(fleet)
     before = fleet.agreed("a")
     cut_between(network, {silent}, set(instances) - {silent})
@@ -296,7 +296,7 @@
     # renewal, the lease would outlast the leader's record of it, and the
     # member's rights would move while it still uses them.
     network, _, instances = settled_fleet(3)
-    member = next(one for one in instances if not one.views.is_steward)
+    member = next(one for one in instances if not one.views.is_leader)
     network.delay_seconds = (0.7, 0.7)
     network.run_for(2.0)
     for _ in range(100):
--- a/tests/fakes/fleet.py
+++ b/tests/fakes/fleet.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 import random
 
-from boragefold.coordination import listing
+from boragefold.coordination import instance_list
 from boragefold.coordination import rights
 from boragefold.coordination import views
 from boragefold.telemetry import counters
@@ -64,9 +64,9 @@
         self.platform_up = True
         self.instances: dict[str, Instance] = {}
         self.checks = 0
-        self._history: list[tuple[float, tuple[listing.ListEntry, ...]]] = [
-            (float("-inf"), ())
-        ]
+        self._history: list[
+            tuple[float, tuple[instance_list.ListEntry, ...]]
+        ] = [(float("-inf"), ())]
         network.after_step = self.check
 
     def start(
@@ -108,14 +108,14 @@
             entry for entry in self._history[-1][1] if entry.address != address
         }
         if shown:
-            entries.add(listing.ListEntry(address, data_centre, "live"))
+            entries.add(instance_list.ListEntry(address, data_centre, "live"))
         self._history.append(
             (self.network.clock.now_seconds(), tuple(sorted(entries)))
         )
 
     def listed(
         self, lag_seconds: float, reader: str
-    ) -> Iterable[listing.ListEntry]:
+    ) -> Iterable[instance_list.ListEntry]:
         as_of_seconds = self.network.clock.now_seconds() - lag_seconds
         return next(
             entries
--- a/tests/fakes/recovery.py
+++ b/tests/fakes/recovery.py
@@ -24,21 +24,21 @@
     return fleet
 
 
-def pick(fleet: fleets.Fleet, *, steward: bool) -> fleets.Instance:
+def pick(fleet: fleets.Fleet, *, leader: bool) -> fleets.Instance:
     return next(
         one
         for one in fleet.instances.values()
-        if one.views.is_steward == steward
+        if one.views.is_leader == leader
     )
 
 
-def killed(fleet: fleets.Fleet, *, steward: bool) -> float:
-    fleet.kill(pick(fleet, steward=steward))
+def killed(fleet: fleets.Fleet, *, leader: bool) -> float:
+    fleet.kill(pick(fleet, leader=leader))
     return fleet.seconds_until_agreed("a", 20.0)
 
 
-def left(fleet: fleets.Fleet, *, steward: bool) -> float:
-    leaver = pick(fleet, steward=steward)
+def left(fleet: fleets.Fleet, *, leader: bool) -> float:
+    leaver = pick(fleet, leader=leader)
     start_seconds = fleet.network.clock.now_seconds()
     leaver.views.leave()
     while not leaver.views.has_left:
@@ -61,10 +61,10 @@
 
 
 CASES: dict[str, Callable[[fleets.Fleet], float]] = {
-    "steward killed": lambda fleet: killed(fleet, steward=True),
-    "member killed": lambda fleet: killed(fleet, steward=False),
-    "steward leaves": lambda fleet: left(fleet, steward=True),
-    "member leaves": lambda fleet: left(fleet, steward=False),
+    "steward killed": lambda fleet: killed(fleet, leader=True),
+    "member killed": lambda fleet: killed(fleet, leader=False),
+    "steward leaves": lambda fleet: left(fleet, leader=True),
+    "member leaves": lambda fleet: left(fleet, leader=False),
     "all restarted": restarted,
     "one joins": joined,
 }
--- a/tests/fakes/walk.py
+++ b/tests/fakes/walk.py
@@ -188,7 +188,9 @@
         instance = self._pick()
         if self.isolated or instance is None:
             return
-        if instance.views._listing.peers(self.network.clock.now_seconds()):
+        if instance.views._instance_list.peers(
+            self.network.clock.now_seconds()
+        ):
             self.isolated = instance.self_id.address
             instance.platform_up = False
             self.unreachable_since[self.isolated] = (
