--- a/src/boragefold/bench/decision_cost.py
+++ b/src/boragefold/bench/decision_cost.py
@@ -80,11 +80,11 @@
 class _NoLoads(placement.LoadBudget):
     """Allows no loads: what is measured is the way of a request."""
 
-    def try_take(self, *, now_seconds: float) -> bool:
+    def try_acquire(self, *, now_seconds: float) -> bool:
         """Refuse."""
         return False
 
-    def ended(self, *, now_seconds: float) -> None:
+    def release(self, *, now_seconds: float) -> None:
         """Ignore."""
 
 
@@ -92,20 +92,20 @@
     """Gives orders to one instance's part of the replicas."""
 
     def __init__(self, *, replicas: int) -> None:
-        self._ordered = {
+        self._held_endpoints = {
             f"r{number}" for number in range(0, replicas, INSTANCES)
         }
 
     @property
-    def self_name(self) -> str:
+    def incarnation(self) -> str:
         """Tell who we are."""
         return "0"
 
-    def ordered(self) -> Collection[str]:
+    def held_endpoints(self) -> Collection[str]:
         """List every 31st replica."""
-        return self._ordered
+        return self._held_endpoints
 
-    def orderer(self, endpoint: str) -> str | None:
+    def holder(self, endpoint: str) -> str | None:
         """Share the replicas out by number."""
         return str(int(endpoint[1:]) % INSTANCES)
 
--- a/src/boragefold/bench/instance.py
+++ b/src/boragefold/bench/instance.py
@@ -30,27 +30,29 @@
 class ModelRights(homes.OrderRights):
     """Order rights that never move."""
 
-    def __init__(self, *, self_name: str, orderers: Mapping[str, str]) -> None:
-        self._self_name = self_name
-        self._orderers = orderers
-        self._ordered = frozenset(
+    def __init__(
+        self, *, incarnation: str, holders: Mapping[str, str]
+    ) -> None:
+        self._incarnation = incarnation
+        self._holders = holders
+        self._held_endpoints = frozenset(
             endpoint
-            for endpoint, orderer in orderers.items()
-            if orderer == self_name
+            for endpoint, holder in holders.items()
+            if holder == incarnation
         )
 
     @property
-    def self_name(self) -> str:
+    def incarnation(self) -> str:
         """Tell who we are."""
-        return self._self_name
+        return self._incarnation
 
-    def ordered(self) -> Collection[str]:
+    def held_endpoints(self) -> Collection[str]:
         """List the endpoints that this instance gives orders to."""
-        return self._ordered
+        return self._held_endpoints
 
-    def orderer(self, endpoint: str) -> str | None:
+    def holder(self, endpoint: str) -> str | None:
         """Tell who gives orders to an endpoint."""
-        return self._orderers.get(endpoint)
+        return self._holders.get(endpoint)
 
 
 class Instance(actions.ActionHandler):
@@ -63,7 +65,7 @@
         fleet: fleets.Fleet,
         rates: shares.RateHolder,
         loads: load_shares.LoadHolder,
-        orderers: Mapping[str, str],
+        holders: Mapping[str, str],
         seed: int,
     ) -> None:
         self.number = number
@@ -88,7 +90,7 @@
                 delay_seconds=between,
                 granted=self._may_load,
             ),
-            rights=ModelRights(self_name=str(number), orderers=orderers),
+            rights=ModelRights(incarnation=str(number), holders=holders),
             instances=lambda: len(fleet.centres),
             rng=random.Random(f"instance {number} {seed}"),
             counters=self.counters,
@@ -270,7 +272,7 @@
         :param peer: who sent it
         :param digest: what it says
         """
-        self.dispatcher.fleet.peer(
+        self.dispatcher.fleet.receive_digest(
             peer, digest, now_seconds=self._fleet.now_seconds()
         )
         self.run()
--- a/src/boragefold/bench/load_shares.py
+++ b/src/boragefold/bench/load_shares.py
@@ -80,7 +80,7 @@
         self._asking = False
         self._grants: list[timers.Subscription] = []
 
-    def try_take(self, *, now_seconds: float) -> bool:
+    def try_acquire(self, *, now_seconds: float) -> bool:
         """Take a grant, or ask for one."""
         if self._grants:
             self._grants.pop(0).cancel()
@@ -90,7 +90,7 @@
             self._later(lambda: self._holder.ask(self._on_its_way))
         return False
 
-    def ended(self, *, now_seconds: float) -> None:
+    def release(self, *, now_seconds: float) -> None:
         """Tell the holder that a load has ended."""
         self._later(lambda: self._holder.ended(begun=True))
 
--- a/src/boragefold/bench/served.py
+++ b/src/boragefold/bench/served.py
@@ -37,14 +37,14 @@
             service=fleet.service,
             loads_per_second=fleet.deployment.loads_per_second,
         )
-        orderers = _orderers(fleet)
+        holders = _holders(fleet)
         self.instances = [
             instances.Instance(
                 number=number,
                 fleet=fleet,
                 rates=rates,
                 loads=loads,
-                orderers=orderers,
+                holders=holders,
                 seed=seed,
             )
             for number in range(len(fleet.centres))
@@ -125,7 +125,7 @@
         owner.run()
 
 
-def _orderers(fleet: fleets.Fleet) -> dict[str, str]:
+def _holders(fleet: fleets.Fleet) -> dict[str, str]:
     """Share the order rights out over the instances of each data centre."""
     by_centre: dict[str, list[str]] = collections.defaultdict(list)
     for number, centre in enumerate(fleet.centres):
--- a/src/boragefold/entry/engine_asker.py
+++ b/src/boragefold/entry/engine_asker.py
@@ -206,13 +206,13 @@
         statuses.update((status.name, status) for status in own)
         data_centre = self._link.self_id.data_centre
         for record in self._fleet.endpoints_of(service):
-            near = record.data_centre == data_centre
+            is_local = record.data_centre == data_centre
             health = self._health(record.name)
             status = statuses.get(record.name)
             if status is not None and not status.answers:
                 continue
             yield self._engine_views.see(
-                record, status, near=near, health=health
+                record, status, is_local=is_local, health=health
             )
 
     def _reported_statuses(self) -> dict[str, messages.EngineStatus]:
--- a/src/boragefold/entry/engine_views.py
+++ b/src/boragefold/entry/engine_views.py
@@ -44,14 +44,14 @@
         record: deployment.EndpointRecord,
         status: messages.EngineStatus | None,
         *,
-        near: bool,
+        is_local: bool,
         health: float,
     ) -> engine_ranking.EngineView:
         """Return the current view of an engine.
 
         :param record: its published record
         :param status: sent by its owner; None if no instance schedules it
-        :param near: whether the engine is in this instance's data centre
+        :param is_local: whether the engine is in this instance's data centre
         :param health: from 0 to 1
         :return: what the ranking needs to know of it
         """
@@ -60,14 +60,14 @@
         if (
             cached is not None
             and cached.source is source
-            and cached.view.near == near
+            and cached.view.is_local == is_local
             and cached.view.health == health
         ):
             return cached.view
         view = (
-            _published_view(record, near, health)
+            _published_view(record, is_local, health)
             if status is None
-            else _status_view(status, near, health)
+            else _status_view(status, is_local, health)
         )
         if len(self._cached) >= MAX_CACHED_VIEWS:
             # Restarted engines have new names; the old ones are never removed.
@@ -77,27 +77,27 @@
 
 
 def _status_view(
-    status: messages.EngineStatus, near: bool, health: float
+    status: messages.EngineStatus, is_local: bool, health: float
 ) -> engine_ranking.EngineView:
     return engine_ranking.EngineView(
         name=status.name,
-        near=near,
+        is_local=is_local,
         held=_keys(status.adapters),
         models=frozenset(status.models),
         backlog_seconds=status.backlog_seconds,
-        place_wait_seconds=status.place_wait_seconds,
+        slot_wait_seconds=status.place_wait_seconds,
         health=health,
         orders_in_seconds=status.orders_in_seconds,
-        copies=_copies(status.copies),
+        host_memory_digests=_copies(status.copies),
     )
 
 
 def _published_view(
-    record: deployment.EndpointRecord, near: bool, health: float
+    record: deployment.EndpointRecord, is_local: bool, health: float
 ) -> engine_ranking.EngineView:
     return engine_ranking.EngineView(
         name=record.name,
-        near=near,
+        is_local=is_local,
         held=frozenset(
             deployment.AdapterKey(model, adapter)
             for model, adapters in record.held.items()
@@ -105,7 +105,7 @@
         ),
         models=frozenset(record.held),
         backlog_seconds=0.0,
-        place_wait_seconds=0.0,
+        slot_wait_seconds=0.0,
         health=health,
         scheduled=False,
     )
--- a/src/boragefold/entry/store_budget.py
+++ b/src/boragefold/entry/store_budget.py
@@ -17,7 +17,7 @@
             collections.deque()
         )
 
-    def try_take(self, *, now_seconds: float) -> bool:
+    def try_acquire(self, *, now_seconds: float) -> bool:
         """Reserve the right to start one load.
 
         :param now_seconds: unused; the budget has the process clock
@@ -29,7 +29,7 @@
         self._running.append(reservation)
         return True
 
-    def ended(self, *, now_seconds: float) -> None:
+    def release(self, *, now_seconds: float) -> None:
         """Release the reservation of the oldest running load.
 
         Reservations are alike, so it doesn't matter which load ended.
--- a/src/boragefold/entry/traffic.py
+++ b/src/boragefold/entry/traffic.py
@@ -41,14 +41,14 @@
         self.reports: load_reports.LoadReports | None = None
 
     @property
-    def self_name(self) -> str:
+    def incarnation(self) -> str:
         """Return the identity of this instance.
 
         :return: incarnation of this instance
         """
         return self._rights.self_id.incarnation
 
-    def ordered(self) -> Collection[str]:
+    def held_endpoints(self) -> Collection[str]:
         """List the endpoints to which this instance may send orders now.
 
         :return: names of the endpoints
@@ -57,7 +57,7 @@
             return ()
         return frozenset(filter(self._is_ready, self.reports.names()))
 
-    def orderer(self, endpoint: str) -> str | None:
+    def holder(self, endpoint: str) -> str | None:
         """Return the instance that sends orders to an endpoint.
 
         :param endpoint: name of the endpoint
--- a/src/boragefold/entry/work_digests.py
+++ b/src/boragefold/entry/work_digests.py
@@ -62,7 +62,7 @@
     def _on_digest(
         self, sender: ids.InstanceId, body: fleet_messages.WorkDigest
     ) -> None:
-        self._events.peer(
+        self._events.receive_digest(
             sender.incarnation,
             body.digest,
             now_seconds=self._timers.now_seconds(),
--- a/src/boragefold/policy/announced_sums.py
+++ b/src/boragefold/policy/announced_sums.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 # Covers several heartbeats, so that a lost one causes no error.
-TELL_SECONDS = 4.0
+ANNOUNCE_SECONDS = 4.0
 
 
 class AnnouncedSums:
@@ -40,7 +40,7 @@
         for workspace, amount in amounts.items():
             self.add(workspace, amount, now_seconds=now_seconds)
 
-    def recent(self, *, now_seconds: float) -> dict[str, float]:
+    def changed(self, *, now_seconds: float) -> dict[str, float]:
         """List the sums that changed lately.
 
         Every peer has received the other sums several times.
@@ -48,7 +48,7 @@
         :param now_seconds: reading of the process clock
         :return: sums since the start, by workspace
         """
-        oldest_seconds = now_seconds - TELL_SECONDS
+        oldest_seconds = now_seconds - ANNOUNCE_SECONDS
         return {
             workspace: self.amounts[workspace]
             for workspace, at_seconds in self._changed_at_seconds.items()
@@ -58,5 +58,5 @@
 
 __all__ = [
     "AnnouncedSums",
-    "TELL_SECONDS",
+    "ANNOUNCE_SECONDS",
 ]
--- a/src/boragefold/policy/arrival_rates.py
+++ b/src/boragefold/policy/arrival_rates.py
@@ -12,7 +12,7 @@
 
 from boragefold.policy import work as works
 
-MEMORY_SECONDS = 20.0
+TIME_CONSTANT_SECONDS = 20.0
 # Adapters with fewer expected recent arrivals are removed.
 MIN_ARRIVALS = 0.05
 SWEEP_SECONDS = 10.0
@@ -25,7 +25,7 @@
     """The recent arrivals of one adapter."""
 
     workspace: str
-    decayed: float
+    decayed_requests: float
     at_seconds: float
     gap_seconds: float | None = None
 
@@ -59,14 +59,16 @@
         known = self._arrivals.get(adapter)
         if known is None:
             self._arrivals[adapter] = Arrivals(
-                workspace=workspace, decayed=requests, at_seconds=now_seconds
+                workspace=workspace,
+                decayed_requests=requests,
+                at_seconds=now_seconds,
             )
             return
         gap_seconds = (now_seconds - known.at_seconds) / max(requests, 1.0)
         if known.gap_seconds is None:
             known.gap_seconds = gap_seconds
         known.gap_seconds += GAP_SMOOTHING * (gap_seconds - known.gap_seconds)
-        known.decayed = _decayed(known, now_seconds) + requests
+        known.decayed_requests = _decayed(known, now_seconds) + requests
         known.at_seconds = now_seconds
         known.workspace = workspace
 
@@ -82,7 +84,7 @@
         known = self._arrivals.get(adapter)
         if known is None:
             return 0.0
-        return _decayed(known, now_seconds) / MEMORY_SECONDS
+        return _decayed(known, now_seconds) / TIME_CONSTANT_SECONDS
 
     def workspace(self, adapter: works.AdapterVersion) -> str:
         """Return the workspace that used an adapter last.
@@ -93,9 +95,7 @@
         known = self._arrivals.get(adapter)
         return known.workspace if known is not None else ""
 
-    def next_use_seconds(
-        self, adapter: works.AdapterVersion
-    ) -> tuple[float, float]:
+    def last_use(self, adapter: works.AdapterVersion) -> tuple[float, float]:
         """Return the last use of an adapter and its mean interval.
 
         :param adapter: the adapter version
@@ -117,7 +117,7 @@
         """
         return sorted(
             (
-                (_decayed(known, now_seconds) / MEMORY_SECONDS, adapter)
+                (_decayed(known, now_seconds) / TIME_CONSTANT_SECONDS, adapter)
                 for adapter, known in self._arrivals.items()
             ),
             reverse=True,
@@ -136,10 +136,12 @@
 
 def _decayed(known: Arrivals, now_seconds: float) -> float:
     elapsed_seconds = now_seconds - known.at_seconds
-    return known.decayed * math.exp(-elapsed_seconds / MEMORY_SECONDS)
+    return known.decayed_requests * math.exp(
+        -elapsed_seconds / TIME_CONSTANT_SECONDS
+    )
 
 
 __all__ = [
     "ArrivalRates",
-    "MEMORY_SECONDS",
+    "TIME_CONSTANT_SECONDS",
 ]
--- a/src/boragefold/policy/drains.py
+++ b/src/boragefold/policy/drains.py
@@ -33,7 +33,7 @@
         self._slot_search = slot_search
         self._counters = counters
 
-    def find(
+    def decide(
         self,
         candidate: load_candidates.LoadCandidate,
         candidates: Sequence[load_candidates.LoadCandidate],
@@ -54,7 +54,7 @@
         draining = sum(len(self._loads.unclaimed(state)) for state in states)
         if not candidate.is_starving(now_seconds) or draining >= starving:
             return
-        target = self._slot_search.to_drain(
+        target = self._slot_search.find_drainable(
             candidate.adapter, states, now_seconds=now_seconds
         )
         if target is None or target.evict is None:
--- a/src/boragefold/policy/endpoint_choice.py
+++ b/src/boragefold/policy/endpoint_choice.py
@@ -111,7 +111,7 @@
         if chosen is None:
             usable = any(each.spec.name not in excluded for each in holders)
             return NoRoom() if usable else NoHolder()
-        self._prefixes.note(work, chosen.spec.name)
+        self._prefixes.record(work, chosen.spec.name)
         return Chosen(
             endpoint=chosen.spec.name, wait_seconds=_cost(chosen, work)
         )
--- a/src/boragefold/policy/engine_decisions.py
+++ b/src/boragefold/policy/engine_decisions.py
@@ -102,7 +102,7 @@
     "Grant",
     "Load",
     "Order",
+    "QueueTimes",
     "Refusal",
     "Unload",
-    "QueueTimes",
 ]
--- a/src/boragefold/policy/engine_ranking.py
+++ b/src/boragefold/policy/engine_ranking.py
@@ -22,10 +22,10 @@
 from boragefold.state import deployment
 
 # Backlog that is accepted before the next engine in an adapter's order.
-STEP_SECONDS = 0.08
+ORDER_STEP_SECONDS = 0.08
 # Engines further down the order all cost the same.
-MAX_STEPS = 4
-FAR_SECONDS = 0.01
+MAX_COSTED_POSITIONS = 4
+REMOTE_SECONDS = 0.01
 # Multiplied by the fraction of requests that an engine fails.
 UNHEALTHY_SECONDS = 2.0
 
@@ -34,7 +34,7 @@
 # The backlog of an engine that no instance schedules is unknown.
 UNSCHEDULED_SECONDS = 0.1
 # An engine without the model has to load it first.
-EMPTY_SECONDS = 2.0
+MODEL_LOAD_SECONDS = 2.0
 
 
 class EngineView(NamedTuple):
@@ -42,20 +42,20 @@
 
     ``health`` is 1 if no request failed lately and 0 if all did. An engine
     that no instance is known to schedule loads nothing; a scheduled one loads
-    nothing for the next ``orders_in_seconds``. ``copies`` are digests of the
-    adapters that it can load from its host memory.
+    nothing for the next ``orders_in_seconds``. ``host_memory_digests`` are
+    those of the adapters that it can load from its host memory.
     """
 
     name: str
-    near: bool
+    is_local: bool
     held: frozenset[deployment.AdapterKey]
     models: frozenset[str]
     backlog_seconds: float
-    place_wait_seconds: float
+    slot_wait_seconds: float
     health: float
     scheduled: bool = True
     orders_in_seconds: float = 0.0
-    copies: frozenset[int] = frozenset()
+    host_memory_digests: frozenset[int] = frozenset()
 
 
 def rank(
@@ -97,10 +97,10 @@
     position_costs = _position_costs(len(ordered), needs_adapter)
     return [
         backlog_seconds
-        + (0.0 if near else FAR_SECONDS)
+        + (0.0 if is_local else REMOTE_SECONDS)
         + UNHEALTHY_SECONDS * (1.0 - health)
         + (0.0 if scheduled else UNSCHEDULED_SECONDS)
-        + (0.0 if model in models else EMPTY_SECONDS)
+        + (0.0 if model in models else MODEL_LOAD_SECONDS)
         + step_seconds
         + (
             0.0
@@ -110,16 +110,16 @@
                 if digest in copies
                 else load_times.COLD_LOAD_SECONDS
             )
-            + place_wait_seconds
+            + slot_wait_seconds
         )
         + (0.0 if key in held or not needs_adapter else orders_in_seconds)
         for step_seconds, (
             _,
-            near,
+            is_local,
             held,
             models,
             backlog_seconds,
-            place_wait_seconds,
+            slot_wait_seconds,
             health,
             scheduled,
             orders_in_seconds,
@@ -130,9 +130,10 @@
 
 @functools.lru_cache
 def _position_costs(count: int, has_order: bool) -> tuple[float, ...]:
-    step_seconds = STEP_SECONDS if has_order else 0.0
+    step_seconds = ORDER_STEP_SECONDS if has_order else 0.0
     return tuple(
-        step_seconds * min(position, MAX_STEPS) for position in range(count)
+        step_seconds * min(position, MAX_COSTED_POSITIONS)
+        for position in range(count)
     )
 
 
--- a/src/boragefold/policy/engine_slots.py
+++ b/src/boragefold/policy/engine_slots.py
@@ -182,7 +182,7 @@
         if (slot := self._slots.get(key)) is not None:
             slot.running_requests += 1
         if key.adapter:
-            self._popularity.note(key, now_seconds=now_seconds)
+            self._popularity.add(key, now_seconds=now_seconds)
 
     def record_end(self, key: AdapterKey, *, now_seconds: float) -> None:
         """Record that a request of an adapter has ended.
@@ -484,7 +484,7 @@
         return min(
             self._idle_adapters(queued_by_adapter),
             key=lambda key: (
-                self._popularity.of(key, now_seconds=now_seconds),
+                self._popularity.score(key, now_seconds=now_seconds),
                 self._tie_break(key),
             ),
             default=None,
--- a/src/boragefold/policy/fleet_events.py
+++ b/src/boragefold/policy/fleet_events.py
@@ -119,7 +119,7 @@
         """
         self._placement.load_failed(load, now_seconds=now_seconds)
 
-    def peer(
+    def receive_digest(
         self, peer: str, digest: digests.Digest, *, now_seconds: float
     ) -> None:
         """Process another instance's digest.
@@ -128,7 +128,7 @@
         :param digest: the digest
         :param now_seconds: reading of the process clock
         """
-        self._placement.peer(peer, digest, now_seconds=now_seconds)
+        self._placement.receive_digest(peer, digest, now_seconds=now_seconds)
         if any(
             self._placement.is_cold(each.adapter) for each in digest.waiting
         ):
@@ -140,7 +140,7 @@
         :param work: the request
         :param now_seconds: reading of the process clock
         """
-        self._placement.arrived(work, now_seconds=now_seconds)
+        self._placement.count_arrival(work, now_seconds=now_seconds)
         if self._placement.is_cold(work.needs):
             self.hurry(now_seconds=now_seconds)
             self._digests_at_seconds = now_seconds
--- a/src/boragefold/policy/fleet_placement.py
+++ b/src/boragefold/policy/fleet_placement.py
@@ -47,14 +47,14 @@
         self._homes = homes.Homes(endpoints=endpoints, rights=rights)
         self._notified: Set[str] = frozenset()
 
-    def arrived(self, work: works.Work, *, now_seconds: float) -> None:
+    def count_arrival(self, work: works.Work, *, now_seconds: float) -> None:
         """Count an admitted request.
 
         :param work: the request
         :param now_seconds: reading of the process clock
         """
         self._arrivals.add(work)
-        self._placement.arrived(work, now_seconds=now_seconds)
+        self._placement.count_arrival(work, now_seconds=now_seconds)
 
     def is_cold(self, adapter: works.AdapterVersion) -> bool:
         """Tell whether an adapter's requests have to wait for a load.
@@ -87,7 +87,7 @@
                 for state in self._endpoints
                 if state.in_use
             ),
-            lambda each: self._rights.orderer(each.endpoint),
+            lambda each: self._rights.holder(each.endpoint),
         )
         # A peer that was sent a digest before gets an empty one at the end.
         present = waiting.keys() | arrived.keys() | in_use.keys()
@@ -98,10 +98,12 @@
                 arrived=tuple(arrived.get(peer, ())),
                 in_use=tuple(in_use.get(peer, ())),
             )
-            for peer in sorted((present | notified) - {self._rights.self_name})
+            for peer in sorted(
+                (present | notified) - {self._rights.incarnation}
+            )
         }
 
-    def peer(
+    def receive_digest(
         self, peer: str, digest: digests.Digest, *, now_seconds: float
     ) -> None:
         """Process the digest of another instance.
@@ -112,7 +114,7 @@
         """
         self._peers.put(peer, digest, now_seconds=now_seconds)
         for arrived in digest.arrived:
-            self._placement.arrived_elsewhere(
+            self._placement.count_remote_arrivals(
                 arrived.adapter,
                 workspace=arrived.workspace,
                 requests=arrived.requests,
@@ -133,19 +135,22 @@
         :param now_seconds: reading of the process clock
         :return: orders to carry out
         """
-        ordered = self._rights.ordered()
-        if not ordered:
+        held_endpoints = self._rights.held_endpoints()
+        if not held_endpoints:
             return
         self._peers.expire(now_seconds=now_seconds)
         self._homes.refresh(own)
-        for name in ordered:
+        for name in held_endpoints:
             self._endpoints.pin_elsewhere(name, self._peers.in_use(name))
         demand = self._peers.demand(
-            own, decides=lambda adapter: self._homes.of(adapter) in ordered
+            own,
+            decides=lambda adapter: (
+                self._homes.home(adapter) in held_endpoints
+            ),
         )
         for order in self._placement.decide(
             demand=demand,
-            ordered=ordered,
+            held_endpoints=held_endpoints,
             now_seconds=now_seconds,
             warm_up=warm_up,
         ):
@@ -173,8 +178,8 @@
         self._placement.load_failed(load, now_seconds=now_seconds)
 
     def _decider(self, adapter: works.AdapterVersion) -> str | None:
-        home = self._homes.of(adapter)
-        return None if home is None else self._rights.orderer(home)
+        home = self._homes.home(adapter)
+        return None if home is None else self._rights.holder(home)
 
 
 def _by_peer(
--- a/src/boragefold/policy/homes.py
+++ b/src/boragefold/policy/homes.py
@@ -39,21 +39,21 @@
 
     @property
     @abc.abstractmethod
-    def self_name(self) -> str:
+    def incarnation(self) -> str:
         """Return the name of this instance's current process.
 
         :return: the incarnation of this instance
         """
 
     @abc.abstractmethod
-    def ordered(self) -> Collection[str]:
+    def held_endpoints(self) -> Collection[str]:
         """List the endpoints that this instance controls at this moment.
 
         :return: endpoint names
         """
 
     @abc.abstractmethod
-    def orderer(self, endpoint: str) -> str | None:
+    def holder(self, endpoint: str) -> str | None:
         """Return the instance that controls an endpoint, as far as known.
 
         :param endpoint: the endpoint's name
@@ -92,7 +92,7 @@
             if adapter in waiting
         }
 
-    def of(self, adapter: works.AdapterVersion) -> str | None:
+    def home(self, adapter: works.AdapterVersion) -> str | None:
         """Return an adapter's home endpoint.
 
         :param adapter: the adapter version
@@ -122,7 +122,7 @@
                 if state.spec.model == model
                 and not state.spec.leaving
                 and state.spec.distance_seconds <= MAX_DISTANCE_SECONDS
-                and self._rights.orderer(state.spec.name) is not None
+                and self._rights.holder(state.spec.name) is not None
             }
             self._reachable[model] = states
         return states
--- a/src/boragefold/policy/hot_adapters.py
+++ b/src/boragefold/policy/hot_adapters.py
@@ -35,7 +35,7 @@
         self._rates = rates
         self._hot: dict[works.AdapterVersion, str] = {}
 
-    def look_at(
+    def update(
         self,
         adapter: works.AdapterVersion,
         *,
@@ -53,7 +53,7 @@
         else:
             self._hot.pop(adapter, None)
 
-    def present(
+    def current(
         self, *, now_seconds: float
     ) -> Iterator[tuple[works.AdapterVersion, str]]:
         """Iterate over the adapters that are hot now.
--- a/src/boragefold/policy/load_candidates.py
+++ b/src/boragefold/policy/load_candidates.py
@@ -61,7 +61,7 @@
         self._active: set[str] = set()
         self._since: dict[works.AdapterVersion, float] = {}
 
-    def make(
+    def rank(
         self,
         adapters: Iterable[tuple[works.AdapterVersion, str]],
         demand: Mapping[works.AdapterVersion, demands.Demand],
@@ -90,14 +90,14 @@
         }
         return candidates
 
-    def in_order(
+    def fair_order(
         self, candidates: Iterable[LoadCandidate]
     ) -> Iterator[LoadCandidate]:
         """Iterate over the adapters, least charged workspace first.
 
         A charge during the iteration moves the workspace back in the order.
 
-        :param candidates: from :meth:`make`
+        :param candidates: from :meth:`rank`
         :return: each adapter once
         """
         queues = collections.defaultdict(list)
@@ -208,9 +208,9 @@
 __all__ = [
     "COLD",
     "HOT",
+    "LoadCandidate",
     "LoadCandidates",
     "WARM_UP",
-    "LoadCandidate",
     "blocked_adapters",
     "useful_endpoints",
 ]
--- a/src/boragefold/policy/loads.py
+++ b/src/boragefold/policy/loads.py
@@ -46,7 +46,7 @@
     """This instance's share of the weight store's load limits."""
 
     @abc.abstractmethod
-    def try_take(self, *, now_seconds: float) -> bool:
+    def try_acquire(self, *, now_seconds: float) -> bool:
         """Take the permission to start one load, if there is one.
 
         :param now_seconds: reading of the process clock
@@ -54,7 +54,7 @@
         """
 
     @abc.abstractmethod
-    def ended(self, *, now_seconds: float) -> None:
+    def release(self, *, now_seconds: float) -> None:
         """Release the concurrency share of a load that has ended.
 
         :param now_seconds: reading of the process clock
@@ -80,7 +80,7 @@
     def __len__(self) -> int:
         return sum(len(running) for running in self._running.values())
 
-    def of(self, adapter: works.AdapterVersion) -> int:
+    def count(self, adapter: works.AdapterVersion) -> int:
         """Count an adapter's loads in progress.
 
         :param adapter: the adapter version
@@ -128,7 +128,7 @@
         self._running.setdefault(load.endpoint, {})[load.adapter] = ActiveLoad(
             load=load, incarnation=incarnation, began_at_seconds=now_seconds
         )
-        self._by_adapter[load.adapter] = self.of(load.adapter) + 1
+        self._by_adapter[load.adapter] = self.count(load.adapter) + 1
 
     def end(self, load: Load) -> ActiveLoad | None:
         """Remove a load.
--- a/src/boragefold/policy/own_ledger_entry.py
+++ b/src/boragefold/policy/own_ledger_entry.py
@@ -88,7 +88,7 @@
         :return: whether to send the entry, not only its version
         """
         unchanged_seconds = now_seconds - self._changed_at_seconds
-        return unchanged_seconds <= announced_sums.TELL_SECONDS
+        return unchanged_seconds <= announced_sums.ANNOUNCE_SECONDS
 
     def entry(
         self, *, whole: bool = False, now_seconds: float
@@ -100,7 +100,7 @@
         :param now_seconds: reading of the process clock
         :return: the entry
         """
-        oldest_seconds = now_seconds - announced_sums.TELL_SECONDS
+        oldest_seconds = now_seconds - announced_sums.ANNOUNCE_SECONDS
         indexes = {
             giver: index
             for giver, index in self._indexes.items()
--- a/src/boragefold/policy/placement.py
+++ b/src/boragefold/policy/placement.py
@@ -83,20 +83,20 @@
             is_absent=self._is_absent,
         )
 
-    def arrived(self, work: works.Work, *, now_seconds: float) -> None:
+    def count_arrival(self, work: works.Work, *, now_seconds: float) -> None:
         """Count an admitted request in the arrival rate of its adapter.
 
         :param work: the request
         :param now_seconds: reading of the process clock
         """
-        self.arrived_elsewhere(
+        self.count_remote_arrivals(
             work.needs,
             workspace=work.workspace,
             requests=1,
             now_seconds=now_seconds,
         )
 
-    def arrived_elsewhere(
+    def count_remote_arrivals(
         self,
         adapter: works.AdapterVersion,
         *,
@@ -119,15 +119,13 @@
             requests=requests,
             now_seconds=now_seconds,
         )
-        self._hot.look_at(
-            adapter, workspace=workspace, now_seconds=now_seconds
-        )
+        self._hot.update(adapter, workspace=workspace, now_seconds=now_seconds)
 
     def decide(
         self,
         *,
         demand: Mapping[works.AdapterVersion, demands.Demand],
-        ordered: Collection[str],
+        held_endpoints: Collection[str],
         now_seconds: float,
         warm_up: bool = True,
     ) -> list[Load | Drain]:
@@ -139,37 +137,38 @@
 
         :param demand: waiting requests of all known instances, by adapter,
             for the adapters that this instance decides on
-        :param ordered: the endpoints that this instance may send orders to
+        :param held_endpoints: the endpoints that this instance may send
+            orders to
         :param now_seconds: reading of the process clock
         :param warm_up: whether to load adapters without waiting requests too
         :return: orders; the caller must report the end of each load with
             :meth:`load_ended` or :meth:`load_failed`
         """
         self._forget_lost(now_seconds)
-        states = self._usable(ordered)
+        states = self._usable(held_endpoints)
         candidates = self._ranked_candidates(demand, states, now_seconds)
         unplaced: collections.Counter[tuple[str, str]] = collections.Counter()
         orders: list[Load | Drain] = []
-        for candidate in self._candidates.in_order(candidates):
+        for candidate in self._candidates.fair_order(candidates):
             kind = candidate.adapter.model, candidate.reason
             if unplaced[kind] >= MAX_UNPLACED:
                 continue
             target = self._slot_search.find(
                 candidate.adapter,
                 load_candidates.useful_endpoints(candidate, states),
-                kept=demand,
+                protected=demand,
                 now_seconds=now_seconds,
             )
             if target is None:
                 self._counters.add("loads_delayed", "no_slot")
                 unplaced[kind] += 1
                 orders.extend(
-                    self._drains.find(
+                    self._drains.decide(
                         candidate, candidates, states, now_seconds=now_seconds
                     )
                 )
                 continue
-            if not self._budget.try_take(now_seconds=now_seconds):
+            if not self._budget.try_acquire(now_seconds=now_seconds):
                 self._counters.add("loads_delayed", "budget")
                 return orders
             self._candidates.charge(candidate.workspace, EXPECTED_LOAD_SECONDS)
@@ -187,7 +186,7 @@
         running = self._loads.end(load)
         if running is None:
             return
-        self._budget.ended(now_seconds=now_seconds)
+        self._budget.release(now_seconds=now_seconds)
         self._backoff.succeeded(load.adapter)
         duration_seconds = now_seconds - running.began_at_seconds
         self._counters.observe_seconds("load_seconds", duration_seconds)
@@ -209,7 +208,7 @@
         """
         if self._loads.end(load) is None:
             return
-        self._budget.ended(now_seconds=now_seconds)
+        self._budget.release(now_seconds=now_seconds)
         self._backoff.failed(load.adapter, now_seconds=now_seconds)
         self._counters.add("loads_failed", load.reason)
 
@@ -220,13 +219,15 @@
                 self.load_failed(load, now_seconds=now_seconds)
                 continue
             self._loads.end(load)
-            self._budget.ended(now_seconds=now_seconds)
+            self._budget.release(now_seconds=now_seconds)
             self._counters.add("loads_failed", "endpoint_restarted")
         if len(self._backoff) > MAX_FAILURES:
             self._backoff.forget_old(now_seconds=now_seconds)
 
-    def _usable(self, ordered: Collection[str]) -> list[fleet.EndpointState]:
-        found = (self._endpoints.get(name) for name in sorted(ordered))
+    def _usable(
+        self, held_endpoints: Collection[str]
+    ) -> list[fleet.EndpointState]:
+        found = (self._endpoints.get(name) for name in sorted(held_endpoints))
         return [
             state
             for state in found
@@ -239,16 +240,16 @@
         states: Sequence[fleet.EndpointState],
         now_seconds: float,
     ) -> list[load_candidates.LoadCandidate]:
-        hot = dict(self._hot.present(now_seconds=now_seconds))
+        hot = dict(self._hot.current(now_seconds=now_seconds))
         reasons = dict.fromkeys(hot, load_candidates.HOT)
         reasons.update(
             load_candidates.blocked_adapters(demand, self._endpoints, states)
         )
-        return self._candidates.make(
+        return self._candidates.rank(
             (
                 (adapter, reason)
                 for adapter, reason in reasons.items()
-                if not self._loads.of(adapter)
+                if not self._loads.count(adapter)
                 and self._backoff.allows(adapter, now_seconds=now_seconds)
             ),
             demand,
@@ -285,7 +286,7 @@
         self, adapter: works.AdapterVersion, now_seconds: float
     ) -> bool:
         return (
-            not self._loads.of(adapter)
+            not self._loads.count(adapter)
             and not self._endpoints.holders(adapter)
             and self._backoff.allows(adapter, now_seconds=now_seconds)
         )
@@ -294,7 +295,9 @@
         self, states: Sequence[fleet.EndpointState], now_seconds: float
     ) -> Iterator[Load]:
         found = self._warm_up.find(states, now_seconds=now_seconds)
-        if found is None or not self._budget.try_take(now_seconds=now_seconds):
+        if found is None or not self._budget.try_acquire(
+            now_seconds=now_seconds
+        ):
             return
         candidate, target = found
         yield self._begin(target, candidate, now_seconds)
--- a/src/boragefold/policy/pool_balancer.py
+++ b/src/boragefold/policy/pool_balancer.py
@@ -72,23 +72,28 @@
     def decide(
         self,
         *,
-        busy: Mapping[Pool, float],
-        ordered: Collection[str],
+        requests_by_pool: Mapping[Pool, float],
+        held_endpoints: Collection[str],
         now_seconds: float,
     ) -> list[PoolChange]:
         """Decide which moves to start now; call about once a second.
 
-        :param busy: running and waiting requests by pool
-        :param ordered: the endpoints that this instance may send orders to
+        :param requests_by_pool: running and waiting requests by pool
+        :param held_endpoints: the endpoints that this instance may send
+            orders to
         :param now_seconds: reading of the process clock
         :return: the orders
         """
         self._expire_moves(now_seconds)
         members = self._members()
         orders: list[PoolChange] = []
-        for pool in self._overloaded_pools(busy, members, now_seconds):
-            shortage = _shortage(busy[pool], members[pool])
-            donors = self._donors(pool, busy, members, ordered, now_seconds)
+        for pool in self._overloaded_pools(
+            requests_by_pool, members, now_seconds
+        ):
+            shortage = _shortage(requests_by_pool[pool], members[pool])
+            donors = self._donors(
+                pool, requests_by_pool, members, held_endpoints, now_seconds
+            )
             for state in donors[:shortage]:
                 self._moves[state.spec.name] = Move(pool, now_seconds)
                 orders.append(PoolChange(state.spec.name, pool))
@@ -120,13 +125,13 @@
 
     def _overloaded_pools(
         self,
-        busy: Mapping[Pool, float],
+        requests_by_pool: Mapping[Pool, float],
         members: Mapping[Pool, list[fleet.EndpointState]],
         now_seconds: float,
     ) -> list[Pool]:
         overloaded = {
             pool
-            for pool, requests in busy.items()
+            for pool, requests in requests_by_pool.items()
             if requests > HIGH_FILL * _capacity(members[pool])
         }
         self._overloaded_since = {
@@ -140,15 +145,17 @@
         )
         return sorted(
             confirmed,
-            key=lambda pool: -busy[pool] / max(_capacity(members[pool]), 1),
+            key=lambda pool: (
+                -requests_by_pool[pool] / max(_capacity(members[pool]), 1)
+            ),
         )
 
     def _donors(
         self,
         recipient: Pool,
-        busy: Mapping[Pool, float],
+        requests_by_pool: Mapping[Pool, float],
         members: Mapping[Pool, list[fleet.EndpointState]],
-        ordered: Collection[str],
+        held_endpoints: Collection[str],
         now_seconds: float,
     ) -> list[fleet.EndpointState]:
         donors: list[fleet.EndpointState] = []
@@ -158,10 +165,13 @@
             movable = [
                 state
                 for state in states
-                if state.spec.name in ordered and self._is_settled(state)
+                if state.spec.name in held_endpoints
+                and self._is_settled(state)
             ]
             movable.sort(key=lambda state: (state.fill(), state.spec.name))
-            donors.extend(movable[: _surplus(busy.get(pool, 0.0), states)])
+            donors.extend(
+                movable[: _surplus(requests_by_pool.get(pool, 0.0), states)]
+            )
         return sorted(donors, key=lambda state: state.fill())
 
     def _is_settled(self, state: fleet.EndpointState) -> bool:
@@ -204,6 +214,6 @@
 
 __all__ = [
     "Pool",
-    "PoolChange",
     "PoolBalancer",
+    "PoolChange",
 ]
--- a/src/boragefold/policy/popularity.py
+++ b/src/boragefold/policy/popularity.py
@@ -34,18 +34,20 @@
     def __init__(self) -> None:
         self._scores: dict[deployment.AdapterKey, Score] = {}
 
-    def note(self, key: deployment.AdapterKey, *, now_seconds: float) -> None:
+    def add(self, key: deployment.AdapterKey, *, now_seconds: float) -> None:
         """Count a request.
 
         :param key: the adapter
         :param now_seconds: reading of the process clock
         """
-        requests = self.of(key, now_seconds=now_seconds) + 1
+        requests = self.score(key, now_seconds=now_seconds) + 1
         self._scores[key] = Score(requests, now_seconds)
         if len(self._scores) > MAX_KEYS:
             self._prune(now_seconds)
 
-    def of(self, key: deployment.AdapterKey, *, now_seconds: float) -> float:
+    def score(
+        self, key: deployment.AdapterKey, *, now_seconds: float
+    ) -> float:
         """Return the recent requests for an adapter.
 
         :param key: the adapter
--- a/src/boragefold/policy/prefix_affinity.py
+++ b/src/boragefold/policy/prefix_affinity.py
@@ -43,7 +43,7 @@
             return None
         return self._endpoints.get(PrefixKey(work.needs, work.prefix))
 
-    def note(self, work: works.Work, endpoint: str) -> None:
+    def record(self, work: works.Work, endpoint: str) -> None:
         """Remember the endpoint that a request is sent to.
 
         :param work: the request
--- a/src/boragefold/policy/rate_ledger.py
+++ b/src/boragefold/policy/rate_ledger.py
@@ -76,7 +76,7 @@
         :param now_seconds: reading of the process clock
         :return: recently changed sums, by workspace
         """
-        return self._late.recent(now_seconds=now_seconds)
+        return self._late.changed(now_seconds=now_seconds)
 
     def begin(self, era: messages.Era, *, now_seconds: float) -> None:
         """Start an era, as there is no hub to get entries from.
@@ -97,7 +97,7 @@
         """
         if self.is_whole(whole=whole, now_seconds=now_seconds):
             return dict(self._totals.amounts)
-        return self._totals.recent(now_seconds=now_seconds)
+        return self._totals.changed(now_seconds=now_seconds)
 
     def is_whole(self, *, whole: bool, now_seconds: float) -> bool:
         """Return whether all totals are sent, not only recent changes.
@@ -107,7 +107,7 @@
         :return: whether a workspace that isn't included has a sum of 0
         """
         new_seconds = now_seconds - self._era_began_at_seconds
-        return whole or new_seconds <= announced_sums.TELL_SECONDS
+        return whole or new_seconds <= announced_sums.ANNOUNCE_SECONDS
 
     def put_own(
         self, name: str, entry: messages.Entry, *, now_seconds: float
--- a/src/boragefold/policy/request_states.py
+++ b/src/boragefold/policy/request_states.py
@@ -88,7 +88,7 @@
 
 __all__ = [
     "PromptTotals",
-    "RunningRequest",
     "QueuedRequest",
+    "RunningRequest",
     "total_prompts",
 ]
--- a/src/boragefold/policy/slot_choice.py
+++ b/src/boragefold/policy/slot_choice.py
@@ -39,7 +39,9 @@
         self._rates = rates
         self._loads = loads
 
-    def free(self, states: Iterable[fleet.EndpointState]) -> LoadTarget | None:
+    def find_empty(
+        self, states: Iterable[fleet.EndpointState]
+    ) -> LoadTarget | None:
         """Find an endpoint with an empty slot.
 
         :param states: endpoints that may load the adapter
@@ -52,17 +54,17 @@
         ]
         return LoadTarget(min(empty)[-1], None) if empty else None
 
-    def by_eviction(
+    def find_evictable(
         self,
         states: Iterable[fleet.EndpointState],
-        kept: Container[works.AdapterVersion],
+        protected: Container[works.AdapterVersion],
         *,
         now_seconds: float,
     ) -> LoadTarget | None:
         """Find the adapter whose eviction costs least.
 
         :param states: endpoints that may load the new adapter
-        :param kept: adapters that must stay, such as those with waiting
+        :param protected: adapters that must stay, such as those with waiting
             requests
         :param now_seconds: reading of the process clock
         :return: the slot, or None
@@ -76,14 +78,14 @@
             for state in states
             for adapter in (*self._loads.unclaimed(state), *state.resident)
             if not state.is_pinned(adapter)
-            and self._is_evictable(state, adapter, kept, now_seconds)
+            and self._is_evictable(state, adapter, protected, now_seconds)
         ]
         if not found:
             return None
         *_value, adapter, state = min(found, key=lambda each: each[:-1])
         return LoadTarget(state, adapter)
 
-    def to_drain(
+    def find_drainable(
         self,
         states: Iterable[fleet.EndpointState],
         *,
@@ -117,14 +119,14 @@
         self,
         state: fleet.EndpointState,
         adapter: works.AdapterVersion,
-        kept: Container[works.AdapterVersion],
+        protected: Container[works.AdapterVersion],
         now_seconds: float,
     ) -> bool:
         if adapter in state.blocked_at:
             return True
-        if adapter in kept:
+        if adapter in protected:
             return False
-        used_at, gap_seconds = self._rates.next_use_seconds(adapter)
+        used_at, gap_seconds = self._rates.last_use(adapter)
         stay_seconds = min(PROTECTED_GAPS * gap_seconds, MAX_RESIDENCY_SECONDS)
         loaded_at = _loaded_at(state, adapter)
         return (
@@ -139,7 +141,7 @@
         now_seconds: float,
     ) -> tuple[bool, bool, float, float]:
         per_second = self._rates.per_second(adapter, now_seconds=now_seconds)
-        used_at, _gap = self._rates.next_use_seconds(adapter)
+        used_at, _gap = self._rates.last_use(adapter)
         routable = adapter not in state.blocked_at
         # An adapter can't serve requests where there is no room for them.
         unusable = state.is_poor() or not state.has_room()
@@ -153,8 +155,8 @@
 
 
 __all__ = [
+    "LoadTarget",
     "MAX_RESIDENCY_SECONDS",
     "MIN_RESIDENCY_SECONDS",
-    "LoadTarget",
     "SlotChoice",
 ]
--- a/src/boragefold/policy/slot_search.py
+++ b/src/boragefold/policy/slot_search.py
@@ -36,25 +36,25 @@
         adapter: works.AdapterVersion,
         states: Sequence[fleet.EndpointState],
         *,
-        kept: Container[works.AdapterVersion],
+        protected: Container[works.AdapterVersion],
         now_seconds: float,
     ) -> slot_choice.LoadTarget | None:
         """Find an empty slot or one whose adapter can be evicted.
 
         :param adapter: the adapter version to load
         :param states: endpoints that may be sent orders
-        :param kept: adapters that must not be evicted
+        :param protected: adapters that must not be evicted
         :param now_seconds: reading of the process clock
         :return: the slot, or None
         """
-        target = self.free(adapter, states)
+        target = self.find_empty(adapter, states)
         if target is not None:
             return target
-        return self._slot_choice.by_eviction(
-            self._sample(adapter, states), kept, now_seconds=now_seconds
+        return self._slot_choice.find_evictable(
+            self._sample(adapter, states), protected, now_seconds=now_seconds
         )
 
-    def free(
+    def find_empty(
         self,
         adapter: works.AdapterVersion,
         states: Sequence[fleet.EndpointState],
@@ -65,9 +65,9 @@
         :param states: endpoints that may be sent orders
         :return: the slot, or None
         """
-        return self._slot_choice.free(_eligible(adapter, states))
+        return self._slot_choice.find_empty(_eligible(adapter, states))
 
-    def to_drain(
+    def find_drainable(
         self,
         adapter: works.AdapterVersion,
         states: Sequence[fleet.EndpointState],
@@ -81,7 +81,7 @@
         :param now_seconds: reading of the process clock
         :return: the slot, or None
         """
-        return self._slot_choice.to_drain(
+        return self._slot_choice.find_drainable(
             self._sample(adapter, states), now_seconds=now_seconds
         )
 
--- a/src/boragefold/policy/warm_up.py
+++ b/src/boragefold/policy/warm_up.py
@@ -21,7 +21,7 @@
 # Leaves part of the weight store's load rate for sudden demand.
 PERIOD_SECONDS = 0.5
 # At least two requests within the averaging time.
-MIN_PER_SECOND = 2 / arrival_rates.MEMORY_SECONDS
+MIN_PER_SECOND = 2 / arrival_rates.TIME_CONSTANT_SECONDS
 
 
 class EarlyLoad(NamedTuple):
@@ -69,7 +69,7 @@
                 )
                 if per_second >= MIN_PER_SECOND
                 and self._is_absent(adapter, now_seconds)
-                and (target := self._slot_search.free(adapter, states))
+                and (target := self._slot_search.find_empty(adapter, states))
                 is not None
             ),
             None,
--- a/tests/bench/test_shares.py
+++ b/tests/bench/test_shares.py
@@ -82,9 +82,9 @@
     taken = 0
     for step in range(300):
         bed.run(step * 0.01)
-        if budget.try_take(now_seconds=step * 0.01):
+        if budget.try_acquire(now_seconds=step * 0.01):
             taken += 1
-            budget.ended(now_seconds=step * 0.01)
+            budget.release(now_seconds=step * 0.01)
     assert taken == pytest.approx(4 + 3.0 * 4, abs=1)
     bed.run(10.0)
-    assert not budget.try_take(now_seconds=10.0)
+    assert not budget.try_acquire(now_seconds=10.0)
--- a/tests/fakes/engine_views.py
+++ b/tests/fakes/engine_views.py
@@ -10,11 +10,11 @@
 def view(name, **changes):
     defaults = engine_ranking.EngineView(
         name=name,
-        near=True,
+        is_local=True,
         held=frozenset(),
         models=frozenset({"base"}),
         backlog_seconds=0.0,
-        place_wait_seconds=0.0,
+        slot_wait_seconds=0.0,
         health=1.0,
     )
     return defaults._replace(**changes)
--- a/tests/fakes/workloads.py
+++ b/tests/fakes/workloads.py
@@ -123,13 +123,13 @@
     def __init__(self, *, loads: int) -> None:
         self.left = loads
 
-    def try_take(self, *, now_seconds: float) -> bool:
+    def try_acquire(self, *, now_seconds: float) -> bool:
         if not self.left:
             return False
         self.left -= 1
         return True
 
-    def ended(self, *, now_seconds: float) -> None:
+    def release(self, *, now_seconds: float) -> None:
         self.left += 1
 
 
--- a/tests/policy/test_dispatcher.py
+++ b/tests/policy/test_dispatcher.py
@@ -35,31 +35,31 @@
 
 
 class Rights(homes.OrderRights):
-    def __init__(self, self_name: str, orderers: dict[str, str | None]):
-        self._self_name = self_name
-        self._orderers = orderers
+    def __init__(self, incarnation: str, holders: dict[str, str | None]):
+        self._incarnation = incarnation
+        self._holders = holders
 
     @property
-    def self_name(self) -> str:
-        return self._self_name
+    def incarnation(self) -> str:
+        return self._incarnation
 
-    def ordered(self) -> Collection[str]:
+    def held_endpoints(self) -> Collection[str]:
         return [
             name
-            for name, orderer in self._orderers.items()
-            if orderer == self._self_name
+            for name, holder in self._holders.items()
+            if holder == self._incarnation
         ]
 
-    def orderer(self, endpoint: str) -> str | None:
-        return self._orderers[endpoint]
+    def holder(self, endpoint: str) -> str | None:
+        return self._holders[endpoint]
 
 
 def build(
     *,
     held: dict[str, list[str]],
     bucket: Stock | None = None,
-    self_name: str = "i1",
-    orderers: dict[str, str | None] | None = None,
+    incarnation: str = "i1",
+    holders: dict[str, str | None] | None = None,
 ) -> dispatcher.Dispatcher:
     known = endpoints.Endpoints()
     for name, adapters in held.items():
@@ -70,7 +70,9 @@
         endpoints=known,
         stock=bucket or Stock(),
         load_budget=workloads.Budget(loads=8),
-        rights=Rights(self_name, orderers or dict.fromkeys(held, self_name)),
+        rights=Rights(
+            incarnation, holders or dict.fromkeys(held, incarnation)
+        ),
         instances=lambda: 1,
         rng=random.Random(1),
         counters=counters.Counters(),
@@ -117,9 +119,9 @@
 def test_a_cold_adapter_asked_for_at_two_instances_is_loaded_once() -> None:
     # Requests for one cold adapter reach two instances, each of which gives
     # orders to one endpoint. Without coordination, each would load it.
-    orderers: dict[str, str | None] = {"a": "i1", "b": "i2"}
+    holders: dict[str, str | None] = {"a": "i1", "b": "i2"}
     pair = {
-        name: build(held={"a": [], "b": []}, self_name=name, orderers=orderers)
+        name: build(held={"a": [], "b": []}, incarnation=name, holders=holders)
         for name in ("i1", "i2")
     }
     orders = []
@@ -130,17 +132,17 @@
                 if isinstance(action, actions.OrderLoad):
                     orders.append((name, action.load))
                 if isinstance(action, actions.SendDigest):
-                    pair[action.peer].fleet.peer(
+                    pair[action.peer].fleet.receive_digest(
                         name, action.digest, now_seconds=now
                     )
     assert len(orders) == 1
 
 
-def test_adapters_of_an_unreachable_orderer_are_decided_on_here() -> None:
+def test_adapters_of_an_unreachable_holder_are_decided_on_here() -> None:
     # A partition separates this instance from the one that orders b. Cold
     # adapters whose home is b would otherwise wait until it ends, possibly
     # for hours.
-    system = build(held={"a": [], "b": []}, orderers={"a": "i1", "b": None})
+    system = build(held={"a": [], "b": []}, holders={"a": "i1", "b": None})
     done = offer(
         system, *(workloads.work(needs=f"cold-{n}") for n in range(4))
     )
--- a/tests/policy/test_engine_choice.py
+++ b/tests/policy/test_engine_choice.py
@@ -102,25 +102,25 @@
     costs = []
     for position, view in enumerate(ordered):
         seconds = view.backlog_seconds + (
-            0.0 if view.near else engine_ranking.FAR_SECONDS
+            0.0 if view.is_local else engine_ranking.REMOTE_SECONDS
         )
         seconds += engine_ranking.UNHEALTHY_SECONDS * (1.0 - view.health)
         seconds += (
             0.0 if view.scheduled else engine_ranking.UNSCHEDULED_SECONDS
         )
         if key.model not in view.models:
-            seconds += engine_ranking.EMPTY_SECONDS
-        seconds += engine_ranking.STEP_SECONDS * min(
-            position, engine_ranking.MAX_STEPS
+            seconds += engine_ranking.MODEL_LOAD_SECONDS
+        seconds += engine_ranking.ORDER_STEP_SECONDS * min(
+            position, engine_ranking.MAX_COSTED_POSITIONS
         )
         if key not in view.held:
-            is_warm = adapter_digests.digest(key) in view.copies
+            is_warm = adapter_digests.digest(key) in view.host_memory_digests
             load_seconds = (
                 load_times.WARM_LOAD_SECONDS
                 if is_warm
                 else load_times.COLD_LOAD_SECONDS
             )
-            seconds += load_seconds + view.place_wait_seconds
+            seconds += load_seconds + view.slot_wait_seconds
             seconds += view.orders_in_seconds
         costs.append((seconds, position, view))
     return [view for _, _, view in sorted(costs, key=lambda one: one[:2])]
@@ -135,17 +135,19 @@
     views = [
         view(
             f"engine-{number}",
-            near=rng.random() < 0.3,
+            is_local=rng.random() < 0.3,
             scheduled=rng.random() < 0.9,
             held=frozenset({key} if rng.random() < 0.1 else ()),
             models=frozenset(
                 rng.choice([("base",), ("base",), (), ("other",)])
             ),
             backlog_seconds=rng.choice([0.0, 0.0, 0.1, rng.random()]),
-            place_wait_seconds=rng.choice([0.0, 0.5]),
+            slot_wait_seconds=rng.choice([0.0, 0.5]),
             health=rng.choice([1.0, 1.0, 0.9]),
             orders_in_seconds=rng.choice([0.0, 0.0, 2.0]),
-            copies=frozenset({digest} if rng.random() < 0.1 else ()),
+            host_memory_digests=frozenset(
+                {digest} if rng.random() < 0.1 else ()
+            ),
         )
         for number in rng.sample(range(100), count)
     ]
--- a/tests/policy/test_engine_copies.py
+++ b/tests/policy/test_engine_copies.py
@@ -17,7 +17,12 @@
     ranked = engine_ranking.rank(key, map(view, NAMES))
     copies = frozenset(adapter_digests.digests([key]))
     views = [
-        view(name, copies=copies if name == ranked[2].name else frozenset())
+        view(
+            name,
+            host_memory_digests=copies
+            if name == ranked[2].name
+            else frozenset(),
+        )
         for name in NAMES
     ]
     assert engine_ranking.rank(key, views)[0].name == ranked[2].name
--- a/tests/policy/test_homes.py
+++ b/tests/policy/test_homes.py
@@ -11,13 +11,13 @@
 
 class AllReachable(homes.OrderRights):
     @property
-    def self_name(self) -> str:
+    def incarnation(self) -> str:
         return "i1"
 
-    def ordered(self) -> Collection[str]:
+    def held_endpoints(self) -> Collection[str]:
         return ()
 
-    def orderer(self, endpoint: str) -> str | None:
+    def holder(self, endpoint: str) -> str | None:
         return "i1"
 
 
@@ -29,7 +29,7 @@
 
 
 def homes_of(each: homes.Homes) -> dict[str, str | None]:
-    return {adapter.adapter: each.of(adapter) for adapter in ADAPTERS}
+    return {adapter.adapter: each.home(adapter) for adapter in ADAPTERS}
 
 
 def test_all_instances_pick_the_same_homes() -> None:
@@ -64,10 +64,10 @@
     # it, each change would start another load of the same adapter.
     known, each = build()
     adapter = ADAPTERS[0]
-    before = each.of(adapter)
+    before = each.home(adapter)
     assert before is not None
     known.report(workloads.report(before, running=4, at=1.0))
     each.refresh({adapter})
-    assert each.of(adapter) == before
+    assert each.home(adapter) == before
     each.refresh(())
-    assert each.of(adapter) != before
+    assert each.home(adapter) != before
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -41,7 +41,7 @@
     ) -> list[Any]:
         return self.placement.decide(
             demand=workloads.demand(*waiting),
-            ordered=self.names,
+            held_endpoints=self.names,
             now_seconds=at,
             warm_up=warm_up,
         )
@@ -55,7 +55,7 @@
 
     def use(self, adapter: works.AdapterVersion, at: float) -> None:
         request = workloads.work(needs=adapter.adapter, at=at)
-        self.placement.arrived(request, now_seconds=at)
+        self.placement.count_arrival(request, now_seconds=at)
 
     def state(self, name: str = "e") -> fleet.EndpointState:
         state = self.endpoints.get(name)
--- a/tests/policy/test_roles.py
+++ b/tests/policy/test_roles.py
@@ -31,7 +31,9 @@
         for second in range(seconds):
             at = start + second
             for order in self.roles.decide(
-                busy={X: x, Y: y}, ordered=self.names, now_seconds=at
+                requests_by_pool={X: x, Y: y},
+                held_endpoints=self.names,
+                now_seconds=at,
             ):
                 given.append((at, order))
                 state = self.endpoints.get(order.endpoint)
--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -70,11 +70,11 @@
 
     left = 0
 
-    def try_take(self, *, now_seconds: float) -> bool:
+    def try_acquire(self, *, now_seconds: float) -> bool:
         self.left -= 1
         return self.left >= 0
 
-    def ended(self, *, now_seconds: float) -> None:
+    def release(self, *, now_seconds: float) -> None:
         del now_seconds
 
 
@@ -218,7 +218,7 @@
             now_seconds=self.now,
         )
         self.overload.check(request, above_share=above, cold=False)
-        self.placement.arrived(request, now_seconds=self.now)
+        self.placement.count_arrival(request, now_seconds=self.now)
         self.queue.offer(
             request, now_seconds=self.now, service_tokens_per_second=1e6
         )
@@ -240,7 +240,7 @@
     def arrive(self) -> None:
         self.now += 0.03
         request = self.request(next(self.held))
-        self.placement.arrived(request, now_seconds=self.now)
+        self.placement.count_arrival(request, now_seconds=self.now)
 
     def place(self, ordered: int, cold: int) -> None:
         self.now += 0.001
@@ -252,7 +252,9 @@
             for adapter in self.cold[:cold]
         }
         for load in self.placement.decide(
-            demand=demand, ordered=self.names[:ordered], now_seconds=self.now
+            demand=demand,
+            held_endpoints=self.names[:ordered],
+            now_seconds=self.now,
         ):
             if isinstance(load, placement.Load):
                 self.placement.load_failed(load, now_seconds=self.now)
