--- a/src/boragefold/entry/stopping.py
+++ b/src/boragefold/entry/stopping.py
@@ -65,7 +65,7 @@
             return
         self.begun = True
         self._begun_at_seconds = self._timers.now_seconds()
-        self._log_step("readiness probe fails, connections are still accepted")
+        self._log_step("not ready, accepting for a while longer")
         self._timers.once(
             delay_seconds=self._notice_seconds, callback=self._stop_accepting
         )
@@ -79,9 +79,7 @@
             self.begin()
 
     def _stop_accepting(self) -> None:
-        self._log_step(
-            "accepting no more connections, finishing running requests"
-        )
+        self._log_step("rights handed over, finishing what runs")
         self._hand_over()
         self._timers.every(period_seconds=CHECK_SECONDS, callback=self._check)
 
@@ -92,7 +90,7 @@
         elif self._is_over_limit():
             # A caller that doesn't read its response keeps its connection
             # open.
-            self._log_step("time limit exceeded")
+            self._log_step("the time for it is over")
             self._stop_loop()
 
     def _is_over_limit(self) -> bool:
