--- a/src/boragefold/coordination/rates/grant_pool.py
+++ b/src/boragefold/coordination/rates/grant_pool.py
@@ -89,25 +89,31 @@
             if grant.ends_at_seconds > needed_seconds
         )
 
-    def life_seconds(self, draft: grants.Draft) -> float:
-        """Return how long the grants of a draft remain valid.
+    def life_seconds(self, charge: grants.Charge) -> float:
+        """Return how long the grants of a charge remain valid.
 
-        :param draft: result of :meth:`take`
+        :param charge: result of :meth:`take`
         :return: seconds until the first of them expires
         """
-        ends = [self._grants[number].ends_at_seconds for number in draft.parts]
+        ends = [
+            self._grants[number].ends_at_seconds for number in charge.parts
+        ]
         left_seconds = min(ends, default=0.0) - self._now_seconds()
         return max(0.0, left_seconds)
 
     def take(
-        self, tokens: float, *, life_seconds: float = 0.0, loose: bool = False
-    ) -> grants.Draft:
+        self,
+        tokens: float,
+        *,
+        life_seconds: float = 0.0,
+        regranted: bool = False,
+    ) -> grants.Charge:
         """Charge tokens, starting with the grants that expire first.
 
         :param tokens: at most :meth:`left_tokens`
         :param life_seconds: minimum remaining validity of the grants
-        :param loose: whether the tokens are granted on to another instance;
-            see :meth:`pin`
+        :param regranted: whether the tokens are granted on to another
+            instance; see :meth:`finalize`
         :return: the charged grants
         """
         needed_seconds = self._now_seconds() + life_seconds
@@ -116,44 +122,44 @@
             for number, grant in self._grants.items()
             if grant.ends_at_seconds > needed_seconds and grant.left_tokens
         )
-        draft = grants.Draft(parts={}, loose=loose)
+        charge = grants.Charge(parts={}, regranted=regranted)
         for _end, number in usable:
             part = min(tokens, self._grants[number].left_tokens)
             if part <= 0:
                 break
             tokens -= part
-            self._charge(draft, number, part)
-        return draft
+            self._charge(charge, number, part)
+        return charge
 
-    def pin(self, draft: grants.Draft, *, kept_tokens: float) -> None:
-        """Record that the receiver of a loose draft charges no more of it.
+    def finalize(self, charge: grants.Charge, *, kept_tokens: float) -> None:
+        """Record that the receiver of a regranted charge uses no more of it.
 
-        :param draft: result of :meth:`take`
+        :param charge: result of :meth:`take`
         :param kept_tokens: charged tokens; settling may lower them
         """
-        if draft.settled:
+        if charge.settled:
             return
-        was_loose, draft.loose = draft.loose, False
-        for number, tokens in draft.parts.items():
+        was_regranted, charge.regranted = charge.regranted, False
+        for number, tokens in charge.parts.items():
             kept = min(tokens, kept_tokens)
             kept_tokens -= kept
-            draft.parts[number] = kept
-            self._return_tokens(number, tokens - kept, pinned=was_loose)
+            charge.parts[number] = kept
+            self._return_tokens(number, tokens - kept, regranted=was_regranted)
 
-    def settle(self, draft: grants.Draft, *, used_tokens: float) -> None:
-        """Return the unused tokens of a draft; a repeated call is ignored.
+    def settle(self, charge: grants.Charge, *, used_tokens: float) -> None:
+        """Return the unused tokens of a charge; a repeated call is ignored.
 
-        :param draft: result of :meth:`take`
+        :param charge: result of :meth:`take`
         :param used_tokens: tokens that were used
         """
-        if draft.settled:
+        if charge.settled:
             return
-        draft.settled = True
-        for number, tokens in draft.parts.items():
+        charge.settled = True
+        for number, tokens in charge.parts.items():
             used = min(tokens, used_tokens)
             used_tokens -= used
             self._return_tokens(
-                number, tokens - used, pinned=draft.loose, final=True
+                number, tokens - used, regranted=charge.regranted, final=True
             )
 
     def ask(self, *, needed_tokens: float, ahead_tokens: float) -> None:
@@ -238,25 +244,32 @@
         for number in self._outbox.noted(usages):
             self._drop(number)
 
-    def _charge(self, draft: grants.Draft, number: int, tokens: float) -> None:
+    def _charge(
+        self, charge: grants.Charge, number: int, tokens: float
+    ) -> None:
         grant = self._grants[number]
         grant.left_tokens -= tokens
         grant.charged_tokens += tokens
-        grant.drafts += 1
-        grant.loose_drafts += draft.loose
-        draft.parts[number] = tokens
+        grant.unsettled_charges += 1
+        grant.regranted_charges += charge.regranted
+        charge.parts[number] = tokens
         if grant.left_tokens <= limits.TINY_TOKENS:
             self._close(number, grant)
 
     def _return_tokens(
-        self, number: int, tokens: float, *, pinned: bool, final: bool = False
+        self,
+        number: int,
+        tokens: float,
+        *,
+        regranted: bool,
+        final: bool = False,
     ) -> None:
         grant = self._grants.get(number)
         if grant is None:
             return
         grant.charged_tokens -= tokens
-        grant.drafts -= final
-        grant.loose_drafts -= pinned
+        grant.unsettled_charges -= final
+        grant.regranted_charges -= regranted
         if grant.closed:
             self._report(number, grant)
         else:
@@ -270,10 +283,10 @@
         self._report(number, grant)
 
     def _report(self, number: int, grant: grants.Grant) -> None:
-        if grant.loose_drafts and not grant.ended:
+        if grant.regranted_charges and not grant.ended:
             return
         usage = rate_messages.Usage(
-            number, grant.charged_tokens, grant.drafts == 0
+            number, grant.charged_tokens, grant.unsettled_charges == 0
         )
         self._outbox.put(usage, now_seconds=self._now_seconds())
 
--- a/src/boragefold/coordination/rates/stock.py
+++ b/src/boragefold/coordination/rates/granted_tokens.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from collections.abc import Iterable
 
-from boragefold.coordination.rates import account as accounts
 from boragefold.coordination.rates import grant_pool as grant_pools
 from boragefold.coordination.rates import limits
 from boragefold.coordination.rates import usage
+from boragefold.coordination.rates import workspace_state as workspace_states
 from boragefold.policy import stock
 from boragefold.protocol import rate_messages
 from boragefold.telemetry import counters as counting
@@ -32,7 +32,7 @@
 NO_HOLDER_SECONDS = 1.0
 
 
-class LeasedStock(stock.Stock):
+class GrantedTokens(stock.Stock):
     """Spends granted tokens and requests more from the holder."""
 
     def __init__(
@@ -57,7 +57,7 @@
         self._limit_of = limit_of
         self._open_grant_pool = open_grant_pool
         self._has_holder = has_holder
-        self._accounts: dict[str, accounts.Account] = {}
+        self._states: dict[str, workspace_states.WorkspaceState] = {}
         self._callbacks: list[Callable[[str], None]] = []
         self._reserving = False
 
@@ -75,19 +75,19 @@
             return self._create_shortfall("no_such_workspace", None)
         if tokens > limit.burst_tokens + limits.TINY_TOKENS:
             return self._create_shortfall("larger_than_burst", None)
-        account = self._account(workspace)
+        state = self._state(workspace)
         now_seconds = self._timers.now_seconds()
-        if not account.covers(tokens):
-            self._record_demand(workspace, account, tokens)
-        if not account.covers(tokens):
-            return self._shortfall(workspace, account)
-        draft = account.grant_pool.take(tokens)
-        if account.fetch_ahead:
-            account.use.add(tokens, now_seconds)
-        account.wanted_tokens = 0.0
-        self._fetch_ahead(account, tokens)
-        return accounts.Charged(
-            workspace=workspace, tokens=tokens, draft=draft
+        if not state.covers(tokens):
+            self._record_demand(workspace, state, tokens)
+        if not state.covers(tokens):
+            return self._shortfall(workspace, state)
+        charge = state.grant_pool.take(tokens)
+        if state.fetch_ahead:
+            state.use.add(tokens, now_seconds)
+        state.wanted_tokens = 0.0
+        self._fetch_ahead(state, tokens)
+        return workspace_states.ChargedReservation(
+            workspace=workspace, tokens=tokens, charge=charge
         )
 
     def settle(
@@ -99,22 +99,22 @@
         :param used_tokens: prompt and generated tokens that were used
         """
         if reservation.settled or not isinstance(
-            reservation, accounts.Charged
+            reservation, workspace_states.ChargedReservation
         ):
             return
         reservation.settled = True
-        account = self._account(reservation.workspace)
+        state = self._state(reservation.workspace)
         excess_tokens = used_tokens - reservation.tokens
         if excess_tokens > 0:
             # Charging the excess prevents it from being granted again.
             self._counters.add("rate_overruns", "", excess_tokens)
-            left_tokens = account.grant_pool.left_tokens()
-            extra = account.grant_pool.take(min(excess_tokens, left_tokens))
-            account.grant_pool.settle(extra, used_tokens=excess_tokens)
-        before_tokens = account.grant_pool.left_tokens()
-        account.grant_pool.settle(reservation.draft, used_tokens=used_tokens)
-        if account.grant_pool.left_tokens() > before_tokens:
-            self._wake(reservation.workspace, account)
+            left_tokens = state.grant_pool.left_tokens()
+            extra = state.grant_pool.take(min(excess_tokens, left_tokens))
+            state.grant_pool.settle(extra, used_tokens=excess_tokens)
+        before_tokens = state.grant_pool.left_tokens()
+        state.grant_pool.settle(reservation.charge, used_tokens=used_tokens)
+        if state.grant_pool.left_tokens() > before_tokens:
+            self._wake(reservation.workspace, state)
 
     def subscribe(self, callback: Callable[[str], None]) -> None:
         """Register a callback for workspaces that received tokens.
@@ -128,39 +128,39 @@
 
         :param given: tokens, or a refusal
         """
-        account = self._accounts.get(given.workspace)
-        if account is None:
+        state = self._states.get(given.workspace)
+        if state is None:
             return
-        got_more = account.grant_pool.answer(given)
+        got_more = state.grant_pool.answer(given)
         if got_more:
-            account.refused_tokens = 0.0
-            self._wake(given.workspace, account)
+            state.refused_tokens = 0.0
+            self._wake(given.workspace, state)
         elif given.tokens > 0 or given.queued:
             return
         elif given.ready_in_seconds > 0:
-            account.refused_tokens = account.wanted_tokens
-            self._retry_later(given.workspace, account, given.ready_in_seconds)
+            state.refused_tokens = state.wanted_tokens
+            self._retry_later(given.workspace, state, given.ready_in_seconds)
         else:
             # This refused a request that only fetched ahead; a waiting
             # request needs tokens now.
-            self._retry_later(given.workspace, account, REPEAT_SECONDS)
+            self._retry_later(given.workspace, state, REPEAT_SECONDS)
 
     def holder_changed(self) -> None:
         """Repeat requests that were sent to a previous holder."""
-        for workspace, account in self._accounts.items():
-            account.grant_pool.forget_request()
-            account.refused_tokens = 0.0
-            self._retry_later(workspace, account, 0.0)
+        for workspace, state in self._states.items():
+            state.grant_pool.forget_request()
+            state.refused_tokens = 0.0
+            self._retry_later(workspace, state, 0.0)
 
     def tick(self) -> None:
         """Close expired grants, repeat overdue requests, drop idle pools."""
-        for workspace, account in list(self._accounts.items()):
-            account.grant_pool.tick()
-            if account.grant_pool.overdue:
-                self._ask_if_wanted(workspace, account)
-            idle = account.grant_pool.idle and not account.grant_pool.in_flight
-            if idle and not account.is_wanted(self._timers.now_seconds()):
-                del self._accounts[workspace]
+        for workspace, state in list(self._states.items()):
+            state.grant_pool.tick()
+            if state.grant_pool.overdue:
+                self._ask_if_wanted(workspace, state)
+            idle = state.grant_pool.idle and not state.grant_pool.in_flight
+            if idle and not state.is_wanted(self._timers.now_seconds()):
+                del self._states[workspace]
 
     def items(self) -> Iterable[tuple[str, grant_pools.GrantPool]]:
         """List the grants of this instance.
@@ -168,8 +168,8 @@
         :return: grant pools by workspace
         """
         return [
-            (workspace, account.grant_pool)
-            for workspace, account in self._accounts.items()
+            (workspace, state.grant_pool)
+            for workspace, state in self._states.items()
         ]
 
     def _create_shortfall(
@@ -185,66 +185,72 @@
         )
 
     def _shortfall(
-        self, workspace: str, account: accounts.Account
+        self, workspace: str, state: workspace_states.WorkspaceState
     ) -> stock.Shortfall:
         now_seconds = self._timers.now_seconds()
-        left_seconds = account.grant_pool.ready_at_seconds - now_seconds
+        left_seconds = state.grant_pool.ready_at_seconds - now_seconds
         if not self._has_holder(workspace):
             return self._create_no_holder_shortfall("no_holder")
-        if account.grant_pool.unanswered >= MAX_UNANSWERED:
+        if state.grant_pool.unanswered >= MAX_UNANSWERED:
             return self._create_no_holder_shortfall("unanswered")
-        if account.grant_pool.in_flight:
+        if state.grant_pool.in_flight:
             wait_seconds = max(limits.IN_FLIGHT_SECONDS, left_seconds)
             return self._create_shortfall("asking", wait_seconds)
         return self._create_shortfall(
             "empty", max(limits.IN_FLIGHT_SECONDS, left_seconds)
         )
 
-    def _account(self, workspace: str) -> accounts.Account:
-        if workspace not in self._accounts:
+    def _state(self, workspace: str) -> workspace_states.WorkspaceState:
+        if workspace not in self._states:
             limit = self._limit_of(workspace)
-            self._accounts[workspace] = accounts.Account(
+            self._states[workspace] = workspace_states.WorkspaceState(
                 grant_pool=self._open_grant_pool(workspace),
                 use=usage.RecentUse(),
                 fetch_ahead=limit is not None and limit.fetch_ahead,
             )
-        return self._accounts[workspace]
+        return self._states[workspace]
 
     def _record_demand(
-        self, workspace: str, account: accounts.Account, tokens: float
+        self,
+        workspace: str,
+        state: workspace_states.WorkspaceState,
+        tokens: float,
     ) -> None:
         now_seconds = self._timers.now_seconds()
-        if not account.is_wanted(self._timers.now_seconds()):
-            account.wanted_tokens = 0.0
-        account.wanted_tokens = max(account.wanted_tokens, tokens)
-        account.wanted_at_seconds = now_seconds
-        if account.grant_pool.in_flight:
+        if not state.is_wanted(self._timers.now_seconds()):
+            state.wanted_tokens = 0.0
+        state.wanted_tokens = max(state.wanted_tokens, tokens)
+        state.wanted_at_seconds = now_seconds
+        if state.grant_pool.in_flight:
             return
         refused = (
-            now_seconds < account.grant_pool.ready_at_seconds
-            and tokens >= account.refused_tokens > 0
+            now_seconds < state.grant_pool.ready_at_seconds
+            and tokens >= state.refused_tokens > 0
         )
         if not refused:
-            self._ask(workspace, account, tokens)
+            self._ask(workspace, state, tokens)
 
     def _ask(
-        self, workspace: str, account: accounts.Account, tokens: float
+        self,
+        workspace: str,
+        state: workspace_states.WorkspaceState,
+        tokens: float,
     ) -> None:
         if not self._has_holder(workspace):
-            self._retry_later(workspace, account, limits.RETRY_SECONDS)
+            self._retry_later(workspace, state, limits.RETRY_SECONDS)
             return
-        needed_tokens = max(0.0, tokens - account.grant_pool.left_tokens())
-        self._ask_without_waking(account, needed_tokens)
+        needed_tokens = max(0.0, tokens - state.grant_pool.left_tokens())
+        self._ask_without_waking(state, needed_tokens)
 
     def _ask_without_waking(
-        self, account: accounts.Account, needed_tokens: float
+        self, state: workspace_states.WorkspaceState, needed_tokens: float
     ) -> None:
         # The response may arrive within the caller's own call; waking
         # subscribers then would make it reserve twice.
-        use_tokens = account.use.tokens(self._timers.now_seconds())
+        use_tokens = state.use.tokens(self._timers.now_seconds())
         was_reserving, self._reserving = self._reserving, True
         try:
-            account.grant_pool.ask(
+            state.grant_pool.ask(
                 needed_tokens=needed_tokens,
                 ahead_tokens=max(0.0, use_tokens - needed_tokens)
                 * AHEAD_SECONDS,
@@ -252,43 +258,50 @@
         finally:
             self._reserving = was_reserving
 
-    def _fetch_ahead(self, account: accounts.Account, tokens: float) -> None:
+    def _fetch_ahead(
+        self, state: workspace_states.WorkspaceState, tokens: float
+    ) -> None:
         now_seconds = self._timers.now_seconds()
-        use_tokens = account.use.tokens(now_seconds)
+        use_tokens = state.use.tokens(now_seconds)
         if use_tokens < MIN_FETCH_REQUESTS * tokens:
             return
-        if account.grant_pool.left_tokens() >= use_tokens * LOW_SECONDS:
+        if state.grant_pool.left_tokens() >= use_tokens * LOW_SECONDS:
             return
-        if account.grant_pool.in_flight:
+        if state.grant_pool.in_flight:
             return
-        if now_seconds < account.grant_pool.ready_at_seconds:
+        if now_seconds < state.grant_pool.ready_at_seconds:
             return
-        self._ask_without_waking(account, 0.0)
+        self._ask_without_waking(state, 0.0)
 
     def _ask_if_wanted(
-        self, workspace: str, account: accounts.Account
+        self, workspace: str, state: workspace_states.WorkspaceState
     ) -> None:
         if (
-            not account.is_wanted(self._timers.now_seconds())
-            or account.grant_pool.in_flight
+            not state.is_wanted(self._timers.now_seconds())
+            or state.grant_pool.in_flight
         ):
             return
-        if not account.covers(account.wanted_tokens):
-            self._ask(workspace, account, account.wanted_tokens)
-        if account.covers(account.wanted_tokens):
-            self._wake(workspace, account)
+        if not state.covers(state.wanted_tokens):
+            self._ask(workspace, state, state.wanted_tokens)
+        if state.covers(state.wanted_tokens):
+            self._wake(workspace, state)
 
     def _retry_later(
-        self, workspace: str, account: accounts.Account, delay_seconds: float
+        self,
+        workspace: str,
+        state: workspace_states.WorkspaceState,
+        delay_seconds: float,
     ) -> None:
-        if account.retry is not None:
-            account.retry.cancel()
-        account.retry = self._timers.once(
+        if state.retry is not None:
+            state.retry.cancel()
+        state.retry = self._timers.once(
             delay_seconds=delay_seconds,
-            callback=lambda: self._ask_if_wanted(workspace, account),
+            callback=lambda: self._ask_if_wanted(workspace, state),
         )
 
-    def _wake(self, workspace: str, account: accounts.Account) -> None:
+    def _wake(
+        self, workspace: str, state: workspace_states.WorkspaceState
+    ) -> None:
         if self._reserving:
             return
         for callback in self._callbacks:
@@ -296,5 +309,5 @@
 
 
 __all__ = [
-    "LeasedStock",
+    "GrantedTokens",
 ]
--- a/src/boragefold/coordination/rates/grants.py
+++ b/src/boragefold/coordination/rates/grants.py
@@ -13,27 +13,27 @@
     ends_at_seconds: float
     left_tokens: float = 0.0
     charged_tokens: float = 0.0
-    drafts: int = 0
-    loose_drafts: int = 0
+    unsettled_charges: int = 0
+    regranted_charges: int = 0
     answered: bool = False
     closed: bool = False
     ended: bool = False
 
 
 @dataclasses.dataclass(kw_only=True)
-class Draft:
+class Charge:
     """Tokens charged to one or more grants, until they are settled.
 
-    A draft that was granted on to another instance is *loose*: that instance
-    may still charge it, so it must not be reported to its source as charged.
+    A *regranted* charge was granted on to another instance, which may still
+    use it, so it must not be reported to its source as charged.
     """
 
     parts: dict[int, float]
-    loose: bool = False
+    regranted: bool = False
     settled: bool = False
 
 
 __all__ = [
-    "Draft",
+    "Charge",
     "Grant",
 ]
--- a/src/boragefold/coordination/rates/holders.py
+++ b/src/boragefold/coordination/rates/held_rates.py
@@ -9,10 +9,10 @@
 
 from absl import logging
 
-from boragefold.coordination.rates import holding as holdings
+from boragefold.coordination.rates import holder_lookup as holder_lookups
 from boragefold.coordination.rates import ledger as ledgers
 from boragefold.coordination.rates import limits
-from boragefold.coordination.rates import tenure as tenures
+from boragefold.coordination.rates import rate_holder as rate_holders
 import boragefold.coordination.rights as membership
 from boragefold.protocol import ids
 from boragefold.protocol import rate_messages
@@ -24,9 +24,9 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _HeldRate:
-    """A tenure and the range of views in which it was held."""
+    """A held rate and the range of views in which it was held."""
 
-    tenure: tenures.Tenure
+    rate_holder: rate_holders.RateHolder
     epoch: int
     first_number: int
     last_number: int
@@ -41,30 +41,30 @@
     received_at_seconds: float
 
 
-class Holders:
-    """The tenures of this instance by workspace."""
+class HeldRates:
+    """The rates that this instance holds, by workspace."""
 
     def __init__(
         self,
         *,
         rights: membership.Rights,
-        holding: holdings.Holding,
+        holder_lookup: holder_lookups.HolderLookup,
         now_seconds: Callable[[], float],
         counters: counting.Counters,
-        begin: Callable[[str, ledgers.Ledger], tenures.Tenure],
+        begin: Callable[[str, ledgers.Ledger], rate_holders.RateHolder],
         send: Callable[[ids.InstanceId, rate_messages.BucketHandedOver], None],
     ) -> None:
         """Start without any held rates.
 
         :param rights: views of the data centres
-        :param holding: looks up the holders of rates
+        :param holder_lookup: looks up the holders of rates
         :param now_seconds: clock
         :param counters: receives the counts of gained and lost rates
-        :param begin: creates the tenure of a workspace with a bucket
+        :param begin: creates the holder of a rate with a bucket
         :param send: sends a bucket to its next holder
         """
         self._rights = rights
-        self._holding = holding
+        self._holder_lookup = holder_lookup
         self._now_seconds = now_seconds
         self._counters = counters
         self._begin = begin
@@ -73,8 +73,8 @@
         self._parts: dict[str, limits.Limit] = {}
         self._pending: dict[str, _PendingBucket] = {}
 
-    def __iter__(self) -> Iterator[tenures.Tenure]:
-        return iter([held.tenure for held in self._held_rates.values()])
+    def __iter__(self) -> Iterator[rate_holders.RateHolder]:
+        return iter([held.rate_holder for held in self._held_rates.values()])
 
     def update(self, parts: dict[str, limits.Limit]) -> None:
         """Apply changed limits immediately.
@@ -85,21 +85,21 @@
         for workspace in self._held_rates.keys() - parts.keys():
             del self._held_rates[workspace]
         for workspace, held in self._held_rates.items():
-            held.tenure.ledger.change(
+            held.rate_holder.ledger.change(
                 parts[workspace], now_seconds=self._now_seconds()
             )
         self.review()
 
     def review(self) -> None:
-        """Start and end tenures to match the valid view."""
+        """Start and stop holding rates to match the valid view."""
         for workspace in self._parts:
-            self.tenure(workspace)
+            self.find(workspace)
 
-    def tenure(self, workspace: str) -> tenures.Tenure | None:
-        """Return the tenure of a rate that this instance holds now.
+    def find(self, workspace: str) -> rate_holders.RateHolder | None:
+        """Return the holder object of a rate that this instance holds now.
 
         :param workspace: workspace of the rate
-        :return: the tenure, or None if another instance holds the rate
+        :return: the object, or None if another instance holds the rate
         """
         view = self._rights.valid_view()
         if view is None:
@@ -107,14 +107,14 @@
             return None
         if workspace not in self._parts:
             return None
-        if not self._holding.ours(workspace):
-            self._end_tenure(workspace, view)
+        if not self._holder_lookup.ours(workspace):
+            self._end_holding(workspace, view)
             return None
         held = self._held_rates.get(workspace)
         if held is None or not self._is_continuous(held, view):
-            held = self._start_tenure(workspace, view)
+            held = self._start_holding(workspace, view)
         held.last_number = view.number
-        return None if held.released else held.tenure
+        return None if held.released else held.rate_holder
 
     def give_up(self) -> None:
         """Hand all buckets over before a planned stop."""
@@ -130,7 +130,7 @@
             held.released = True
             if others and self._is_continuous(held, view):
                 held.last_number = view.number
-                held.tenure.ledger.advance(self._now_seconds())
+                held.rate_holder.ledger.advance(self._now_seconds())
                 self._hand_over(workspace, held, view._replace(members=others))
 
     def handed_over(
@@ -156,7 +156,7 @@
             and held.last_number <= view.number <= held.last_number + 1
         )
 
-    def _start_tenure(
+    def _start_holding(
         self, workspace: str, view: membership.View
     ) -> _HeldRate:
         # Grants of a previous holder may be charged until they expire, so the
@@ -170,7 +170,7 @@
             + part.hold_seconds,
         )
         held = _HeldRate(
-            tenure=self._begin(workspace, ledger),
+            rate_holder=self._begin(workspace, ledger),
             epoch=view.epoch,
             first_number=view.number,
             last_number=view.number,
@@ -194,12 +194,12 @@
         if not follows or age_seconds > PENDING_SECONDS:
             return
         del self._pending[workspace]
-        if not held.tenure.ledger.starts_in_seconds(now_seconds):
+        if not held.rate_holder.ledger.starts_in_seconds(now_seconds):
             # The bucket already refills; adding the received level would
             # count that refill twice.
             self._counters.add("rate_tenures", "inherited_too_late")
             return
-        held.tenure.ledger.inherit(
+        held.rate_holder.ledger.inherit(
             level_tokens=bucket.level_tokens,
             occupied_tokens=bucket.occupied_tokens,
             now_seconds=now_seconds,
@@ -207,7 +207,7 @@
         self._counters.add("rate_tenures", "inherited")
 
     def _end_if_replaced(self, workspace: str) -> None:
-        """End a tenure if a later view without this instance is known."""
+        """Stop holding a rate if a later view lacks this instance."""
         held = self._held_rates.get(workspace)
         own_name = self._rights.self_id.data_centre
         latest = self._rights.directory().get(own_name)
@@ -217,9 +217,9 @@
         if (latest.epoch, latest.number) > last and (
             self._rights.self_id not in latest.members
         ):
-            self._end_tenure(workspace, latest)
+            self._end_holding(workspace, latest)
 
-    def _end_tenure(self, workspace: str, view: membership.View) -> None:
+    def _end_holding(self, workspace: str, view: membership.View) -> None:
         held = self._held_rates.pop(workspace, None)
         if held is None:
             return
@@ -231,7 +231,7 @@
         self, workspace: str, held: _HeldRate, view: membership.View
     ) -> None:
         """Send the bucket's last state to the next holder."""
-        ledger = held.tenure.ledger
+        ledger = held.rate_holder.ledger
         if ledger.starts_in_seconds(self._now_seconds()) > 0:
             return
         successor = membership.holder(view, limits.right_of(workspace))
@@ -250,5 +250,5 @@
 
 
 __all__ = [
-    "Holders",
+    "HeldRates",
 ]
--- a/src/boragefold/coordination/rates/surroundings.py
+++ b/src/boragefold/coordination/rates/holder_context.py
@@ -11,8 +11,8 @@
 Send = Callable[[ids.InstanceId, rate_messages.TokensGiven], None]
 
 
-class Surroundings:
-    """Functions and names that a tenure needs from its instance."""
+class HolderContext:
+    """Functions and names that a holder needs from its instance."""
 
     def __init__(
         self,
@@ -40,5 +40,5 @@
 
 
 __all__ = [
-    "Surroundings",
+    "HolderContext",
 ]
--- a/src/boragefold/coordination/rates/holding.py
+++ b/src/boragefold/coordination/rates/holder_lookup.py
@@ -10,7 +10,7 @@
 MAX_CACHED = 100_000
 
 
-class Holding:
+class HolderLookup:
     """Caches the holders of rates; hashing a rate costs 20 microseconds."""
 
     def __init__(self, *, rights: membership.Rights) -> None:
@@ -78,5 +78,5 @@
 
 
 __all__ = [
-    "Holding",
+    "HolderLookup",
 ]
--- a/src/boragefold/coordination/rates/lenders.py
+++ b/src/boragefold/coordination/rates/lenders.py
@@ -31,7 +31,7 @@
     """Tokens charged to the grants of one lender."""
 
     data_centre: str
-    draft: grants.Draft
+    charge: grants.Charge
     tokens: float
 
 
@@ -158,10 +158,10 @@
             part = min(tokens, left_tokens)
             if part <= 0:
                 continue
-            draft = grant_pool.take(
-                part, life_seconds=MIN_LIFE_SECONDS, loose=True
+            charge = grant_pool.take(
+                part, life_seconds=MIN_LIFE_SECONDS, regranted=True
             )
-            loans.append(Loan(name, draft, part))
+            loans.append(Loan(name, charge, part))
             tokens -= part
         return loans
 
@@ -173,7 +173,7 @@
         """
         return min(
             (
-                self._grant_pools[loan.data_centre].life_seconds(loan.draft)
+                self._grant_pools[loan.data_centre].life_seconds(loan.charge)
                 for loan in loans
             ),
             default=limits.GRANT_SECONDS,
@@ -186,17 +186,17 @@
         :param used_tokens: tokens that were used
         """
         self._grant_pools[loan.data_centre].settle(
-            loan.draft, used_tokens=used_tokens
+            loan.charge, used_tokens=used_tokens
         )
 
-    def pin(self, loan: Loan, *, kept_tokens: float) -> None:
+    def finalize(self, loan: Loan, *, kept_tokens: float) -> None:
         """Record that the receiver of a loan charges no more of it.
 
         :param loan: result of :meth:`take`
         :param kept_tokens: tokens that were charged
         """
-        self._grant_pools[loan.data_centre].pin(
-            loan.draft, kept_tokens=kept_tokens
+        self._grant_pools[loan.data_centre].finalize(
+            loan.charge, kept_tokens=kept_tokens
         )
 
     def answer(
--- a/src/boragefold/coordination/rates/tenure.py
+++ b/src/boragefold/coordination/rates/rate_holder.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from collections.abc import Iterable
 
+from boragefold.coordination.rates import holder_context
 from boragefold.coordination.rates import ledger as ledgers
 from boragefold.coordination.rates import lenders as lending
-from boragefold.coordination.rates import lent_on as lending_on
 from boragefold.coordination.rates import limits
-from boragefold.coordination.rates import surroundings
-from boragefold.coordination.rates import waiting as queues
+from boragefold.coordination.rates import relent_grants
+from boragefold.coordination.rates import request_queue as request_queues
 from boragefold.protocol import ids
 from boragefold.protocol import rate_messages
 
@@ -20,7 +20,7 @@
 MIN_WAIT_SECONDS = 0.01
 
 
-class Tenure:
+class RateHolder:
     """Owns the bucket of a rate while this instance holds that rate."""
 
     def __init__(
@@ -28,24 +28,24 @@
         *,
         ledger: ledgers.Ledger,
         lenders: lending.Lenders,
-        around: surroundings.Surroundings,
+        context: holder_context.HolderContext,
         now_seconds: Callable[[], float],
     ) -> None:
         """Start to hold the rate.
 
         :param ledger: bucket of this data centre's part
         :param lenders: loans from other data centres
-        :param around: functions of the instance
+        :param context: functions of the instance
         :param now_seconds: clock
         """
-        self.workspace = around.workspace
+        self.workspace = context.workspace
         self.ledger = ledger
         self.lenders = lenders
-        self._instance = around
+        self._context = context
         self._now_seconds = now_seconds
-        self._waiting = queues.Queue()
+        self._queue = request_queues.RequestQueue()
         self._latest_numbers: dict[ids.InstanceId, int] = {}
-        self._lent_on = lending_on.LentOn(lenders=lenders)
+        self._relent_grants = relent_grants.RelentGrants(lenders=lenders)
 
     def asked(
         self, asker: ids.InstanceId, request: rate_messages.TokensAsked
@@ -62,17 +62,17 @@
             # be lost.
             return
         self._latest_numbers[asker] = request.number
-        if asker.data_centre != self._instance.data_centre:
+        if asker.data_centre != self._context.data_centre:
             self._lend(asker, request)
             return
-        waiting = queues.Waiting(
+        queued = request_queues.QueuedRequest(
             asker=asker,
             number=request.number,
             needed_tokens=request.needed_tokens,
             ahead_tokens=request.ahead_tokens,
             came_at_seconds=now_seconds,
         )
-        self._waiting.put(waiting)
+        self._queue.put(queued)
         self.serve()
 
     def serve(self) -> float | None:
@@ -82,13 +82,13 @@
         """
         now_seconds = self._now_seconds()
         self.ledger.advance(now_seconds)
-        while self._waiting:
-            first = self._waiting.first()
+        while self._queue:
+            first = self._queue.first()
             if not self._can_grant(first.needed_tokens):
                 break
-            self._waiting.remove(first)
+            self._queue.remove(first)
             self._grant(first)
-        if not self._waiting:
+        if not self._queue:
             return None
         self._borrow()
         ready_seconds = self._answer_waiting()
@@ -124,7 +124,7 @@
         self.ledger.advance(self._now_seconds())
         self.ledger.settle_old(self._now_seconds())
         self.lenders.tick()
-        self._lent_on.forget_old(self._now_seconds())
+        self._relent_grants.forget_old(self._now_seconds())
 
     def _can_grant(self, tokens: float) -> bool:
         if self.ledger.level_tokens < tokens:
@@ -132,28 +132,28 @@
         have_tokens = self.ledger.level_tokens + self.lenders.left_tokens()
         return have_tokens + limits.TINY_TOKENS >= tokens
 
-    def _grant(self, waiting: queues.Waiting) -> None:
+    def _grant(self, queued: request_queues.QueuedRequest) -> None:
         # Loans expire, so they are spent before the own bucket's tokens.
         level_tokens = self.ledger.level_tokens
         have_tokens = level_tokens + self.lenders.left_tokens()
-        spare_tokens = max(0.0, have_tokens - waiting.needed_tokens)
-        wanted_tokens = waiting.needed_tokens + min(
-            waiting.ahead_tokens, spare_tokens * AHEAD_FRACTION
+        spare_tokens = max(0.0, have_tokens - queued.needed_tokens)
+        wanted_tokens = queued.needed_tokens + min(
+            queued.ahead_tokens, spare_tokens * AHEAD_FRACTION
         )
         loans = self.lenders.take(wanted_tokens)
         borrowed_tokens = sum(loan.tokens for loan in loans)
         own_tokens = max(0.0, wanted_tokens - borrowed_tokens)
         own_tokens = min(own_tokens, level_tokens)
         life_seconds = self.lenders.life_seconds(loans)
-        self._lent_on.add(
-            waiting.asker,
-            waiting.number,
+        self._relent_grants.add(
+            queued.asker,
+            queued.number,
             loans=loans,
             now_seconds=self._now_seconds(),
         )
         self._debit_and_answer(
-            waiting.asker,
-            waiting.number,
+            queued.asker,
+            queued.number,
             own_tokens=own_tokens,
             tokens=own_tokens + borrowed_tokens,
             life_seconds=life_seconds,
@@ -165,7 +165,7 @@
         # Requests of the own data centre take precedence over loans.
         self.ledger.recount()
         spare_tokens = max(
-            0.0, self.ledger.level_tokens - self._waiting.needed_tokens
+            0.0, self.ledger.level_tokens - self._queue.needed_tokens
         )
         wanted_tokens = request.needed_tokens + request.ahead_tokens
         tokens = min(wanted_tokens, spare_tokens)
@@ -188,7 +188,7 @@
     ) -> None:
         # Another instance may hold the rate after a pause of this process, so
         # the check comes right before the debit.
-        if not self._instance.holds():
+        if not self._context.holds():
             return
         if tokens <= limits.TINY_TOKENS:
             self._answer(asker, number)
@@ -211,10 +211,10 @@
         ready_in_seconds: float = 0.0,
         queued: bool = False,
     ) -> None:
-        self._instance.send(
+        self._context.send(
             asker,
             rate_messages.TokensGiven(
-                self._instance.workspace,
+                self._context.workspace,
                 number,
                 tokens,
                 life_seconds,
@@ -226,7 +226,7 @@
     def _report(
         self, asker: ids.InstanceId, report: rate_messages.Usage
     ) -> None:
-        charged_tokens = self._lent_on.report(asker, report)
+        charged_tokens = self._relent_grants.report(asker, report)
         self.ledger.report(
             asker=asker,
             number=report.number,
@@ -239,9 +239,9 @@
         have_tokens = self.ledger.level_tokens + self.lenders.left_tokens()
         # Borrows ahead of need instead of once for each request.
         self.lenders.ask(
-            self._instance.lender_parts(),
-            short_tokens=self._waiting.needed_tokens - have_tokens,
-            ahead_tokens=self._waiting.ahead_tokens,
+            self._context.lender_parts(),
+            short_tokens=self._queue.needed_tokens - have_tokens,
+            ahead_tokens=self._queue.ahead_tokens,
         )
 
     def _answer_waiting(self) -> float | None:
@@ -253,27 +253,27 @@
         in_flight = self.lenders.in_flight()
         before_tokens = 0.0
         next_seconds: float | None = None
-        for waiting in self._waiting:
-            before_tokens += waiting.needed_tokens
+        for queued in self._queue:
+            before_tokens += queued.needed_tokens
             ready_seconds = self._ready_in_seconds(before_tokens)
-            waited_seconds = now_seconds - waiting.came_at_seconds
+            waited_seconds = now_seconds - queued.came_at_seconds
             expected = limits.IN_FLIGHT_SECONDS if in_flight else ready_seconds
             if waited_seconds + expected > limits.QUEUE_SECONDS:
-                self._waiting.remove(waiting)
-                before_tokens -= waiting.needed_tokens
+                self._queue.remove(queued)
+                before_tokens -= queued.needed_tokens
                 self._answer(
-                    waiting.asker,
-                    waiting.number,
+                    queued.asker,
+                    queued.number,
                     ready_in_seconds=ready_seconds,
                 )
                 continue
             if next_seconds is None:
                 next_seconds = ready_seconds
-            if not waiting.told and expected > limits.RETRY_SECONDS / 2:
-                waiting.told = True
+            if not queued.told and expected > limits.RETRY_SECONDS / 2:
+                queued.told = True
                 self._answer(
-                    waiting.asker,
-                    waiting.number,
+                    queued.asker,
+                    queued.number,
                     ready_in_seconds=expected,
                     queued=True,
                 )
@@ -281,7 +281,7 @@
 
     def _ready_in_seconds(self, tokens: float) -> float:
         rate = self.ledger.limit.rate_tokens_per_second
-        rate += self.lenders.rate(self._instance.lender_parts())
+        rate += self.lenders.rate(self._context.lender_parts())
         if rate <= 0:
             return limits.REFUND_SECONDS
         short = tokens - self.ledger.level_tokens - self.lenders.left_tokens()
@@ -290,5 +290,5 @@
 
 
 __all__ = [
-    "Tenure",
+    "RateHolder",
 ]
--- a/src/boragefold/coordination/rates/lent_on.py
+++ b/src/boragefold/coordination/rates/relent_grants.py
@@ -11,14 +11,14 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _LentGrant:
+class _RelentGrant:
     """The loans contained in one grant."""
 
     loans: list[lending.Loan]
     given_at_seconds: float
 
 
-class LentOn:
+class RelentGrants:
     """Forwards the reported use of borrowed tokens to their lenders."""
 
     def __init__(self, *, lenders: lending.Lenders) -> None:
@@ -27,7 +27,9 @@
         :param lenders: source of the loans
         """
         self._lenders = lenders
-        self._lent_grants: dict[tuple[ids.InstanceId, int], _LentGrant] = {}
+        self._relent_grants: dict[
+            tuple[ids.InstanceId, int], _RelentGrant
+        ] = {}
 
     def add(
         self,
@@ -45,7 +47,7 @@
         :param now_seconds: current time
         """
         if loans:
-            self._lent_grants[asker, number] = _LentGrant(
+            self._relent_grants[asker, number] = _RelentGrant(
                 loans=loans, given_at_seconds=now_seconds
             )
 
@@ -63,16 +65,16 @@
         """
         key = (asker, usage.number)
         charged_tokens = usage.charged_tokens
-        lent_grant = self._lent_grants.get(key)
-        for loan in lent_grant.loans if lent_grant else ():
+        relent_grant = self._relent_grants.get(key)
+        for loan in relent_grant.loans if relent_grant else ():
             tokens = min(loan.tokens, charged_tokens)
             charged_tokens -= tokens
             if usage.final:
                 self._lenders.settle(loan, used_tokens=tokens)
             else:
-                self._lenders.pin(loan, kept_tokens=tokens)
+                self._lenders.finalize(loan, kept_tokens=tokens)
         if usage.final:
-            self._lent_grants.pop(key, None)
+            self._relent_grants.pop(key, None)
         return charged_tokens
 
     def forget_old(self, now_seconds: float) -> None:
@@ -81,13 +83,13 @@
         :param now_seconds: current time
         """
         oldest_seconds = now_seconds - limits.REFUND_SECONDS
-        self._lent_grants = {
-            key: lent_grant
-            for key, lent_grant in self._lent_grants.items()
-            if lent_grant.given_at_seconds > oldest_seconds
+        self._relent_grants = {
+            key: relent_grant
+            for key, relent_grant in self._relent_grants.items()
+            if relent_grant.given_at_seconds > oldest_seconds
         }
 
 
 __all__ = [
-    "LentOn",
+    "RelentGrants",
 ]
--- a/src/boragefold/coordination/rates/reports.py
+++ b/src/boragefold/coordination/rates/reports.py
@@ -19,7 +19,7 @@
 MAX_UNACKNOWLEDGED = 200
 
 
-class Due(NamedTuple):
+class ReportSource(NamedTuple):
     """A grant pool that may have reports to send, and their receiver."""
 
     find_holder: Callable[[], ids.InstanceId | None]
@@ -50,14 +50,17 @@
             ],
         ] = {}
 
-    def flush(self, due: Iterable[Due], *, after_seconds: float) -> None:
+    def flush(
+        self, due: Iterable[ReportSource], *, after_seconds: float
+    ) -> None:
         """Send the reports that no request has carried in time.
 
         :param due: the grant pools to check
         :param after_seconds: how long a report waits for a request
         """
         by_holder: dict[
-            ids.InstanceId, list[tuple[Due, tuple[rate_messages.Usage, ...]]]
+            ids.InstanceId,
+            list[tuple[ReportSource, tuple[rate_messages.Usage, ...]]],
         ] = {}
         for each in due:
             usages = each.grant_pool.due_usages(after_seconds=after_seconds)
@@ -79,7 +82,7 @@
     def _send_batch(
         self,
         holder: ids.InstanceId,
-        found: list[tuple[Due, tuple[rate_messages.Usage, ...]]],
+        found: list[tuple[ReportSource, tuple[rate_messages.Usage, ...]]],
     ) -> None:
         number = next(self._numbers)
         self._unacknowledged[number] = [
@@ -95,6 +98,6 @@
 
 
 __all__ = [
-    "Due",
+    "ReportSource",
     "Reports",
 ]
--- a/src/boragefold/coordination/rates/waiting.py
+++ b/src/boragefold/coordination/rates/request_queue.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Waiting:
+class QueuedRequest:
     """A request that waits for the refill or for a loan."""
 
     asker: ids.InstanceId
@@ -20,14 +20,14 @@
     told: bool = False
 
 
-class Queue:
+class RequestQueue:
     """Queue with one request per asker; a repeated one keeps its position."""
 
     def __init__(self) -> None:
         """Create an empty queue."""
-        self._requests: dict[ids.InstanceId, Waiting] = {}
+        self._requests: dict[ids.InstanceId, QueuedRequest] = {}
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedRequest]:
         return iter(list(self._requests.values()))
 
     def __bool__(self) -> bool:
@@ -49,29 +49,29 @@
         """
         return sum(each.ahead_tokens for each in self._requests.values())
 
-    def put(self, waiting: Waiting) -> None:
+    def put(self, request: QueuedRequest) -> None:
         """Add a request or replace an earlier one of the same asker.
 
-        :param waiting: the request
+        :param request: the request
         """
-        self._requests[waiting.asker] = waiting
+        self._requests[request.asker] = request
 
-    def first(self) -> Waiting:
+    def first(self) -> QueuedRequest:
         """Return the request that arrived first; the queue must not be empty.
 
         :return: the request
         """
         return next(iter(self._requests.values()))
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, request: QueuedRequest) -> None:
         """Remove a request.
 
-        :param waiting: the request
+        :param request: the request
         """
-        del self._requests[waiting.asker]
+        del self._requests[request.asker]
 
 
 __all__ = [
-    "Queue",
-    "Waiting",
+    "RequestQueue",
+    "QueuedRequest",
 ]
--- a/src/boragefold/coordination/rates/service.py
+++ b/src/boragefold/coordination/rates/service.py
@@ -11,16 +11,16 @@
 
 from boragefold.coordination import link
 from boragefold.coordination.rates import grant_pool as grant_pools
-from boragefold.coordination.rates import holders
-from boragefold.coordination.rates import holding
+from boragefold.coordination.rates import granted_tokens
+from boragefold.coordination.rates import held_rates
+from boragefold.coordination.rates import holder_context
+from boragefold.coordination.rates import holder_lookup
 from boragefold.coordination.rates import ledger as ledgers
 from boragefold.coordination.rates import lenders as lending
 from boragefold.coordination.rates import limits
+from boragefold.coordination.rates import rate_holder as rate_holders
 from boragefold.coordination.rates import reports as reporting
 from boragefold.coordination.rates import shares as sharing
-from boragefold.coordination.rates import stock as stocks
-from boragefold.coordination.rates import surroundings
-from boragefold.coordination.rates import tenure as tenures
 import boragefold.coordination.rights as membership
 from boragefold.protocol import ids
 from boragefold.protocol import rate_messages
@@ -66,22 +66,22 @@
             counters=counters,
             changed=self._apply_limits,
         )
-        self._holding = holding.Holding(rights=rights)
-        self._holders = holders.Holders(
+        self._holder_lookup = holder_lookup.HolderLookup(rights=rights)
+        self._held_rates = held_rates.HeldRates(
             rights=rights,
-            holding=self._holding,
+            holder_lookup=self._holder_lookup,
             now_seconds=timers.now_seconds,
             counters=counters,
-            begin=self._create_tenure,
+            begin=self._create_rate_holder,
             send=self._send,
         )
-        self.stock = stocks.LeasedStock(
+        self.stock = granted_tokens.GrantedTokens(
             timers=timers,
             counters=counters,
             limit_of=lambda workspace: self._limits.get(workspace),
             open_grant_pool=self._open_grant_pool,
             has_holder=lambda workspace: (
-                self._holding.here(workspace) is not None
+                self._holder_lookup.here(workspace) is not None
             ),
         )
         self._reports = reporting.Reports(
@@ -92,7 +92,7 @@
             rate_messages.TokensGiven: self._receive_grant,
             rate_messages.UsagesReported: self._receive_reports,
             rate_messages.UsagesNoted: self._receive_acknowledgement,
-            rate_messages.BucketHandedOver: self._holders.handed_over,
+            rate_messages.BucketHandedOver: self._held_rates.handed_over,
         }
         for kind, handler in self._handlers.items():
             peers.subscribe(kind, handler)
@@ -127,7 +127,7 @@
 
     def leave(self) -> None:
         """Hand over all buckets at the start of a planned stop."""
-        self._holders.give_up()
+        self._held_rates.give_up()
 
     def buckets(self, now_seconds: float) -> list[ledgers.Ledger]:
         """List the buckets that this instance holds now, for inspection.
@@ -136,9 +136,9 @@
         :return: buckets, refilled up to that time
         """
         held = [
-            tenure.ledger
+            rate_holder.ledger
             for workspace in self._limits
-            if (tenure := self._holders.tenure(workspace)) is not None
+            if (rate_holder := self._held_rates.find(workspace)) is not None
         ]
         for ledger in held:
             ledger.advance(now_seconds)
@@ -147,7 +147,7 @@
 
     def _apply_limits(self) -> None:
         self._limits = {**self._workspaces, **self._budgets}
-        self._holders.update(
+        self._held_rates.update(
             {
                 workspace: self._shares.own_limit(limit)
                 for workspace, limit in self._limits.items()
@@ -155,35 +155,39 @@
         )
 
     def _view_changed(self, view: membership.View | None) -> None:
-        self._holders.review()
+        self._held_rates.review()
         self.stock.holder_changed()
 
     def _tick(self) -> None:
-        for tenure in self._holders:
-            tenure.tick()
+        for rate_holder in self._held_rates:
+            rate_holder.tick()
         self.stock.tick()
         self._reports.flush(
             itertools.chain(self._granted_pools(), self._borrowed_pools()),
             after_seconds=REPORT_SECONDS,
         )
 
-    def _granted_pools(self) -> Iterator[reporting.Due]:
+    def _granted_pools(self) -> Iterator[reporting.ReportSource]:
         for workspace, grant_pool in self.stock.items():
-            find = functools.partial(self._holding.here, workspace)
-            yield reporting.Due(find, workspace, grant_pool)
+            find = functools.partial(self._holder_lookup.here, workspace)
+            yield reporting.ReportSource(find, workspace, grant_pool)
 
-    def _borrowed_pools(self) -> Iterator[reporting.Due]:
-        for tenure in self._holders:
-            for data_centre, grant_pool in tenure.lenders.items():
+    def _borrowed_pools(self) -> Iterator[reporting.ReportSource]:
+        for rate_holder in self._held_rates:
+            for data_centre, grant_pool in rate_holder.lenders.items():
                 find = functools.partial(
-                    self._holding.elsewhere, data_centre, tenure.workspace
+                    self._holder_lookup.elsewhere,
+                    data_centre,
+                    rate_holder.workspace,
+                )
+                yield reporting.ReportSource(
+                    find, rate_holder.workspace, grant_pool
                 )
-                yield reporting.Due(find, tenure.workspace, grant_pool)
 
-    def _create_tenure(
+    def _create_rate_holder(
         self, workspace: str, ledger: ledgers.Ledger
-    ) -> tenures.Tenure:
-        return tenures.Tenure(
+    ) -> rate_holders.RateHolder:
+        return rate_holders.RateHolder(
             ledger=ledger,
             lenders=lending.Lenders(
                 workspace=workspace,
@@ -191,11 +195,11 @@
                 send=self._ask_lender,
                 numbers=self._numbers,
             ),
-            around=surroundings.Surroundings(
+            context=holder_context.HolderContext(
                 workspace=workspace,
                 data_centre=self._link.self_id.data_centre,
                 send=self._send,
-                holds=lambda: self._holding.ours(workspace),
+                holds=lambda: self._holder_lookup.ours(workspace),
                 lender_parts=lambda: self._lender_parts(workspace),
             ),
             now_seconds=self._timers.now_seconds,
@@ -223,14 +227,14 @@
         )
 
     def _ask_holder(self, asked: rate_messages.TokensAsked) -> None:
-        holder = self._holding.here(asked.workspace)
+        holder = self._holder_lookup.here(asked.workspace)
         if holder is not None:
             self._send(holder, asked)
 
     def _ask_lender(
         self, data_centre: str, asked: rate_messages.TokensAsked
     ) -> None:
-        lender = self._holding.elsewhere(data_centre, asked.workspace)
+        lender = self._holder_lookup.elsewhere(data_centre, asked.workspace)
         if lender is not None:
             self._send(lender, asked)
 
@@ -244,9 +248,9 @@
         self, sender: ids.InstanceId, reported: rate_messages.UsagesReported
     ) -> None:
         for report in reported.reports:
-            tenure = self._holders.tenure(report.workspace)
-            if tenure is not None:
-                tenure.reported(sender, report.usages)
+            rate_holder = self._held_rates.find(report.workspace)
+            if rate_holder is not None:
+                rate_holder.reported(sender, report.usages)
         self._send(sender, rate_messages.UsagesNoted(reported.number))
 
     def _receive_acknowledgement(
@@ -257,10 +261,10 @@
     def _receive_request(
         self, sender: ids.InstanceId, asked: rate_messages.TokensAsked
     ) -> None:
-        tenure = self._holders.tenure(asked.workspace)
-        if tenure is not None:
-            tenure.asked(sender, asked)
-            self._serve(asked.workspace, tenure)
+        rate_holder = self._held_rates.find(asked.workspace)
+        if rate_holder is not None:
+            rate_holder.asked(sender, asked)
+            self._serve(asked.workspace, rate_holder)
 
     def _receive_grant(
         self, sender: ids.InstanceId, given: rate_messages.TokensGiven
@@ -268,13 +272,15 @@
         if sender.data_centre == self._link.self_id.data_centre:
             self.stock.answer(given)
             return
-        tenure = self._holders.tenure(given.workspace)
-        if tenure is not None:
-            tenure.answered(sender, given)
-            self._serve(given.workspace, tenure)
+        rate_holder = self._held_rates.find(given.workspace)
+        if rate_holder is not None:
+            rate_holder.answered(sender, given)
+            self._serve(given.workspace, rate_holder)
 
-    def _serve(self, workspace: str, tenure: tenures.Tenure) -> None:
-        delay_seconds = tenure.serve()
+    def _serve(
+        self, workspace: str, rate_holder: rate_holders.RateHolder
+    ) -> None:
+        delay_seconds = rate_holder.serve()
         wake = self._wake_timers.pop(workspace, None)
         if wake is not None:
             wake.cancel()
@@ -285,9 +291,9 @@
             )
 
     def _wake(self, workspace: str) -> None:
-        tenure = self._holders.tenure(workspace)
-        if tenure is not None:
-            self._serve(workspace, tenure)
+        rate_holder = self._held_rates.find(workspace)
+        if rate_holder is not None:
+            self._serve(workspace, rate_holder)
 
 
 __all__ = [
--- a/src/boragefold/coordination/rates/account.py
+++ b/src/boragefold/coordination/rates/workspace_state.py
@@ -16,14 +16,14 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Charged(stock.Reservation):
+class ChargedReservation(stock.Reservation):
     """A reservation with the grants that it is charged to."""
 
-    draft: grants.Draft
+    charge: grants.Charge
 
 
 @dataclasses.dataclass(kw_only=True)
-class Account:
+class WorkspaceState:
     """Tokens, recent use and unmet demand of a recently used workspace."""
 
     grant_pool: grant_pools.GrantPool
@@ -53,6 +53,6 @@
 
 
 __all__ = [
-    "Account",
-    "Charged",
+    "WorkspaceState",
+    "ChargedReservation",
 ]
--- a/tests/coordination/rates/test_grant_pool.py
+++ b/tests/coordination/rates/test_grant_pool.py
@@ -75,28 +75,28 @@
     # If the lender counted it as charged, it would stop occupying the bucket
     # at once, and refill and loan could both be charged at the same time.
     source.give(100.0)
-    draft = source.grant_pool.take(100.0, loose=True)
+    charge = source.grant_pool.take(100.0, regranted=True)
     assert source.usages() == ()
-    source.grant_pool.pin(draft, kept_tokens=70.0)
+    source.grant_pool.finalize(charge, kept_tokens=70.0)
     assert source.usages()[-1] == rate_messages.Usage(0, 70.0, False)
-    source.grant_pool.settle(draft, used_tokens=10.0)
+    source.grant_pool.settle(charge, used_tokens=10.0)
     assert source.usages()[-1] == rate_messages.Usage(0, 10.0, True)
 
 
 def test_a_remainder_is_local_while_the_grant_lives(source) -> None:
     source.give(100.0)
-    draft = source.grant_pool.take(80.0)
-    source.grant_pool.settle(draft, used_tokens=30.0)
-    source.grant_pool.settle(draft, used_tokens=0.0)
+    charge = source.grant_pool.take(80.0)
+    source.grant_pool.settle(charge, used_tokens=30.0)
+    source.grant_pool.settle(charge, used_tokens=0.0)
     assert source.grant_pool.left_tokens() == 70.0
 
 
 def test_reports_are_repeated_until_acknowledged(source) -> None:
     # The message that returns tokens is lost.
     source.give(100.0)
-    draft = source.grant_pool.take(100.0)
+    charge = source.grant_pool.take(100.0)
     assert source.grant_pool.due_usages(after_seconds=0.0) == ()
-    source.grant_pool.settle(draft, used_tokens=20.0)
+    source.grant_pool.settle(charge, used_tokens=20.0)
     final = (rate_messages.Usage(0, 20.0, True),)
     assert source.grant_pool.due_usages(after_seconds=0.0) == final
     assert source.usages() == final
