--- a/src/boragefold/bench/capacity_parts.py
+++ b/src/boragefold/bench/capacity_parts.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from boragefold.coordination.once import tickets
-from boragefold.entry import load_reports
+from boragefold.entry import load_poller
 from boragefold.protocol import envelope
 from boragefold.protocol import ids
 from boragefold.protocol import once_messages
@@ -67,14 +67,14 @@
 
     :return: its bytes and the processor time to read it
     """
-    report = load_reports.EngineReport(
+    report = load_poller.EngineReport(
         incarnation=uuid.uuid4().hex,
         running=20,
         waiting=1,
         resident=[(f"team/adapter-{n:05d}", "v2", 2) for n in range(SLOTS)],
     )
     data = msgspec.json.encode(report)
-    decoder = msgspec.json.Decoder(load_reports.EngineReport)
+    decoder = msgspec.json.Decoder(load_poller.EngineReport)
     began = time.process_time()
     for _ in range(ROUNDS):
         decoder.decode(data)
--- a/src/boragefold/entry/live_chat.py
+++ b/src/boragefold/entry/active_chat.py
@@ -24,14 +24,14 @@
     """Receives the events of chat requests and decides how to proceed."""
 
     @abc.abstractmethod
-    def answered(self, live: LiveChat) -> None:
+    def answered(self, live: ActiveChat) -> None:
         """Handle the arrival of the first token.
 
         :param live: the chat request
         """
 
     @abc.abstractmethod
-    def completed(self, live: LiveChat) -> None:
+    def completed(self, live: ActiveChat) -> None:
         """Handle the end of a complete response.
 
         :param live: the chat request
@@ -39,7 +39,7 @@
 
     @abc.abstractmethod
     def attempt_broken(
-        self, live: LiveChat, reason: str, *, may_have_run: bool
+        self, live: ActiveChat, reason: str, *, may_have_run: bool
     ) -> None:
         """Resume, retry or fail a chat request whose attempt failed.
 
@@ -49,14 +49,14 @@
         """
 
     @abc.abstractmethod
-    def caller_gone(self, live: LiveChat) -> None:
+    def caller_gone(self, live: ActiveChat) -> None:
         """Handle the disconnection of the caller.
 
         :param live: the chat request
         """
 
 
-class LiveChat(engine_answer.AnswerReader):
+class ActiveChat(engine_answer.AttemptObserver):
     """The state of one chat request at this instance."""
 
     def __init__(
@@ -236,6 +236,6 @@
 
 
 __all__ = [
+    "ActiveChat",
     "ChatEvents",
-    "LiveChat",
 ]
--- a/src/boragefold/entry/answer_deadline.py
+++ b/src/boragefold/entry/answer_deadline.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from boragefold.entry import serving
+from boragefold.entry import request_context
 
 # The gateway stops waiting for a response this long before its caller does.
 MARGIN_SECONDS = 0.02
@@ -11,7 +11,7 @@
 MAX_MARGIN_SECONDS = 0.1
 
 
-def ends_at_seconds(admitted: serving.Admitted) -> float:
+def ends_at_seconds(admitted: request_context.AdmittedRequest) -> float:
     """Compute when the gateway stops waiting for the response to a request.
 
     :param admitted: the request
--- a/src/boragefold/entry/caller_answer.py
+++ b/src/boragefold/entry/caller_answer.py
@@ -5,7 +5,7 @@
 from boragefold.entry import answer_times
 from boragefold.entry import event_stream
 from boragefold.entry import refusals
-from boragefold.entry import serving
+from boragefold.entry import request_context
 from boragefold.transport import http_server
 
 
@@ -15,9 +15,9 @@
     def __init__(
         self,
         *,
-        admitted: serving.Admitted,
+        admitted: request_context.AdmittedRequest,
         exchange: http_server.Exchange,
-        shared: serving.Shared,
+        shared: request_context.RequestContext,
     ) -> None:
         self._admitted = admitted
         self._exchange = exchange
@@ -119,7 +119,7 @@
         self._exchange.abort()
 
     def refuse(
-        self, kind: refusals.Kind, reason: str, retry_after_seconds: float
+        self, kind: refusals.ErrorKind, reason: str, retry_after_seconds: float
     ) -> None:
         """Send an error response, or abort a response that has begun.
 
--- a/src/boragefold/entry/traffic.py
+++ b/src/boragefold/entry/chat_assembly.py
@@ -8,14 +8,14 @@
 from boragefold.coordination.orders import service as order_service
 from boragefold.coordination.orders import timeouts
 import boragefold.coordination.rights as rights_module
-from boragefold.entry import adapter_orders
+from boragefold.entry import chat_controller
 from boragefold.entry import chat_sender
-from boragefold.entry import desk as desks
-from boragefold.entry import engine_orders
-from boragefold.entry import load_reports
+from boragefold.entry import cluster_services
+from boragefold.entry import load_executor
+from boragefold.entry import load_poller
+from boragefold.entry import order_client
 from boragefold.entry import store_budget
-from boragefold.entry import together as togethers
-from boragefold.entry import use_gate
+from boragefold.entry import use_queue
 from boragefold.entry import work_digests
 from boragefold.policy import assembly
 from boragefold.policy import endpoints as fleet
@@ -32,13 +32,13 @@
 ENDPOINT_KINDS = ("endpoints", "data_centres")
 
 
-class HeldOrders(homes.OrderRights):
+class FleetOrderRights(homes.OrderRights):
     """Tells which instance controls which endpoint, by the fleet's views."""
 
     def __init__(self, *, rights: rights_module.Rights) -> None:
         self._rights = rights
         self.orders: order_service.OrderService | None = None
-        self.reports: load_reports.LoadReports | None = None
+        self.reports: load_poller.LoadPoller | None = None
 
     @property
     def incarnation(self) -> str:
@@ -77,13 +77,13 @@
         return bool(held and held.ready)
 
 
-class Traffic:
+class ChatAssembly:
     """Connects the dispatcher with chats, reports, orders and digests."""
 
     def __init__(
         self,
         *,
-        together: togethers.Together,
+        together: cluster_services.ClusterServices,
         client: http_client.HttpClient,
         timers: timing.TimerService,
         counters: telemetry.Counters,
@@ -91,7 +91,7 @@
     ) -> None:
         self._together = together
         link = together.link
-        rights = HeldOrders(rights=together.views)
+        rights = FleetOrderRights(rights=together.views)
         endpoints = fleet.Endpoints()
         self._dispatcher = assembly.assemble(
             endpoints=endpoints,
@@ -102,10 +102,10 @@
             rng=random.Random(),
             counters=counters,
         )
-        self._gate = use_gate.UseGate(
+        self._gate = use_queue.UseQueue(
             leases=lambda: self.orders.leases, timers=timers
         )
-        self.desk = desks.Desk(
+        self.desk = chat_controller.ChatController(
             dispatcher=self._dispatcher,
             timers=timers,
             counters=counters,
@@ -118,7 +118,7 @@
                 gate=self._gate,
             ),
         )
-        self.reports = load_reports.LoadReports(
+        self.reports = load_poller.LoadPoller(
             catalogue=together.catalogue,
             data_centre=link.self_id.data_centre,
             endpoints=endpoints,
@@ -137,7 +137,7 @@
             timers=timers,
             changed=self.desk.run,
         )
-        orderer = adapter_orders.AdapterOrders(
+        orderer = load_executor.LoadExecutor(
             orders=lambda: self.orders,
             events=self._dispatcher.fleet,
             timers=timers,
@@ -151,7 +151,7 @@
             rights=together.views,
             timers=timers,
             counters=counters,
-            sender=engine_orders.EngineOrders(
+            sender=order_client.HttpOrderSender(
                 client=client, address_of=self.reports.address_of
             ),
             finished=orderer.finished,
@@ -186,7 +186,7 @@
     def _on_sample(
         self,
         endpoint: str,
-        report: load_reports.EngineReport,
+        report: load_poller.EngineReport,
         running: dict[works.AdapterVersion, int],
         sampled_seconds: float,
     ) -> None:
@@ -200,6 +200,6 @@
 
 
 __all__ = [
-    "HeldOrders",
-    "Traffic",
+    "ChatAssembly",
+    "FleetOrderRights",
 ]
--- a/src/boragefold/entry/desk.py
+++ b/src/boragefold/entry/chat_controller.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 import math
 
-from boragefold.entry import chat_face
+from boragefold.entry import active_chat
+from boragefold.entry import chat_handler
 from boragefold.entry import chat_sender
 from boragefold.entry import identity
-from boragefold.entry import live_chat
-from boragefold.entry import orderer as orderers
+from boragefold.entry import order_executor
 from boragefold.policy import actions
 from boragefold.policy import dispatcher as dispatchers
 from boragefold.policy import refusal as refusals
@@ -21,7 +21,9 @@
 STATUS_BAD_GATEWAY = 502
 
 
-class Desk(chat_face.Desk, live_chat.ChatEvents, actions.ActionHandler):
+class ChatController(
+    chat_handler.ChatScheduler, active_chat.ChatEvents, actions.ActionHandler
+):
     """Reports the events of chats to the dispatcher, performs its actions."""
 
     def __init__(
@@ -40,12 +42,12 @@
         self._stories = stories
         self._tell_peer = tell_peer
         self._sender = sender
-        self._chats: dict[str, live_chat.LiveChat] = {}
+        self._chats: dict[str, active_chat.ActiveChat] = {}
         self._next_run: timing.Subscription | None = None
         self._next_run_at_seconds = math.inf
         self._running = False
         self._run_again = False
-        self.orderer: orderers.Orderer | None = None
+        self.orderer: order_executor.OrderExecutor | None = None
 
     @property
     def open_chats(self) -> int:
@@ -55,7 +57,7 @@
         """
         return len(self._chats)
 
-    def offer(self, live: live_chat.LiveChat) -> None:
+    def offer(self, live: active_chat.ActiveChat) -> None:
         """Submit a chat request to the dispatcher.
 
         :param live: the chat request
@@ -105,7 +107,7 @@
             live.refuse(identity.key_refused())
         self.run()
 
-    def answered(self, live: live_chat.LiveChat) -> None:
+    def answered(self, live: active_chat.ActiveChat) -> None:
         """Record the arrival of the first token.
 
         :param live: the chat request
@@ -118,7 +120,7 @@
             "first_token_seconds", now_seconds - live.work.arrived_at_seconds
         )
 
-    def completed(self, live: live_chat.LiveChat) -> None:
+    def completed(self, live: active_chat.ActiveChat) -> None:
         """Account for a complete response.
 
         :param live: the chat request
@@ -134,7 +136,7 @@
         self.run()
 
     def attempt_broken(
-        self, live: live_chat.LiveChat, reason: str, *, may_have_run: bool
+        self, live: active_chat.ActiveChat, reason: str, *, may_have_run: bool
     ) -> None:
         """Let the dispatcher retry, resume or fail the chat request.
 
@@ -158,7 +160,7 @@
             )
         self.run()
 
-    def caller_gone(self, live: live_chat.LiveChat) -> None:
+    def caller_gone(self, live: active_chat.ActiveChat) -> None:
         """Cancel a chat request whose caller disconnected.
 
         :param live: the chat request
@@ -238,7 +240,7 @@
         self._tell_peer(tell)
 
     def _refuse(
-        self, live: live_chat.LiveChat, refused: refusals.Refused
+        self, live: active_chat.ActiveChat, refused: refusals.Refused
     ) -> None:
         self._end(live, f"refused: {refused.reason}")
         live.refuse(
@@ -250,7 +252,7 @@
             )
         )
 
-    def _end(self, live: live_chat.LiveChat, event: str) -> None:
+    def _end(self, live: active_chat.ActiveChat, event: str) -> None:
         self._chats.pop(live.work.request_id, None)
         self._sender.end_use(live)
         self._trace(live.work.request_id, event)
@@ -280,7 +282,7 @@
         self.run()
 
 
-def _used_tokens(live: live_chat.LiveChat) -> float:
+def _used_tokens(live: active_chat.ActiveChat) -> float:
     if live.usage is not None:
         return float(sum(live.usage.values()))
     if live.generated_tokens == 0:
@@ -289,5 +291,5 @@
 
 
 __all__ = [
-    "Desk",
+    "ChatController",
 ]
--- a/src/boragefold/entry/chat_face.py
+++ b/src/boragefold/entry/chat_handler.py
@@ -5,9 +5,9 @@
 import abc
 from collections.abc import Callable
 
+from boragefold.entry import active_chat
 from boragefold.entry import answers
 from boragefold.entry import identity
-from boragefold.entry import live_chat
 from boragefold.policy import work as works
 from boragefold.protocol import chat
 from boragefold.protocol import outcome as outcomes
@@ -23,18 +23,18 @@
 MAX_DEADLINE_SECONDS = 600.0
 
 
-class Desk(abc.ABC):
+class ChatScheduler(abc.ABC):
     """Schedules validated chat requests."""
 
     @abc.abstractmethod
-    def offer(self, live: live_chat.LiveChat) -> None:
+    def offer(self, live: active_chat.ActiveChat) -> None:
         """Submit a chat request, which will be answered or refused.
 
         :param live: the chat request
         """
 
 
-class ChatFace:
+class ChatHandler:
     """Handles ``POST /v1/chat/completions``."""
 
     def __init__(
@@ -44,8 +44,8 @@
         timers: timing.TimerService,
         counters: telemetry.Counters,
         client: http_client.HttpClient,
-        desk: Desk,
-        events: live_chat.ChatEvents,
+        desk: ChatScheduler,
+        events: active_chat.ChatEvents,
         new_request_id: Callable[[], str],
     ) -> None:
         self._catalogue = catalogue
@@ -83,7 +83,7 @@
             self._refuse(exchange, needs, request_id)
             return
         work = self._work(request_id, request, parsed, caller, needs)
-        live = live_chat.LiveChat(
+        live = active_chat.ActiveChat(
             work=work,
             request=parsed,
             key_digest=caller.digest,
@@ -170,7 +170,7 @@
 
 
 __all__ = [
-    "ChatFace",
-    "Desk",
+    "ChatHandler",
+    "ChatScheduler",
     "read_deadline_seconds",
 ]
--- a/src/boragefold/entry/chat_sender.py
+++ b/src/boragefold/entry/chat_sender.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from boragefold.coordination.orders import lease_client
-from boragefold.entry import live_chat
-from boragefold.entry import use_gate
+from boragefold.entry import active_chat
+from boragefold.entry import use_queue
 from boragefold.telemetry import counters as telemetry
 from boragefold.timing import timers as timing
 
@@ -24,7 +24,7 @@
         timers: timing.TimerService,
         counters: telemetry.Counters,
         address_of: Callable[[str], str | None],
-        gate: use_gate.UseGate,
+        gate: use_queue.UseQueue,
     ) -> None:
         self._timers = timers
         self._counters = counters
@@ -32,7 +32,7 @@
         self._gate = gate
         self._uses: dict[str, lease_client.Use] = {}
 
-    def send(self, live: live_chat.LiveChat, endpoint: str) -> None:
+    def send(self, live: active_chat.ActiveChat, endpoint: str) -> None:
         """Send an attempt, after acquiring a lease if it uses an adapter.
 
         :param live: the chat request
@@ -58,7 +58,7 @@
                 refused=lambda reason: self._on_refused(live, reason),
             )
 
-    def end_use(self, live: live_chat.LiveChat) -> None:
+    def end_use(self, live: active_chat.ActiveChat) -> None:
         """End the adapter use of a chat request's attempt, if there is one.
 
         :param live: the chat request
@@ -68,7 +68,7 @@
             self._gate.leave(use)
 
     def _send_with_lease(
-        self, live: live_chat.LiveChat, address: str, use: lease_client.Use
+        self, live: active_chat.ActiveChat, address: str, use: lease_client.Use
     ) -> None:
         if live.finished:
             self._gate.leave(use)
@@ -86,26 +86,26 @@
             may_send=lambda: self._timers.now_seconds() < use.send_by_seconds,
         )
 
-    def _on_refused(self, live: live_chat.LiveChat, reason: str) -> None:
+    def _on_refused(self, live: active_chat.ActiveChat, reason: str) -> None:
         self._counters.add("uses_not_begun", reason)
         if not live.finished:
             live.broken(NOT_HELD, may_have_run=False)
 
     def _on_use_expired(
-        self, live: live_chat.LiveChat, use: lease_client.Use
+        self, live: active_chat.ActiveChat, use: lease_client.Use
     ) -> None:
         # The instance that granted the lease may unload the adapter now.
         if not use.finished and not live.finished:
             live.break_attempt("use_over")
 
-    def _fail_later(self, live: live_chat.LiveChat, reason: str) -> None:
+    def _fail_later(self, live: active_chat.ActiveChat, reason: str) -> None:
         self._timers.once(
             delay_seconds=0.0,
             callback=lambda: live.broken(reason, may_have_run=False),
         )
 
 
-def _engine_request(live: live_chat.LiveChat) -> bytes:
+def _engine_request(live: active_chat.ActiveChat) -> bytes:
     work = live.work
     return msgspec.json.encode(
         {
--- a/src/boragefold/entry/together.py
+++ b/src/boragefold/entry/cluster_services.py
@@ -45,7 +45,7 @@
 MS_PER_SECOND = 1_000
 
 
-class Together:
+class ClusterServices:
     """The services that exchange messages with other instances."""
 
     def __init__(
@@ -191,6 +191,6 @@
 
 
 __all__ = [
+    "ClusterServices",
     "KINDS",
-    "Together",
 ]
--- a/src/boragefold/entry/engine_answer.py
+++ b/src/boragefold/entry/engine_answer.py
@@ -19,7 +19,7 @@
 MAX_EVENT_BYTES = 1_048_576
 
 
-class AnswerReader(abc.ABC):
+class AttemptObserver(abc.ABC):
     """Receives the validated tokens of one attempt."""
 
     @abc.abstractmethod
@@ -69,7 +69,7 @@
         *,
         needs: works.AdapterVersion,
         next_token: int,
-        reader: AnswerReader,
+        reader: AttemptObserver,
     ) -> None:
         self._needs = needs
         self._next_token = next_token
@@ -168,6 +168,6 @@
 _DECODER = msgspec.json.Decoder(chat.EngineEvent)
 
 __all__ = [
-    "AnswerReader",
+    "AttemptObserver",
     "EngineAnswer",
 ]
--- a/src/boragefold/entry/engine_dialect.py
+++ b/src/boragefold/entry/engine_dialect.py
@@ -12,7 +12,7 @@
 from boragefold.transport import http_client
 
 
-class EngineReport(NamedTuple):
+class AdapterReport(NamedTuple):
     """An engine's report of its loaded adapters and its order count."""
 
     counted: fencing_numbers.Counted
@@ -21,7 +21,7 @@
     busy: bool
 
 
-class OrderAnswer(enum.Enum):
+class OrderOutcome(enum.Enum):
     """Outcome of an order.
 
     ``DONE`` and ``ACCEPTED`` increase the engine's order count;
@@ -49,7 +49,7 @@
         """
 
     @abc.abstractmethod
-    def read_report(self, status: int, body: bytes) -> EngineReport | None:
+    def read_report(self, status: int, body: bytes) -> AdapterReport | None:
         """Parse an engine's report.
 
         :param status: of the response
@@ -78,7 +78,7 @@
     @abc.abstractmethod
     def read_order_answer(
         self, order: engine_decisions.Order, status: int
-    ) -> OrderAnswer:
+    ) -> OrderOutcome:
         """Parse the response to an order.
 
         :param order: the order
@@ -88,7 +88,7 @@
 
 
 __all__ = [
+    "AdapterReport",
     "EngineDialect",
-    "EngineReport",
-    "OrderAnswer",
+    "OrderOutcome",
 ]
--- a/src/boragefold/entry/engine_forwarding.py
+++ b/src/boragefold/entry/engine_forwarding.py
@@ -6,11 +6,11 @@
 
 from boragefold.entry import answer_deadline
 from boragefold.entry import dialect as dialects
-from boragefold.entry import engine_asker
 from boragefold.entry import engine_owner
 from boragefold.entry import forwarding
+from boragefold.entry import owner_client
 from boragefold.entry import refusals
-from boragefold.entry import serving
+from boragefold.entry import request_context
 from boragefold.policy import engine_decisions
 from boragefold.policy import engine_schedule
 from boragefold.protocol import ids
@@ -33,16 +33,16 @@
 END_MARGIN_SECONDS = 1.0
 
 
-class EngineForwarding(forwarding.Forwarding, engine_asker.Asker):
+class EngineForwarding(forwarding.Forwarding, owner_client.GrantReceiver):
     """Asks an engine's owner, and sends the request when it is granted."""
 
     def __init__(
         self,
         *,
-        admitted: serving.Admitted,
+        admitted: request_context.AdmittedRequest,
         exchange: http_server.Exchange,
-        shared: serving.Shared,
-        asker: engine_asker.EngineAsker,
+        shared: request_context.RequestContext,
+        asker: owner_client.OwnerClient,
         owner: engine_owner.EngineOwner,
         needs: deployment.AdapterKey,
         self_id: ids.InstanceId,
--- a/src/boragefold/entry/engine_owner.py
+++ b/src/boragefold/entry/engine_owner.py
@@ -10,9 +10,9 @@
 from boragefold.coordination.fleet import order_turns
 from boragefold.coordination.fleet import owner_changes
 import boragefold.coordination.link as links
-from boragefold.entry import engine_asker
 from boragefold.entry import engine_dialect as dialects
 from boragefold.entry import owned_engine
+from boragefold.entry import owner_client
 from boragefold.policy import adapter_digests
 from boragefold.policy import engine_decisions
 from boragefold.policy import engine_schedule
@@ -267,7 +267,7 @@
         self, sender: ids.InstanceId, body: messages.EngineAsk
     ) -> None:
         ask = self._parse_ask(sender, body)
-        if body.unanswered == engine_asker.RECONNECT_UNANSWERED:
+        if body.unanswered == owner_client.RECONNECT_UNANSWERED:
             # The reply didn't arrive: the connection only looks open.
             self._link.reconnect(sender)
         owned = self._owned.get(body.engine)
--- a/src/boragefold/entry/forwarding.py
+++ b/src/boragefold/entry/forwarding.py
@@ -10,8 +10,8 @@
 from boragefold.entry import caller_answer
 from boragefold.entry import dialect as dialects
 from boragefold.entry import refusals
+from boragefold.entry import request_context
 from boragefold.entry import request_end
-from boragefold.entry import serving
 from boragefold.state import deployment
 from boragefold.transport import http_client
 from boragefold.transport import http_server
@@ -28,9 +28,9 @@
     def __init__(
         self,
         *,
-        admitted: serving.Admitted,
+        admitted: request_context.AdmittedRequest,
         exchange: http_server.Exchange,
-        shared: serving.Shared,
+        shared: request_context.RequestContext,
     ) -> None:
         self.admitted = admitted
         self.shared = shared
@@ -238,7 +238,7 @@
 
     def refuse(
         self,
-        kind: refusals.Kind,
+        kind: refusals.ErrorKind,
         reason: str,
         retry_after_seconds: float = RETRY_AFTER_SECONDS,
     ) -> None:
--- a/src/boragefold/entry/gateway.py
+++ b/src/boragefold/entry/gateway.py
@@ -8,13 +8,13 @@
 
 from boragefold.coordination.fleet import members as members_module
 from boragefold.entry import dialect as dialects
-from boragefold.entry import engine_asker
 from boragefold.entry import engine_forwarding
 from boragefold.entry import engine_owner
 from boragefold.entry import forwarding
+from boragefold.entry import owner_client
 from boragefold.entry import refusals
+from boragefold.entry import request_context
 from boragefold.entry import service_forwarding
-from boragefold.entry import serving
 from boragefold.policy import shared_rate
 from boragefold.protocol import ids
 from boragefold.state import deployment
@@ -30,9 +30,9 @@
     def __init__(
         self,
         *,
-        shared: serving.Shared,
+        shared: request_context.RequestContext,
         members: members_module.Members,
-        asker: engine_asker.EngineAsker,
+        asker: owner_client.OwnerClient,
         owner: engine_owner.EngineOwner,
         self_id: ids.InstanceId,
         rng: random.Random,
@@ -117,7 +117,7 @@
                     wait_seconds,
                 )
                 return
-        admitted = serving.Admitted(
+        admitted = request_context.AdmittedRequest(
             request=request,
             route=route,
             service=service,
@@ -129,7 +129,7 @@
 
     def _forward(
         self,
-        admitted: serving.Admitted,
+        admitted: request_context.AdmittedRequest,
         exchange: http_server.Exchange,
     ) -> None:
         needs = admitted.request.needs
@@ -163,7 +163,7 @@
         self,
         exchange: http_server.Exchange,
         request: dialects.CallerRequest | None,
-        kind: refusals.Kind,
+        kind: refusals.ErrorKind,
         reason: str,
         retry_after_seconds: float = forwarding.RETRY_AFTER_SECONDS,
     ) -> None:
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -18,15 +18,15 @@
 from boragefold.coordination.fleet import relay
 from boragefold.coordination.fleet import self_link
 from boragefold.entry import dialect as dialects
-from boragefold.entry import engine_asker
 from boragefold.entry import engine_dialect
 from boragefold.entry import engine_owner
 from boragefold.entry import fleet_log
 from boragefold.entry import gateway
 from boragefold.entry import gateway_listeners
-from boragefold.entry import reloading
-from boragefold.entry import serving
-from boragefold.entry import stopping
+from boragefold.entry import owner_client
+from boragefold.entry import request_context
+from boragefold.entry import settings_reload
+from boragefold.entry import shutdown
 from boragefold.entry import store_follower
 from boragefold.entry import store_followers
 from boragefold.policy import admission_counts
@@ -165,7 +165,7 @@
             avoids=lambda engine: self._owner.avoids(engine),
         )
         self._owner = self._make_owner(engines)
-        self._asker = engine_asker.EngineAsker(
+        self._asker = owner_client.OwnerClient(
             link=self._link,
             members=self._members,
             ownership=self._ownership,
@@ -188,7 +188,7 @@
             limits=self._limits,
             ready=self.ready,
         )
-        self.stopping = stopping.Stopping(
+        self.stopping = shutdown.GracefulShutdown(
             timers=self.timers,
             notice_seconds=STOP_NOTICE_SECONDS,
             hand_over=self._stop_accepting,
@@ -197,7 +197,7 @@
             say=lambda step: self.log.write("stopping", step=step),
             limit_seconds=settings.stop_seconds - STOP_MARGIN_SECONDS,
         )
-        self._reloading = reloading.Reloading(
+        self._reloading = settings_reload.SettingsReloader(
             timers=self.timers,
             log=self.log,
             counters=self.counters,
@@ -360,7 +360,7 @@
         )
 
     def _make_gateway(self, dialect: dialects.Dialect) -> gateway.Gateway:
-        shared = serving.Shared(
+        shared = request_context.RequestContext(
             fleet=self._fleet,
             dialect=dialect,
             client=self._client,
--- a/src/boragefold/entry/instance.py
+++ b/src/boragefold/entry/instance.py
@@ -8,15 +8,15 @@
 from absl import logging
 
 from boragefold.coordination.configuration import readiness
-from boragefold.entry import chat_face
-from boragefold.entry import inspection
+from boragefold.entry import chat_assembly
+from boragefold.entry import chat_handler
+from boragefold.entry import cluster_services
+from boragefold.entry import instance_status
 from boragefold.entry import operators
 from boragefold.entry import router as routers
-from boragefold.entry import service_face
-from boragefold.entry import stopping
-from boragefold.entry import ticket_face
-from boragefold.entry import together as togethers
-from boragefold.entry import traffic as traffics
+from boragefold.entry import service_handler
+from boragefold.entry import shutdown
+from boragefold.entry import ticket_handler
 from boragefold.protocol import envelope
 from boragefold.protocol import ids
 from boragefold.settings import serve as serve_settings
@@ -61,7 +61,7 @@
         self._client = http_client.HttpClient(
             sockets_=self._sockets, timers=self.timers
         )
-        self.together = togethers.Together(
+        self.together = cluster_services.ClusterServices(
             link=self._make_link(),
             reader=platform_client.PlatformClient(
                 client=self._client, address=settings.platform
@@ -70,7 +70,7 @@
             counters=self.counters,
             seeds=[seed_id(seed) for seed in settings.seeds],
         )
-        self.traffic = traffics.Traffic(
+        self.traffic = chat_assembly.ChatAssembly(
             together=self.together,
             client=self._client,
             timers=self.timers,
@@ -82,7 +82,7 @@
             application=self._make_router(),
             counters=self.counters,
         )
-        self.stopping = stopping.Stopping(
+        self.stopping = shutdown.GracefulShutdown(
             timers=self.timers,
             notice_seconds=settings.stop_notice_seconds,
             hand_over=self._hand_over,
@@ -120,8 +120,8 @@
         """
         return self._serving() and not self.stopping.begun
 
-    def _inspection(self) -> inspection.Inspection:
-        return inspection.Inspection(
+    def _inspection(self) -> instance_status.InstanceStatus:
+        return instance_status.InstanceStatus(
             together=self.together,
             desk=self.traffic.desk,
             counters=self.counters,
@@ -162,7 +162,7 @@
                 self.settings.peer_listen,
                 ids.new_incarnation(),
             ),
-            codec=envelope.Codec(kinds=togethers.KINDS),
+            codec=envelope.Codec(kinds=cluster_services.KINDS),
             counters=self.counters,
             keys=None if isinstance(keys, peer_keys.BadPeerKey) else keys,
         )
@@ -171,7 +171,7 @@
 
     def _make_router(self) -> routers.Router:
         together = self.together
-        chats = chat_face.ChatFace(
+        chats = chat_handler.ChatHandler(
             catalogue=together.catalogue,
             timers=self.timers,
             counters=self.counters,
@@ -180,14 +180,14 @@
             events=self.traffic.desk,
             new_request_id=new_request_id,
         )
-        tickets = ticket_face.TicketFace(
+        tickets = ticket_handler.TicketHandler(
             timers=self.timers,
             counters=self.counters,
             office=together.office,
             runner=together.runner,
             new_request_id=new_request_id,
         )
-        services = service_face.ServiceFace(
+        services = service_handler.ServiceHandler(
             data_centre=self.settings.data_centre,
             catalogue=together.catalogue,
             counters=self.counters,
--- a/src/boragefold/entry/inspection.py
+++ b/src/boragefold/entry/instance_status.py
@@ -5,22 +5,22 @@
 from collections.abc import Callable
 from typing import Any
 
-from boragefold.entry import desk as desks
+from boragefold.entry import chat_controller
+from boragefold.entry import cluster_services
 from boragefold.entry import operators
-from boragefold.entry import together as togethers
 from boragefold.telemetry import counters as telemetry
 from boragefold.telemetry import exposition
 from boragefold.telemetry import stories as telemetry_stories
 
 
-class Inspection(operators.Inside):
+class InstanceStatus(operators.InstanceState):
     """Reads the state of one instance without changing it."""
 
     def __init__(
         self,
         *,
-        together: togethers.Together,
-        desk: desks.Desk,
+        together: cluster_services.ClusterServices,
+        desk: chat_controller.ChatController,
         counters: telemetry.Counters,
         stories: telemetry_stories.Stories,
         is_ready: Callable[[], bool],
@@ -111,5 +111,5 @@
 
 
 __all__ = [
-    "Inspection",
+    "InstanceStatus",
 ]
--- a/src/boragefold/entry/adapter_orders.py
+++ b/src/boragefold/entry/load_executor.py
@@ -7,7 +7,7 @@
 from boragefold.coordination.orders import endpoint_orders
 from boragefold.coordination.orders import sender as sending
 from boragefold.coordination.orders import service as order_service
-from boragefold.entry import orderer
+from boragefold.entry import order_executor
 from boragefold.policy import actions
 from boragefold.policy import fleet_events
 from boragefold.policy import loads
@@ -19,7 +19,7 @@
 EVICTION_TIMEOUT_SECONDS = 5.0
 
 
-class AdapterOrders(orderer.Orderer):
+class LoadExecutor(order_executor.OrderExecutor):
     """Tracks each load through its eviction and its load order."""
 
     def __init__(
@@ -157,5 +157,5 @@
 
 
 __all__ = [
-    "AdapterOrders",
+    "LoadExecutor",
 ]
--- a/src/boragefold/entry/load_reports.py
+++ b/src/boragefold/entry/load_poller.py
@@ -51,7 +51,7 @@
 ]
 
 
-class LoadReports:
+class LoadPoller:
     """Keeps the endpoints up to date for the decisions."""
 
     def __init__(
@@ -251,6 +251,6 @@
 _DECODER = msgspec.json.Decoder(EngineReport)
 
 __all__ = [
-    "LoadReports",
+    "LoadPoller",
     "qualified",
 ]
--- a/src/boragefold/entry/operators.py
+++ b/src/boragefold/entry/operators.py
@@ -17,7 +17,7 @@
 PLAIN = "text/plain; version=0.0.4"
 
 
-class Inside(abc.ABC):
+class InstanceState(abc.ABC):
     """The state of an instance, as the operators' port reads it."""
 
     @abc.abstractmethod
@@ -64,12 +64,12 @@
         """
 
 
-class OperatorsFace(web.Controller):  # type: ignore[misc]
+class OperatorsController(web.Controller):  # type: ignore[misc]
     """Handles the operators' requests on a port that needs no API key."""
 
     channel = "/"
 
-    def __init__(self, *, inside: Inside) -> None:
+    def __init__(self, *, inside: InstanceState) -> None:
         super().__init__()
         self._inside = inside
 
@@ -134,7 +134,11 @@
 
 
 def serve(
-    *, root: circuits.BaseComponent, host: str, port: int, inside: Inside
+    *,
+    root: circuits.BaseComponent,
+    host: str,
+    port: int,
+    inside: InstanceState,
 ) -> None:
     """Start the operators' HTTP server on the event loop.
 
@@ -145,11 +149,11 @@
     """
     server = web.Server((host, port), channel=CHANNEL, display_banner=False)
     server.register(root)
-    OperatorsFace(inside=inside).register(server)
+    OperatorsController(inside=inside).register(server)
 
 
 __all__ = [
-    "Inside",
-    "OperatorsFace",
+    "InstanceState",
+    "OperatorsController",
     "serve",
 ]
--- a/src/boragefold/entry/engine_orders.py
+++ b/src/boragefold/entry/order_client.py
@@ -24,7 +24,7 @@
     fencing: int
 
 
-class EngineOrders(sending.OrderSender):
+class HttpOrderSender(sending.OrderSender):
     """Sends each order on a connection of its own, and parses the outcome."""
 
     def __init__(
@@ -96,5 +96,5 @@
 _DECODER = msgspec.json.Decoder(OrderAnswer)
 
 __all__ = [
-    "EngineOrders",
+    "HttpOrderSender",
 ]
--- a/src/boragefold/entry/orderer.py
+++ b/src/boragefold/entry/order_executor.py
@@ -7,7 +7,7 @@
 from boragefold.policy import actions
 
 
-class Orderer(abc.ABC):
+class OrderExecutor(abc.ABC):
     """Carries out the orders that placement decides on."""
 
     @abc.abstractmethod
@@ -26,5 +26,5 @@
 
 
 __all__ = [
-    "Orderer",
+    "OrderExecutor",
 ]
--- a/src/boragefold/entry/owned_engine.py
+++ b/src/boragefold/entry/owned_engine.py
@@ -246,7 +246,7 @@
         self._changed()
 
     def _apply_report(
-        self, report: dialects.EngineReport, now_seconds: float
+        self, report: dialects.AdapterReport, now_seconds: float
     ) -> None:
         adapter_slots = self.schedule.adapter_slots
         if report.counted.orders != self._turns.expected:
@@ -351,8 +351,8 @@
             status=_status_of(answer),
             outcome=outcome,
         )
-        done = outcome == dialects.OrderAnswer.DONE.value
-        if done or outcome == dialects.OrderAnswer.ACCEPTED.value:
+        done = outcome == dialects.OrderOutcome.DONE.value
+        if done or outcome == dialects.OrderOutcome.ACCEPTED.value:
             unloading = isinstance(order, engine_decisions.Unload) and not done
             self._turns.accepted(
                 busy=unloading,
--- a/src/boragefold/entry/engine_asker.py
+++ b/src/boragefold/entry/owner_client.py
@@ -31,7 +31,7 @@
 RECONNECT_UNANSWERED = 2
 
 
-class Asker(abc.ABC):
+class GrantReceiver(abc.ABC):
     """Receives the owner's reply for a request."""
 
     @abc.abstractmethod
@@ -67,7 +67,7 @@
 class PendingRequest:
     """A request to an owner that has no reply yet."""
 
-    asker: Asker
+    asker: GrantReceiver
     ask: engine_decisions.EngineRequest
     engine: str
     owner: ids.InstanceId
@@ -75,7 +75,7 @@
     unanswered: int = 0
 
 
-class EngineAsker:
+class OwnerClient:
     """Sends requests to the owners of engines, and reports their progress."""
 
     def __init__(
@@ -126,7 +126,10 @@
         return engine_ranking.rank(key, self._views(service, own))
 
     def ask(
-        self, asker: Asker, ask: engine_decisions.EngineRequest, engine: str
+        self,
+        asker: GrantReceiver,
+        ask: engine_decisions.EngineRequest,
+        engine: str,
     ) -> None:
         """Ask an engine's owner whether a request may run there.
 
@@ -295,6 +298,6 @@
 
 
 __all__ = [
-    "Asker",
-    "EngineAsker",
+    "GrantReceiver",
+    "OwnerClient",
 ]
--- a/src/boragefold/entry/refusals.py
+++ b/src/boragefold/entry/refusals.py
@@ -11,7 +11,7 @@
 JSON = ("Content-Type", "application/json")
 
 
-class Kind(NamedTuple):
+class ErrorKind(NamedTuple):
     """A kind of error response.
 
     ``outcome`` is ``not_run`` if the request certainly didn't run, and
@@ -24,18 +24,18 @@
     returns: bool
 
 
-MALFORMED = Kind(400, "not_run", "send a well-formed request", False)
-NO_KEY = Kind(401, "not_run", "send a key that is granted", False)
-NO_ROUTE = Kind(404, "not_run", "use a published route", False)
-OVER_RATE = Kind(429, "not_run", "come back later, or ask for more", True)
-NOT_RUN = Kind(503, "not_run", "come back later", True)
-UNKNOWN = Kind(502, "unknown", "ask the service whether it ran", False)
-TIMED_OUT = Kind(504, "unknown", "allow more time", False)
+MALFORMED = ErrorKind(400, "not_run", "send a well-formed request", False)
+NO_KEY = ErrorKind(401, "not_run", "send a key that is granted", False)
+NO_ROUTE = ErrorKind(404, "not_run", "use a published route", False)
+OVER_RATE = ErrorKind(429, "not_run", "come back later, or ask for more", True)
+NOT_RUN = ErrorKind(503, "not_run", "come back later", True)
+UNKNOWN = ErrorKind(502, "unknown", "ask the service whether it ran", False)
+TIMED_OUT = ErrorKind(504, "unknown", "allow more time", False)
 
 
 def write(
     exchange: http_server.Exchange,
-    kind: Kind,
+    kind: ErrorKind,
     reason: str,
     *,
     retry_after_seconds: float,
@@ -63,7 +63,7 @@
 
 
 __all__ = [
-    "Kind",
+    "ErrorKind",
     "MALFORMED",
     "NOT_RUN",
     "NO_KEY",
--- a/src/boragefold/entry/serving.py
+++ b/src/boragefold/entry/request_context.py
@@ -17,7 +17,7 @@
 from boragefold.transport import http_client
 
 
-class Shared(NamedTuple):
+class RequestContext(NamedTuple):
     """Objects that all requests of an instance use."""
 
     fleet: fleets.Fleet
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Admitted:
+class AdmittedRequest:
     """An admitted request with its route, service, workspace and charge."""
 
     request: dialects.CallerRequest
@@ -45,6 +45,6 @@
 
 
 __all__ = [
-    "Admitted",
-    "Shared",
+    "AdmittedRequest",
+    "RequestContext",
 ]
--- a/src/boragefold/entry/request_end.py
+++ b/src/boragefold/entry/request_end.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from boragefold.entry import answer_times
-from boragefold.entry import serving
+from boragefold.entry import request_context
 from boragefold.state import deployment
 
 
@@ -28,7 +28,10 @@
 
 
 def record(
-    end: RequestEnd, *, admitted: serving.Admitted, shared: serving.Shared
+    end: RequestEnd,
+    *,
+    admitted: request_context.AdmittedRequest,
+    shared: request_context.RequestContext,
 ) -> None:
     """Count the end of a request and write its log entry.
 
@@ -60,7 +63,9 @@
 
 
 def _stream_fields(
-    end: RequestEnd, admitted: serving.Admitted, shared: serving.Shared
+    end: RequestEnd,
+    admitted: request_context.AdmittedRequest,
+    shared: request_context.RequestContext,
 ) -> dict[str, Any]:
     times = end.times
     if times.first_event_seconds is None:
--- a/src/boragefold/entry/router.py
+++ b/src/boragefold/entry/router.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 
 from boragefold.entry import answers
-from boragefold.entry import chat_face
+from boragefold.entry import chat_handler
 from boragefold.entry import identity
-from boragefold.entry import service_face
-from boragefold.entry import ticket_face
+from boragefold.entry import service_handler
+from boragefold.entry import ticket_handler
 from boragefold.protocol import outcome as outcomes
 from boragefold.state import catalogue as catalogues
 from boragefold.telemetry import counters as telemetry
@@ -29,9 +29,9 @@
         *,
         catalogue: catalogues.Catalogue,
         counters: telemetry.Counters,
-        chats: chat_face.ChatFace,
-        services: service_face.ServiceFace,
-        tickets: ticket_face.TicketFace,
+        chats: chat_handler.ChatHandler,
+        services: service_handler.ServiceHandler,
+        tickets: ticket_handler.TicketHandler,
         ready: Callable[[], bool],
         new_request_id: Callable[[], str],
     ) -> None:
--- a/src/boragefold/entry/plain_call.py
+++ b/src/boragefold/entry/service_call.py
@@ -15,7 +15,7 @@
 DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
-class PlainRequest(NamedTuple):
+class ServiceRequest(NamedTuple):
     """A request to a plain service, without the caller's API key."""
 
     method: str
@@ -41,7 +41,7 @@
 Result = whole_answer.WholeAnswer | NotSent | AnswerLost
 
 
-class PlainCall:
+class ServiceCall:
     """Tries the addresses in order as long as a retry is safe.
 
     A non-idempotent call uses a new connection: on a reused connection that
@@ -55,7 +55,7 @@
         *,
         client: http_client.HttpClient,
         counters: telemetry.Counters,
-        request: PlainRequest,
+        request: ServiceRequest,
         addresses: list[str],
         idempotent: bool,
         progress_seconds: float,
@@ -106,7 +106,7 @@
 
 def prepare(
     request: http_server.Request, path: str, serial: str = ""
-) -> PlainRequest:
+) -> ServiceRequest:
     """Create the request that is sent to the service.
 
     :param request: the caller's HTTP request
@@ -122,14 +122,14 @@
     if serial:
         headers.append(("Idempotency-Key", serial))
     target = f"{path}?{request.query}" if request.query else path
-    return PlainRequest(request.method, target, headers, request.body)
+    return ServiceRequest(request.method, target, headers, request.body)
 
 
 __all__ = [
     "AnswerLost",
     "NotSent",
-    "PlainCall",
-    "PlainRequest",
     "Result",
+    "ServiceCall",
+    "ServiceRequest",
     "prepare",
 ]
--- a/src/boragefold/entry/service_face.py
+++ b/src/boragefold/entry/service_handler.py
@@ -6,10 +6,10 @@
 import hashlib
 
 from boragefold.entry import answers
-from boragefold.entry import chat_face
+from boragefold.entry import chat_handler
 from boragefold.entry import identity
-from boragefold.entry import plain_call
-from boragefold.entry import ticket_face
+from boragefold.entry import service_call
+from boragefold.entry import ticket_handler
 from boragefold.protocol import outcome as outcomes
 from boragefold.state import catalogue as catalogues
 from boragefold.state import documents
@@ -25,7 +25,7 @@
 PROGRESS_SECONDS = 10.0
 
 
-class ServiceFace:
+class ServiceHandler:
     """Handles ``/services/...``."""
 
     def __init__(
@@ -35,7 +35,7 @@
         catalogue: catalogues.Catalogue,
         counters: telemetry.Counters,
         client: http_client.HttpClient,
-        tickets: ticket_face.TicketFace,
+        tickets: ticket_handler.TicketHandler,
         new_request_id: Callable[[], str],
     ) -> None:
         self._data_centre = data_centre
@@ -89,13 +89,13 @@
         service: documents.Service,
         path: str,
     ) -> None:
-        def done(result: plain_call.Result) -> None:
+        def done(result: service_call.Result) -> None:
             if isinstance(result, whole_answer.WholeAnswer):
                 self._forward(exchange, request_id, result)
             else:
                 self._refuse(exchange, _idempotent_refusal(result), request_id)
 
-        prepared = plain_call.prepare(request, path)
+        prepared = service_call.prepare(request, path)
         self._start(prepared, service, True, done)
 
     def _call_non_idempotent(
@@ -117,10 +117,10 @@
                 ticket=self._tickets.new_ticket(caller),
             )
             return
-        deadline = chat_face.read_deadline_seconds(
+        deadline = chat_handler.read_deadline_seconds(
             request, caller.settings.deadline_seconds
         )
-        prepared = plain_call.prepare(request, path, ticket.serial)
+        prepared = service_call.prepare(request, path, ticket.serial)
         self._tickets.begin(
             exchange,
             request_id,
@@ -132,12 +132,12 @@
 
     def _start(
         self,
-        prepared: plain_call.PlainRequest,
+        prepared: service_call.ServiceRequest,
         service: documents.Service,
         idempotent: bool,
-        done: Callable[[plain_call.Result], None],
+        done: Callable[[service_call.Result], None],
     ) -> None:
-        plain_call.PlainCall(
+        service_call.ServiceCall(
             client=self._client,
             counters=self._counters,
             request=prepared,
@@ -174,7 +174,7 @@
         answer: whole_answer.WholeAnswer,
     ) -> None:
         content_type = answer.headers.get(
-            "content-type", plain_call.DEFAULT_CONTENT_TYPE
+            "content-type", service_call.DEFAULT_CONTENT_TYPE
         )
         headers = answers.outcome_headers("ran", "", request_id)
         exchange.reply(
@@ -195,11 +195,11 @@
 
 
 def _idempotent_refusal(
-    result: plain_call.NotSent | plain_call.AnswerLost,
+    result: service_call.NotSent | service_call.AnswerLost,
 ) -> outcomes.NotRun | outcomes.Unknown:
     kind = (
         outcomes.NotRun
-        if isinstance(result, plain_call.NotSent)
+        if isinstance(result, service_call.NotSent)
         else outcomes.Unknown
     )
     return kind(
@@ -210,7 +210,9 @@
     )
 
 
-def _digest(prepared: plain_call.PlainRequest, caller: identity.Caller) -> str:
+def _digest(
+    prepared: service_call.ServiceRequest, caller: identity.Caller
+) -> str:
     parts = (
         caller.settings.workspace,
         prepared.method,
@@ -221,5 +223,5 @@
 
 
 __all__ = [
-    "ServiceFace",
+    "ServiceHandler",
 ]
--- a/src/boragefold/entry/reloading.py
+++ b/src/boragefold/entry/settings_reload.py
@@ -16,7 +16,7 @@
 CHECK_SECONDS = 2.0
 
 
-class Reloading(circuits.BaseComponent):  # type: ignore[misc]
+class SettingsReloader(circuits.BaseComponent):  # type: ignore[misc]
     """Applies changed settings; invalid ones are logged and ignored."""
 
     channel = "*"
@@ -81,5 +81,5 @@
 
 
 __all__ = [
-    "Reloading",
+    "SettingsReloader",
 ]
--- a/src/boragefold/entry/stopping.py
+++ b/src/boragefold/entry/shutdown.py
@@ -13,7 +13,7 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-class Stopping(circuits.BaseComponent):  # type: ignore[misc]
+class GracefulShutdown(circuits.BaseComponent):  # type: ignore[misc]
     """Shuts the process down gracefully after a signal.
 
     First the readiness probe fails while connections are still accepted,
@@ -101,5 +101,5 @@
 
 
 __all__ = [
-    "Stopping",
+    "GracefulShutdown",
 ]
--- a/src/boragefold/entry/ticket_face.py
+++ b/src/boragefold/entry/ticket_handler.py
@@ -10,7 +10,7 @@
 from boragefold.coordination.once import tickets
 from boragefold.entry import answers
 from boragefold.entry import identity
-from boragefold.entry import once_call
+from boragefold.entry import ticketed_call
 from boragefold.protocol import once_messages
 from boragefold.protocol import outcome as outcomes
 from boragefold.telemetry import counters as telemetry
@@ -24,7 +24,7 @@
 QUERY_TIMEOUT_SECONDS = 10.0
 
 
-class TicketFace:
+class TicketHandler:
     """Handles ``/v1/tickets`` and ``/v1/outcomes/...``, and ticketed calls."""
 
     def __init__(
@@ -93,7 +93,7 @@
         ticket: once_messages.Ticket,
         digest: str,
         deadline_seconds: float,
-        start_call: once_call.StartCall,
+        start_call: ticketed_call.StartCall,
     ) -> None:
         """Run a call if the registers of its ticket permit it.
 
@@ -148,9 +148,9 @@
         self,
         exchange: http_server.Exchange,
         request_id: str,
-        start_call: once_call.StartCall,
-    ) -> once_call.OnceCall:
-        return once_call.OnceCall(
+        start_call: ticketed_call.StartCall,
+    ) -> ticketed_call.TicketedCall:
+        return ticketed_call.TicketedCall(
             runner=self._runner,
             exchange=exchange,
             request_id=request_id,
@@ -162,5 +162,5 @@
 
 
 __all__ = [
-    "TicketFace",
+    "TicketHandler",
 ]
--- a/src/boragefold/entry/once_call.py
+++ b/src/boragefold/entry/ticketed_call.py
@@ -7,7 +7,7 @@
 from boragefold.coordination.once import attempt_handler
 from boragefold.coordination.once import runner as runners
 from boragefold.entry import answers
-from boragefold.entry import plain_call
+from boragefold.entry import service_call
 from boragefold.protocol import once_messages
 from boragefold.protocol import outcome as outcomes
 from boragefold.transport import http_server
@@ -38,10 +38,10 @@
     "service_unreachable": (STATUS_UNAVAILABLE, "repeat the call later"),
 }
 
-StartCall = Callable[[Callable[[plain_call.Result], None]], None]
+StartCall = Callable[[Callable[[service_call.Result], None]], None]
 
 
-class OnceCall(attempt_handler.AttemptHandler):
+class TicketedCall(attempt_handler.AttemptHandler):
     """Runs a call if the registers of its ticket permit it.
 
     The response states whether the call ran, did not run, or has an unknown
@@ -115,12 +115,12 @@
         answers.refuse(self._exchange, refusal, self._request_id)
 
     def _on_result(
-        self, attempt: once_messages.Attempt, result: plain_call.Result
+        self, attempt: once_messages.Attempt, result: service_call.Result
     ) -> None:
-        if isinstance(result, plain_call.NotSent):
+        if isinstance(result, service_call.NotSent):
             self._runner.release(attempt)
             self.not_run("service_unreachable")
-        elif isinstance(result, plain_call.AnswerLost):
+        elif isinstance(result, service_call.AnswerLost):
             self._runner.lost(attempt)
             self.unknown("answer_lost")
         else:
@@ -132,7 +132,7 @@
         answer: whole_answer.WholeAnswer,
     ) -> None:
         content_type = answer.headers.get(
-            "content-type", plain_call.DEFAULT_CONTENT_TYPE
+            "content-type", service_call.DEFAULT_CONTENT_TYPE
         )
         stored = once_messages.StoredAnswer(
             answer.status, content_type, answer.body
@@ -147,5 +147,5 @@
 
 
 __all__ = [
-    "OnceCall",
+    "TicketedCall",
 ]
--- a/src/boragefold/entry/use_gate.py
+++ b/src/boragefold/entry/use_queue.py
@@ -29,7 +29,7 @@
     refused: Callable[[str], None]
 
 
-class UseGate:
+class UseQueue:
     """Starts uses of adapters, and queues those that wait for a lease."""
 
     def __init__(
@@ -113,5 +113,5 @@
 
 
 __all__ = [
-    "UseGate",
+    "UseQueue",
 ]
--- a/tests/entry/test_engine_answer.py
+++ b/tests/entry/test_engine_answer.py
@@ -12,7 +12,7 @@
 USAGE = {"usage": {"prompt_tokens": 2, "completion_tokens": 2}, "choices": []}
 
 
-class Reader(engine_answer.AnswerReader):
+class Reader(engine_answer.AttemptObserver):
     def __init__(self):
         self.texts = []
         self.ended = None
--- a/tests/fakes/model_engine.py
+++ b/tests/fakes/model_engine.py
@@ -159,7 +159,7 @@
         self._remember(self._clock.now_seconds())
         return status
 
-    def report(self) -> dialects.EngineReport | None:
+    def report(self) -> dialects.AdapterReport | None:
         """Tell the state of a moment ago.
 
         :return: the report; None while the engine is down
@@ -205,7 +205,7 @@
         self._coming: dict[deployment.AdapterKey, tuple[float, int]] = {}
         self._used_until_seconds: dict[deployment.AdapterKey, float] = {}
         self._leaving: deployment.AdapterKey | None = None
-        self._history: list[tuple[float, dialects.EngineReport]] = []
+        self._history: list[tuple[float, dialects.AdapterReport]] = []
         self._remember(self._clock.now_seconds())
 
     def _taken(self) -> int:
@@ -315,7 +315,7 @@
         }
         for key, version in self._held.items():
             held.setdefault(key.model, {})[key.adapter] = version
-        report = dialects.EngineReport(
+        report = dialects.AdapterReport(
             counted=fencing_numbers.Counted(
                 self._born_milliseconds, self.count
             ),
--- a/tests/fakes/plain_dialect.py
+++ b/tests/fakes/plain_dialect.py
@@ -25,9 +25,9 @@
     """Hands reports and orders over as they are."""
 
     def __init__(self) -> None:
-        self._reports: list[dialects.EngineReport] = []
+        self._reports: list[dialects.AdapterReport] = []
 
-    def write_report(self, report: dialects.EngineReport) -> bytes:
+    def write_report(self, report: dialects.AdapterReport) -> bytes:
         self._reports.append(report)
         return str(len(self._reports) - 1).encode()
 
@@ -36,7 +36,7 @@
 
     def read_report(
         self, status: int, body: bytes
-    ) -> dialects.EngineReport | None:
+    ) -> dialects.AdapterReport | None:
         return self._reports[int(body)] if body else None
 
     def order_call(
@@ -51,16 +51,16 @@
 
     def read_order_answer(
         self, order: engine_decisions.Order, status: int
-    ) -> dialects.OrderAnswer:
+    ) -> dialects.OrderOutcome:
         if status == model_engine.OK and isinstance(
             order, engine_decisions.Unload
         ):
-            return dialects.OrderAnswer.DONE
+            return dialects.OrderOutcome.DONE
         return {
-            model_engine.OK: dialects.OrderAnswer.HELD_ALREADY,
-            model_engine.ACCEPTED: dialects.OrderAnswer.ACCEPTED,
-            model_engine.CONFLICT: dialects.OrderAnswer.COUNT_DIFFERS,
-        }.get(status, dialects.OrderAnswer.REFUSED)
+            model_engine.OK: dialects.OrderOutcome.HELD_ALREADY,
+            model_engine.ACCEPTED: dialects.OrderOutcome.ACCEPTED,
+            model_engine.CONFLICT: dialects.OrderOutcome.COUNT_DIFFERS,
+        }.get(status, dialects.OrderOutcome.REFUSED)
 
 
 __all__ = [
--- a/tests/platform/test_engines.py
+++ b/tests/platform/test_engines.py
@@ -62,7 +62,7 @@
 def test_answers_to_orders(spoken) -> None:
     key = deployment.AdapterKey("base", "a7")
     load, unload = engine_decisions.Load(key, 0), engine_decisions.Unload(key)
-    answer = dialects.OrderAnswer
+    answer = dialects.OrderOutcome
     assert spoken.read_order_answer(load, 202) is answer.ACCEPTED
     assert spoken.read_order_answer(load, 200) is answer.HELD_ALREADY
     assert spoken.read_order_answer(unload, 200) is answer.DONE
