--- a/src/boragefold/bench/instance.py
+++ b/src/boragefold/bench/instance.py
@@ -125,11 +125,11 @@
             retry_after_seconds=refuse.refused.retry_after_seconds,
         )
 
-    def give_up(self, give_up: actions.Fail) -> None:
+    def fail(self, fail: actions.Fail) -> None:
         """Answer a request whose last attempt failed."""
-        self._fleet.fail(request_id=give_up.work.request_id)
+        self._fleet.fail(request_id=fail.work.request_id)
 
-    def order(self, order: actions.OrderLoad) -> None:
+    def order_load(self, order: actions.OrderLoad) -> None:
         """Evict where it is needed, once nobody uses it, and load."""
         load = order.load
         if load.evict is None:
@@ -142,18 +142,18 @@
             lambda: self._evict_when_idle(load, give_up_at),
         )
 
-    def drain(self, drain: actions.StopUsing) -> None:
+    def drain(self, drain: actions.Drain) -> None:
         """Tell all instances to stop using an adapter at an endpoint."""
         self._stop_everywhere(drain.drain.endpoint, drain.drain.adapter)
 
-    def tell(self, tell: actions.SendDigest) -> None:
+    def send_digest(self, send_digest: actions.SendDigest) -> None:
         """Send a digest to another instance."""
         (peer,) = (
-            each for each in self.peers if str(each.number) == tell.peer
+            each for each in self.peers if str(each.number) == send_digest.peer
         )
         self._later(
             self._fleet.deployment.between_seconds,
-            functools.partial(peer.hear, str(self.number), tell.digest),
+            functools.partial(peer.hear, str(self.number), send_digest.digest),
         )
 
     def _spec(self, size: deployments.EngineSize) -> endpoints.EndpointSpec:
@@ -169,7 +169,9 @@
         )
 
     def _may_load(self) -> None:
-        self.dispatcher.fleet.hurry(now_seconds=self._fleet.now_seconds())
+        self.dispatcher.fleet.advance_tick(
+            now_seconds=self._fleet.now_seconds()
+        )
         self.run()
 
     def _wake(self) -> None:
@@ -254,7 +256,7 @@
         """
         now = self._fleet.now_seconds()
         if succeeded:
-            self.dispatcher.fleet.load_ended(load, now_seconds=now)
+            self.dispatcher.fleet.load_succeeded(load, now_seconds=now)
             for peer in self.peers:
                 self._later(
                     self._fleet.deployment.between_seconds,
--- a/src/boragefold/bench/served.py
+++ b/src/boragefold/bench/served.py
@@ -121,7 +121,7 @@
                 request_id, bytes_sent=True, now_seconds=now
             )
         else:
-            owner.dispatcher.not_held(request_id, now_seconds=now)
+            owner.dispatcher.adapter_missing(request_id, now_seconds=now)
         owner.run()
 
 
--- a/src/boragefold/entry/chat_controller.py
+++ b/src/boragefold/entry/chat_controller.py
@@ -150,7 +150,9 @@
         self._counters.add("attempts_broken", reason)
         self._trace(request_id, "attempt_broken", f"{live.endpoint}: {reason}")
         if reason == chat_sender.NOT_HELD:
-            self._dispatcher.not_held(request_id, now_seconds=now_seconds)
+            self._dispatcher.adapter_missing(
+                request_id, now_seconds=now_seconds
+            )
         else:
             self._dispatcher.failed(
                 request_id,
@@ -196,17 +198,17 @@
         if live is not None:
             self._refuse(live, refuse.refused)
 
-    def give_up(self, give_up: actions.Fail) -> None:
+    def fail(self, fail: actions.Fail) -> None:
         """Fail a chat request whose last attempt failed.
 
-        :param give_up: the request, and whether it may have run
+        :param fail: the request, and whether it may have run
         """
-        live = self._chats.get(give_up.work.request_id)
+        live = self._chats.get(fail.work.request_id)
         if live is None:
             return
-        kind = outcomes.Unknown if give_up.may_have_run else outcomes.NotRun
+        kind = outcomes.Unknown if fail.may_have_run else outcomes.NotRun
         self._counters.add("requests_refused", "endpoint_failed")
-        self._end(live, give_up.reason)
+        self._end(live, fail.reason)
         live.refuse(
             kind(
                 status=STATUS_BAD_GATEWAY,
@@ -216,7 +218,7 @@
             )
         )
 
-    def order(self, order: actions.OrderLoad) -> None:
+    def order_load(self, order: actions.OrderLoad) -> None:
         """Pass on an order to load an adapter.
 
         :param order: the adapter and the endpoint
@@ -224,7 +226,7 @@
         if self.orderer is not None:
             self.orderer.order(order)
 
-    def drain(self, drain: actions.StopUsing) -> None:
+    def drain(self, drain: actions.Drain) -> None:
         """Pass on a request to stop using an adapter at an endpoint.
 
         :param drain: the adapter and the endpoint
@@ -232,12 +234,12 @@
         if self.orderer is not None:
             self.orderer.drain(drain)
 
-    def tell(self, tell: actions.SendDigest) -> None:
+    def send_digest(self, send_digest: actions.SendDigest) -> None:
         """Send a digest to another instance.
 
-        :param tell: the receiver and the digest
+        :param send_digest: the receiver and the digest
         """
-        self._tell_peer(tell)
+        self._tell_peer(send_digest)
 
     def _refuse(
         self, live: active_chat.ActiveChat, refused: refusals.Refused
--- a/src/boragefold/entry/forwarding.py
+++ b/src/boragefold/entry/forwarding.py
@@ -130,7 +130,7 @@
         if self._sent_to:
             shared.counters.add("requests_repeated", admitted.route.kind.value)
         else:
-            shared.retries.of(admitted.service.name).fresh(
+            shared.retries.get(admitted.service.name).record_first_attempt(
                 record.name, now_seconds=shared.timers.now_seconds()
             )
         self._sent_to.append(record.name)
@@ -164,7 +164,7 @@
         """
         if self.left_seconds() <= answer_deadline.MARGIN_SECONDS:
             return False
-        budget = self.shared.retries.of(self.admitted.service.name)
+        budget = self.shared.retries.get(self.admitted.service.name)
         return budget.try_retry(
             endpoint,
             idempotent=self.admitted.route.repeatable,
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -348,7 +348,7 @@
         )
 
     def _retry_allowance(self) -> retry_budget.Allowance:
-        return retry_budget.allowance_of(
+        return retry_budget.instance_allowance(
             self.settings.retry_limit, 1 + len(self._members.instances())
         )
 
--- a/src/boragefold/entry/load_executor.py
+++ b/src/boragefold/entry/load_executor.py
@@ -55,7 +55,7 @@
         else:
             self._start_eviction(held, load, load.evict)
 
-    def drain(self, drain: actions.StopUsing) -> None:
+    def drain(self, drain: actions.Drain) -> None:
         """Evict an adapter as soon as no request uses it.
 
         :param drain: the adapter and the endpoint
@@ -140,7 +140,9 @@
                 load, getattr(outcome, "reason", outcome.tag)
             )
             return
-        self._events.load_ended(load, now_seconds=self._timers.now_seconds())
+        self._events.load_succeeded(
+            load, now_seconds=self._timers.now_seconds()
+        )
         self._loaded(load.endpoint, load.adapter)
         self._changed()
 
--- a/src/boragefold/entry/order_executor.py
+++ b/src/boragefold/entry/order_executor.py
@@ -18,7 +18,7 @@
         """
 
     @abc.abstractmethod
-    def drain(self, drain: actions.StopUsing) -> None:
+    def drain(self, drain: actions.Drain) -> None:
         """Have every instance stop using an adapter on an endpoint.
 
         :param drain: the adapter and the endpoint
--- a/src/boragefold/policy/actions.py
+++ b/src/boragefold/policy/actions.py
@@ -40,7 +40,7 @@
 
 
 class OrderLoad(NamedTuple):
-    """Have an adapter loaded; ``load_ended`` or ``load_failed`` must follow.
+    """Load an adapter; ``load_succeeded`` or ``load_failed`` must follow.
 
     If the load evicts an adapter, every instance must first stop using that
     one at the endpoint, and no request that uses it may still be in flight.
@@ -49,7 +49,7 @@
     load: placement.Load
 
 
-class StopUsing(NamedTuple):
+class Drain(NamedTuple):
     """Tell every instance to stop using an adapter at an endpoint."""
 
     drain: placement.Drain
@@ -62,7 +62,7 @@
     digest: digests.Digest
 
 
-Action = Send | Refuse | Fail | OrderLoad | StopUsing | SendDigest
+Action = Send | Refuse | Fail | OrderLoad | Drain | SendDigest
 
 
 class ActionHandler(abc.ABC):
@@ -86,34 +86,34 @@
         """
 
     @abc.abstractmethod
-    def give_up(self, give_up: Fail) -> None:
+    def fail(self, fail: Fail) -> None:
         """Answer a request whose last attempt failed.
 
-        :param give_up: the request, and whether it may have run
+        :param fail: the request, and whether it may have run
         """
 
     @abc.abstractmethod
-    def order(self, order: OrderLoad) -> None:
+    def order_load(self, order: OrderLoad) -> None:
         """Order an endpoint to load an adapter.
 
         :param order: the adapter, the endpoint, and what the load evicts
         """
 
     @abc.abstractmethod
-    def drain(self, drain: StopUsing) -> None:
+    def drain(self, drain: Drain) -> None:
         """Tell all instances to stop using an adapter at an endpoint.
 
         :param drain: the adapter and the endpoint
         """
 
     @abc.abstractmethod
-    def tell(self, tell: SendDigest) -> None:
+    def send_digest(self, send_digest: SendDigest) -> None:
         """Send a digest to another instance; it may be lost.
 
-        :param tell: the receiver and the digest
+        :param send_digest: the receiver and the digest
         """
 
-    def perform(self, action: Action) -> None:
+    def handle(self, action: Action) -> None:
         """Perform one action.
 
         :param action: from :meth:`Dispatcher.next_actions`
@@ -124,22 +124,22 @@
             case Refuse():
                 self.refuse(action)
             case Fail():
-                self.give_up(action)
+                self.fail(action)
             case OrderLoad():
-                self.order(action)
-            case StopUsing():
+                self.order_load(action)
+            case Drain():
                 self.drain(action)
             case SendDigest():
-                self.tell(action)
+                self.send_digest(action)
 
 
 __all__ = [
     "Action",
     "ActionHandler",
+    "Drain",
     "Fail",
     "OrderLoad",
     "Refuse",
     "Send",
     "SendDigest",
-    "StopUsing",
 ]
--- a/src/boragefold/policy/admission.py
+++ b/src/boragefold/policy/admission.py
@@ -140,7 +140,7 @@
     ) -> Waiting | refusal.Refused:
         # Queue behind waiting requests even when the tokens suffice: small
         # requests would otherwise take the tokens that a large one waits for.
-        tokens = works.tokens_of(work)
+        tokens = works.charged_tokens(work)
         wait_seconds = queue.wait_seconds(tokens, now_seconds=now_seconds)
         if wait_seconds <= _max_wait_seconds(work, now_seconds):
             return self._enqueue(queue, work, now_seconds)
@@ -216,7 +216,7 @@
         until_seconds = now_seconds + _max_wait_seconds(work, now_seconds)
         queue.append(
             token_queue.WaitingRequest(
-                work, works.tokens_of(work), until_seconds
+                work, works.charged_tokens(work), until_seconds
             )
         )
         self._workspace_by_request[work.request_id] = work.workspace
@@ -236,7 +236,7 @@
         self, work: works.Work
     ) -> stocks.Reservation | stocks.Shortfall:
         result = self._stock.reserve(
-            workspace=work.workspace, tokens=works.tokens_of(work)
+            workspace=work.workspace, tokens=works.charged_tokens(work)
         )
         if isinstance(result, stocks.Shortfall) and result.no_holder:
             self._without_holder.add(work.workspace)
--- a/src/boragefold/policy/attempts.py
+++ b/src/boragefold/policy/attempts.py
@@ -19,8 +19,8 @@
 from boragefold.telemetry import counters as telemetry
 
 # More refusals show that the instances' views of the fleet don't agree.
-MAX_NOT_HELD = 32
-NOT_HELD_RETRY_AFTER_SECONDS = 2.0
+MAX_ADAPTER_MISSING = 32
+ADAPTER_MISSING_RETRY_AFTER_SECONDS = 2.0
 
 
 class Attempts:
@@ -49,7 +49,7 @@
         :param now_seconds: reading of the process clock
         :return: requests and the endpoints to send them to
         """
-        for work, endpoint in self._matcher.matches(
+        for work, endpoint in self._matcher.take_matches(
             self._requests.excluded, now_seconds=now_seconds
         ):
             request = self._requests.waiting(work)
@@ -57,7 +57,9 @@
             request.attempts += 1
             self._endpoints.sent(endpoint, work, now_seconds=now_seconds)
             if request.attempts == 1:
-                self._retry_budget.fresh(endpoint, now_seconds=now_seconds)
+                self._retry_budget.record_first_attempt(
+                    endpoint, now_seconds=now_seconds
+                )
             yield actions.Send(work, endpoint, request.attempts)
 
     def end(
@@ -78,7 +80,7 @@
         self._endpoints.finished(
             request.endpoint, request.work.request_id, now_seconds=now_seconds
         )
-        self._matcher.stir_endpoint(request.endpoint)
+        self._matcher.recheck_endpoint(request.endpoint)
         self._queue.settle(request.work, used_tokens=used_tokens)
         request.endpoint = ""
 
@@ -116,7 +118,7 @@
             request.work, "attempt_failed", request.may_have_run
         )
 
-    def not_held(
+    def adapter_missing(
         self, request: requests_module.OpenRequest, *, now_seconds: float
     ) -> actions.Action | None:
         """Record that an endpoint refused because it lacks the adapter.
@@ -128,23 +130,23 @@
         :return: the answer to the caller, or None when it is retried
         """
         endpoint = request.endpoint
-        self._endpoints.evicted(
+        self._endpoints.stop_using(
             endpoint, request.work.needs, now_seconds=now_seconds
         )
         self.end(request, used_tokens=0.0, now_seconds=now_seconds)
-        if request.attempts <= MAX_NOT_HELD:
+        if request.attempts <= MAX_ADAPTER_MISSING:
             self._counters.add("retries", "adapter_not_held")
             self._retry(request, endpoint, now_seconds)
             return None
         self._requests.end(request, used_tokens=0.0)
         self._counters.add("requests_refused", "adapter_not_held")
-        return ended_unserved(
+        return answer_unserved(
             request,
             refusal.Refused(
                 status=refusal.UNAVAILABLE,
                 reason="adapter_not_held",
                 remedy="come back later; the fleet has just lost the adapter",
-                retry_after_seconds=NOT_HELD_RETRY_AFTER_SECONDS,
+                retry_after_seconds=ADAPTER_MISSING_RETRY_AFTER_SECONDS,
             ),
         )
 
@@ -160,7 +162,7 @@
         if endpoint in self._requests.excluded.get(
             request.work.request_id, frozenset()
         ):
-            self._endpoints.evicted(
+            self._endpoints.stop_using(
                 endpoint, request.work.needs, now_seconds=now_seconds
             )
 
@@ -179,10 +181,10 @@
                 give_up_at_seconds=now_seconds + timeout_seconds
             )
         self._requests.exclude(request, endpoint)
-        self._matcher.push_back(request.work, now_seconds=now_seconds)
+        self._matcher.requeue(request.work, now_seconds=now_seconds)
 
 
-def ended_unserved(
+def answer_unserved(
     request: requests_module.OpenRequest, refused: refusal.Refused
 ) -> actions.Action:
     """Choose the answer to a request that ended while it was queued.
@@ -200,7 +202,7 @@
 
 
 __all__ = [
+    "MAX_ADAPTER_MISSING",
     "Attempts",
-    "MAX_NOT_HELD",
-    "ended_unserved",
+    "answer_unserved",
 ]
--- a/src/boragefold/policy/backoff.py
+++ b/src/boragefold/policy/backoff.py
@@ -70,7 +70,7 @@
         """
         self._failures.pop(key, None)
 
-    def forget_old(self, *, now_seconds: float) -> None:
+    def remove_stale(self, *, now_seconds: float) -> None:
         """Drop keys that were not retried for long, to bound the memory.
 
         :param now_seconds: reading of the process clock
--- a/src/boragefold/policy/demand.py
+++ b/src/boragefold/policy/demand.py
@@ -26,7 +26,7 @@
 
         :param work: the request
         """
-        tokens = works.tokens_of(work)
+        tokens = works.charged_tokens(work)
         before = self.by_workspace.get(work.workspace, 0.0)
         self.by_workspace[work.workspace] = before + tokens
         self.tokens += tokens
@@ -37,7 +37,7 @@
 
         :param work: a request that was added before
         """
-        tokens = works.tokens_of(work)
+        tokens = works.charged_tokens(work)
         self.by_workspace[work.workspace] -= tokens
         if self.by_workspace[work.workspace] <= 0:
             del self.by_workspace[work.workspace]
@@ -52,7 +52,7 @@
         """
         own = self.by_workspace.get(work.workspace, 0.0)
         others = len(self.by_workspace) - (work.workspace in self.by_workspace)
-        share = others * (own + works.tokens_of(work))
+        share = others * (own + works.charged_tokens(work))
         return own + min(self.tokens - own, share)
 
 
--- a/src/boragefold/policy/digest.py
+++ b/src/boragefold/policy/digest.py
@@ -152,7 +152,7 @@
         )
 
 
-def waiting_of(
+def waiting_entries(
     own: Mapping[works.AdapterVersion, demands.Demand],
 ) -> tuple[Waiting, ...]:
     """Convert the queued work to entries of a digest.
@@ -185,5 +185,5 @@
     "InUse",
     "PeerDigests",
     "Waiting",
-    "waiting_of",
+    "waiting_entries",
 ]
--- a/src/boragefold/policy/dispatcher.py
+++ b/src/boragefold/policy/dispatcher.py
@@ -133,7 +133,7 @@
         if answer is not None:
             self._answers.append(answer)
 
-    def not_held(self, request_id: str, *, now_seconds: float) -> None:
+    def adapter_missing(self, request_id: str, *, now_seconds: float) -> None:
         """Record that an endpoint refused because it lacks the adapter.
 
         :param request_id: the request, which has not run
@@ -142,7 +142,9 @@
         request = self._find_sent(request_id)
         if request is None:
             return
-        answer = self._attempts.not_held(request, now_seconds=now_seconds)
+        answer = self._attempts.adapter_missing(
+            request, now_seconds=now_seconds
+        )
         if answer is not None:
             self._answers.append(answer)
 
@@ -192,15 +194,15 @@
         return [*answers, *due]
 
     def run(
-        self, performer: actions.ActionHandler, *, now_seconds: float
+        self, handler: actions.ActionHandler, *, now_seconds: float
     ) -> None:
         """Perform the actions that are due now.
 
-        :param performer: performs each action
+        :param handler: carries out each action
         :param now_seconds: reading of the process clock
         """
         for action in self.next_actions(now_seconds=now_seconds):
-            performer.perform(action)
+            handler.handle(action)
 
     def _enqueue(
         self, request: open_requests.OpenRequest, now_seconds: float
@@ -210,7 +212,7 @@
         if refused is not None:
             self._requests.end(request, used_tokens=0.0)
             return refused
-        self.fleet.waits(work, now_seconds=now_seconds)
+        self.fleet.request_queued(work, now_seconds=now_seconds)
         return None
 
     def _advance_admission(self, now_seconds: float) -> None:
@@ -245,7 +247,7 @@
                 reason="caller_gave_up",
                 remedy="wait longer for the answer",
             )
-            self._answers.append(attempts.ended_unserved(request, refused))
+            self._answers.append(attempts.answer_unserved(request, refused))
 
     def _find_sent(self, request_id: str) -> open_requests.OpenRequest | None:
         request = self._requests.get(request_id)
--- a/src/boragefold/policy/drains.py
+++ b/src/boragefold/policy/drains.py
@@ -60,7 +60,7 @@
         if target is None or target.evict is None:
             return
         name = target.endpoint.spec.name
-        self._endpoints.evicted(name, target.evict, now_seconds=now_seconds)
+        self._endpoints.stop_using(name, target.evict, now_seconds=now_seconds)
         self._counters.add("adapters_drained", "slot_needed")
         yield loads_module.Drain(name, target.evict, candidate.workspace)
 
--- a/src/boragefold/policy/endpoint_choice.py
+++ b/src/boragefold/policy/endpoint_choice.py
@@ -104,7 +104,7 @@
         chosen = self._concentrate(near, work, excluded)
         if chosen is None:
             chosen = self._spread(near, work, excluded)
-        if far and (chosen is None or chosen.is_poor()):
+        if far and (chosen is None or chosen.is_slow()):
             chosen = self._spill_over(
                 chosen, near, far, work, excluded, queued_seconds
             )
@@ -170,7 +170,7 @@
             return False
         # The other instances see the same report, and are assumed to have
         # sent as much since as this one.
-        unreported = (self._instances() - 1) * state.sent_since
+        unreported = (self._instances() - 1) * state.sent_since_report
         fill = state.fill() + unreported / max(state.spec.batch_size, 1)
         excess_fill = fill - CONCENTRATE_FILL
         chance = 1.0 - max(excess_fill, 0.0) / (SPREAD_FILL - CONCENTRATE_FILL)
--- a/src/boragefold/policy/endpoint_requests.py
+++ b/src/boragefold/policy/endpoint_requests.py
@@ -25,7 +25,7 @@
     sent_at_seconds: float
     ended_at_seconds: float
 
-    def counted_by(self, measured_at_seconds: float) -> bool:
+    def is_counted_at(self, measured_at_seconds: float) -> bool:
         """Return whether a report counts this request as running.
 
         :param measured_at_seconds: when the report was measured
--- a/src/boragefold/policy/endpoint_state.py
+++ b/src/boragefold/policy/endpoint_state.py
@@ -38,7 +38,7 @@
 
     spec: endpoint_spec.EndpointSpec
     incarnation: str = ""
-    former: collections.deque[str] = dataclasses.field(
+    former_incarnations: collections.deque[str] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=FORMER_INCARNATIONS)
     )
     resident: set[works.AdapterVersion] = dataclasses.field(
@@ -47,11 +47,11 @@
     loaded_at: dict[works.AdapterVersion, float] = dataclasses.field(
         default_factory=dict
     )
-    blocked_at: dict[works.AdapterVersion, float] = dataclasses.field(
+    evicting_since: dict[works.AdapterVersion, float] = dataclasses.field(
         default_factory=dict
     )
-    pinned_elsewhere: frozenset[works.AdapterVersion] = frozenset()
-    reported: int = 0
+    used_by_peers: frozenset[works.AdapterVersion] = frozenset()
+    reported_requests: int = 0
     measured_at_seconds: float = float("-inf")
     in_flight: dict[str, endpoint_requests.Sent] = dataclasses.field(
         default_factory=dict
@@ -62,8 +62,8 @@
     in_use: collections.Counter[works.AdapterVersion] = dataclasses.field(
         default_factory=collections.Counter
     )
-    sent_since: int = 0
-    ended_since: int = 0
+    sent_since_report: int = 0
+    ended_since_report: int = 0
     ended: list[endpoint_requests.Ended] = dataclasses.field(
         default_factory=list
     )
@@ -78,7 +78,11 @@
 
         :return: those reported, plus those sent, less those ended since
         """
-        estimate = self.reported + self.sent_since - self.ended_since
+        estimate = (
+            self.reported_requests
+            + self.sent_since_report
+            - self.ended_since_report
+        )
         return max(estimate, len(self.in_flight))
 
     def fill(self) -> float:
@@ -97,7 +101,7 @@
         limit = max(batch_size, int(MAX_SEND_FILL * batch_size))
         return self.estimated_running() < limit
 
-    def is_poor(self) -> bool:
+    def is_slow(self) -> bool:
         """Return whether the endpoint is too slow to rely on.
 
         :return: whether requests should preferably go elsewhere
@@ -119,24 +123,24 @@
 
         :return: number of slots, including those being emptied
         """
-        return len(self.resident) + len(self.blocked_at)
+        return len(self.resident) + len(self.evicting_since)
 
-    def is_pinned(self, adapter: works.AdapterVersion) -> bool:
+    def is_in_use(self, adapter: works.AdapterVersion) -> bool:
         """Return whether an adapter is in use at the endpoint.
 
         :param adapter: the adapter version
         :return: whether it must not be evicted
         """
-        return adapter in self.in_use or adapter in self.pinned_elsewhere
+        return adapter in self.in_use or adapter in self.used_by_peers
 
-    def take_report(self, report: endpoint_spec.LoadReport) -> None:
+    def apply_report(self, report: endpoint_spec.LoadReport) -> None:
         """Replace the reported load, and recount what was sent since.
 
         :param report: from the present incarnation, newer than the last one
         """
-        self.reported = report.running + report.waiting
+        self.reported_requests = report.running + report.waiting
         self.measured_at_seconds = report.measured_at_seconds
-        self.sent_since = sum(
+        self.sent_since_report = sum(
             sent.sent_at_seconds > report.measured_at_seconds
             for sent in self.in_flight.values()
         )
@@ -145,8 +149,8 @@
             for ended in self.ended
             if ended.ended_at_seconds > report.measured_at_seconds
         ]
-        self.ended_since = sum(
-            ended.counted_by(report.measured_at_seconds)
+        self.ended_since_report = sum(
+            ended.is_counted_at(report.measured_at_seconds)
             for ended in self.ended
         )
 
@@ -156,18 +160,18 @@
         :param incarnation: the new one
         """
         if self.incarnation:
-            self.former.append(self.incarnation)
+            self.former_incarnations.append(self.incarnation)
         self.incarnation = incarnation
         self.resident.clear()
         self.loaded_at.clear()
-        self.blocked_at.clear()
-        self.pinned_elsewhere = frozenset()
+        self.evicting_since.clear()
+        self.used_by_peers = frozenset()
         self.in_flight.clear()
         self.unanswered.clear()
         self.in_use.clear()
         self.ended.clear()
-        self.ended_since = 0
-        self.sent_since = 0
+        self.ended_since_report = 0
+        self.sent_since_report = 0
         self.latency = None
 
     def begin(self, work: works.Work, *, now_seconds: float) -> None:
@@ -182,7 +186,7 @@
         self.in_flight[work.request_id] = sent
         self.unanswered[work.request_id] = sent
         self.in_use[work.needs] += 1
-        self.sent_since += now_seconds > self.measured_at_seconds
+        self.sent_since_report += now_seconds > self.measured_at_seconds
 
     def answer(self, request_id: str, *, now_seconds: float) -> None:
         """Measure the latency of an answer's first byte.
@@ -226,11 +230,11 @@
             endpoint_requests.Ended(sent.sent_at_seconds, now_seconds)
         )
         if sent.sent_at_seconds > self.measured_at_seconds:
-            self.sent_since -= 1
+            self.sent_since_report -= 1
         else:
-            self.ended_since += 1
+            self.ended_since_report += 1
 
-    def present_latency(self, *, now_seconds: float) -> float | None:
+    def current_latency(self, *, now_seconds: float) -> float | None:
         """Return the latency, including the age of unanswered requests.
 
         An endpoint that stopped answering yields no samples, so the age of
@@ -251,13 +255,13 @@
         :param now_seconds: reading of the process clock
         """
         if now_seconds - self.measured_at_seconds > REPORT_STALE_SECONDS:
-            self.reported = 0
-            self.sent_since = len(self.in_flight)
+            self.reported_requests = 0
+            self.sent_since_report = len(self.in_flight)
             self.measured_at_seconds = float("-inf")
-            self.ended_since = 0
+            self.ended_since_report = 0
             self.ended.clear()
 
-    def unblocked(
+    def usable_adapters(
         self, report: endpoint_spec.LoadReport
     ) -> Iterator[works.AdapterVersion]:
         """Iterate over the reported adapters that may be used.
@@ -268,7 +272,7 @@
         return (
             adapter
             for adapter in report.resident or ()
-            if adapter not in self.blocked_at
+            if adapter not in self.evicting_since
         )
 
     def _scaled(
--- a/src/boragefold/policy/endpoints.py
+++ b/src/boragefold/policy/endpoints.py
@@ -25,7 +25,7 @@
 
 # An eviction ends within this time. An adapter that is still listed after it
 # was not evicted, and can be used again.
-BLOCKED_SECONDS = 10.0
+EVICTION_TIMEOUT_SECONDS = 10.0
 
 
 class Endpoints:
@@ -80,7 +80,7 @@
         :return: whether the endpoint restarted, so that it holds no adapter
         """
         state = self._by_name.get(report.endpoint)
-        if state is None or report.incarnation in state.former:
+        if state is None or report.incarnation in state.former_incarnations:
             return False
         known = state.incarnation or report.incarnation
         restarted = known != report.incarnation
@@ -89,7 +89,7 @@
         elif report.measured_at_seconds < state.measured_at_seconds:
             return False
         state.incarnation = report.incarnation
-        state.take_report(report)
+        state.apply_report(report)
         if report.resident is not None:
             self._reconcile(state, report)
         return restarted
@@ -105,11 +105,11 @@
         """
         if (state := self._by_name.get(name)) is None:
             return
-        state.blocked_at.pop(adapter, None)
+        state.evicting_since.pop(adapter, None)
         state.loaded_at[adapter] = now_seconds
         self._add(state, adapter)
 
-    def evicted(
+    def stop_using(
         self, name: str, adapter: works.AdapterVersion, *, now_seconds: float
     ) -> None:
         """Record that an adapter's requests must not go to an endpoint.
@@ -121,19 +121,19 @@
         if (state := self._by_name.get(name)) is None:
             return
         if adapter in state.resident:
-            state.blocked_at[adapter] = now_seconds
+            state.evicting_since[adapter] = now_seconds
         self._remove(state, adapter)
 
-    def gone(self, name: str, adapter: works.AdapterVersion) -> None:
+    def slot_freed(self, name: str, adapter: works.AdapterVersion) -> None:
         """Record that an evicted adapter has left its slot.
 
         :param name: the endpoint
         :param adapter: the adapter version
         """
         if (state := self._by_name.get(name)) is not None:
-            state.blocked_at.pop(adapter, None)
+            state.evicting_since.pop(adapter, None)
 
-    def pin_elsewhere(
+    def set_used_by_peers(
         self, name: str, adapters: Iterable[works.AdapterVersion]
     ) -> None:
         """Record which adapters other instances use at an endpoint.
@@ -142,7 +142,7 @@
         :param adapters: replaces the adapters recorded before
         """
         if (state := self._by_name.get(name)) is not None:
-            state.pinned_elsewhere = frozenset(adapters)
+            state.used_by_peers = frozenset(adapters)
 
     def sent(self, name: str, work: works.Work, *, now_seconds: float) -> None:
         """Record that a request is about to be sent.
@@ -184,7 +184,7 @@
         :param name: the endpoint
         """
         if (state := self._by_name.get(name)) is not None:
-            slow_endpoints.punish(state)
+            slow_endpoints.reduce_weight(state)
 
     def refresh(self, *, now_seconds: float) -> None:
         """Compare the endpoints' latencies; call it once a second.
@@ -193,7 +193,7 @@
         """
         for state in self:
             state.forget_stale_report(now_seconds=now_seconds)
-        slow_endpoints.weigh(self, now_seconds=now_seconds)
+        slow_endpoints.update_weights(self, now_seconds=now_seconds)
 
     def holders(
         self, adapter: works.AdapterVersion
@@ -225,14 +225,14 @@
         listed = frozenset(report.resident or ())
         measured_at = report.measured_at_seconds
         # A report measured before an order of this instance may not show it.
-        for adapter, blocked_at in list(state.blocked_at.items()):
-            gone = adapter not in listed and blocked_at < measured_at
-            if gone or measured_at - blocked_at > BLOCKED_SECONDS:
-                del state.blocked_at[adapter]
+        for adapter, evicting_since in list(state.evicting_since.items()):
+            gone = adapter not in listed and evicting_since < measured_at
+            if gone or measured_at - evicting_since > EVICTION_TIMEOUT_SECONDS:
+                del state.evicting_since[adapter]
         for adapter in list(state.resident - listed):
             if state.loaded_at.get(adapter, measured_at) <= measured_at:
                 self._remove(state, adapter)
-        for adapter in state.unblocked(report):
+        for adapter in state.usable_adapters(report):
             if adapter not in state.resident:
                 state.loaded_at[adapter] = measured_at
             self._add(state, adapter)
--- a/src/boragefold/policy/fair_queue.py
+++ b/src/boragefold/policy/fair_queue.py
@@ -61,20 +61,20 @@
         work: works.Work,
         *,
         now_seconds: float,
-        service_tokens_per_second: float,
+        throughput_tokens_per_second: float,
         adapter_tokens_per_second: float | None = None,
     ) -> Queued | refusal.Refused:
         """Queue a request unless its caller would time out before its start.
 
         :param work: the request
         :param now_seconds: reading of the process clock
-        :param service_tokens_per_second: rate at which this queue is served
+        :param throughput_tokens_per_second: rate at which this queue is served
         :param adapter_tokens_per_second: rate at which its adapter is served
         :return: queued, or refused with the time to retry after
         """
         start_in_seconds = self.estimate_start_seconds(
             work,
-            service_tokens_per_second=service_tokens_per_second,
+            throughput_tokens_per_second=throughput_tokens_per_second,
             adapter_tokens_per_second=adapter_tokens_per_second,
         )
         timeout_seconds = work.give_up_at_seconds - now_seconds
@@ -174,32 +174,32 @@
         """
         return self._demand
 
-    def delay_seconds(self, *, service_tokens_per_second: float) -> float:
+    def delay_seconds(self, *, throughput_tokens_per_second: float) -> float:
         """Return how long serving the whole queue would take.
 
-        :param service_tokens_per_second: rate at which this queue is served
+        :param throughput_tokens_per_second: rate at which this queue is served
         :return: seconds, for :meth:`overload.Overload.observe`
         """
         tokens = self._late.tokens + self._ordinary.tokens
-        return _divide(tokens, service_tokens_per_second)
+        return _divide(tokens, throughput_tokens_per_second)
 
     def estimate_start_seconds(
         self,
         work: works.Work,
         *,
-        service_tokens_per_second: float,
+        throughput_tokens_per_second: float,
         adapter_tokens_per_second: float | None = None,
     ) -> float:
         """Estimate how long a request would wait if it were pushed now.
 
         :param work: the request
-        :param service_tokens_per_second: rate at which this queue is served
+        :param throughput_tokens_per_second: rate at which this queue is served
         :param adapter_tokens_per_second: rate at which its adapter is served
         :return: an upper bound in seconds; short requests start sooner
         """
         seconds = max(
-            _divide(self._ahead_tokens(work), service_tokens_per_second),
-            self._class_of(work).drain_seconds(work),
+            _divide(self._ahead_tokens(work), throughput_tokens_per_second),
+            self._class_of(work).backlog_seconds(work),
         )
         demand = self._demand.get(work.needs)
         if demand is None or adapter_tokens_per_second is None:
@@ -224,11 +224,11 @@
     ) -> queue_class.Position | None:
         if late is None or ordinary is None:
             return late or ordinary
-        tokens = works.tokens_of(self._works[ordinary.request_id])
+        tokens = works.charged_tokens(self._works[ordinary.request_id])
         if self._ordinary_credit_tokens >= tokens:
             self._ordinary_credit_tokens -= tokens
             return ordinary
-        tokens = works.tokens_of(self._works[late.request_id])
+        tokens = works.charged_tokens(self._works[late.request_id])
         ratio = ORDINARY_SHARE / LATE_SENSITIVE_SHARE
         self._ordinary_credit_tokens += tokens * ratio
         return late
--- a/src/boragefold/policy/fair_share.py
+++ b/src/boragefold/policy/fair_share.py
@@ -50,20 +50,20 @@
         workspace: str,
         tokens: float,
         *,
-        service_tokens_per_second: float,
+        throughput_tokens_per_second: float,
         now_seconds: float,
     ) -> bool:
         """Count a request, and return whether it exceeds the fair share.
 
         :param workspace: the workspace that sent the request
         :param tokens: prompt tokens and the most that may be generated
-        :param service_tokens_per_second: the endpoints' throughput, times
-            :attr:`overload.Overload.given_part`
+        :param throughput_tokens_per_second: the endpoints' throughput, times
+            :attr:`overload.Overload.divided_share`
         :param now_seconds: reading of the process clock
         :return: whether it is shed first, see :class:`overload.Overload`
         """
         if now_seconds >= self._update_at_seconds:
-            self._update(service_tokens_per_second, now_seconds)
+            self._update(throughput_tokens_per_second, now_seconds)
         account = self._accounts.get(workspace)
         if account is None:
             account = Account(demand=0.0, credit=math.inf, at_seconds=0.0)
@@ -87,7 +87,7 @@
         account.credit = min(account.credit + refill, limit)
 
     def _update(
-        self, service_tokens_per_second: float, now_seconds: float
+        self, throughput_tokens_per_second: float, now_seconds: float
     ) -> None:
         self._update_at_seconds = now_seconds + UPDATE_SECONDS
         for account in self._accounts.values():
@@ -102,7 +102,7 @@
                 account.demand / DECAY_SECONDS
                 for account in self._accounts.values()
             ],
-            service_tokens_per_second,
+            throughput_tokens_per_second,
         )
 
 
--- a/src/boragefold/policy/fleet_events.py
+++ b/src/boragefold/policy/fleet_events.py
@@ -55,7 +55,7 @@
         :param report: the load that the endpoint reported
         """
         self._endpoints.report(report)
-        self._matcher.stir_endpoint(report.endpoint)
+        self._matcher.recheck_endpoint(report.endpoint)
 
     def endpoint_gone(self, name: str) -> None:
         """Forget an endpoint that is no longer listed.
@@ -80,7 +80,7 @@
         :param now_seconds: reading of the process clock
         """
         self._endpoints.loaded(endpoint, adapter, now_seconds=now_seconds)
-        self._matcher.stir(adapter)
+        self._matcher.recheck_adapter(adapter)
 
     def stop_using(
         self,
@@ -96,18 +96,20 @@
         :param now_seconds: reading of the process clock
         :return: whether a request of this instance still uses it there
         """
-        self._endpoints.evicted(endpoint, adapter, now_seconds=now_seconds)
+        self._endpoints.stop_using(endpoint, adapter, now_seconds=now_seconds)
         state = self._endpoints.get(endpoint)
         return state is not None and adapter in state.in_use
 
-    def load_ended(self, load: placements.Load, *, now_seconds: float) -> None:
+    def load_succeeded(
+        self, load: placements.Load, *, now_seconds: float
+    ) -> None:
         """Record that a load that this instance ordered succeeded.
 
         :param load: from an :class:`actions.OrderLoad`
         :param now_seconds: reading of the process clock
         """
-        self._placement.load_ended(load, now_seconds=now_seconds)
-        self._matcher.stir(load.adapter)
+        self._placement.load_succeeded(load, now_seconds=now_seconds)
+        self._matcher.recheck_adapter(load.adapter)
 
     def load_failed(
         self, load: placements.Load, *, now_seconds: float
@@ -132,9 +134,9 @@
         if any(
             self._placement.is_cold(each.adapter) for each in digest.waiting
         ):
-            self.hurry(now_seconds=now_seconds)
+            self.advance_tick(now_seconds=now_seconds)
 
-    def waits(self, work: works.Work, *, now_seconds: float) -> None:
+    def request_queued(self, work: works.Work, *, now_seconds: float) -> None:
         """Record a queued request; one for a cold adapter advances the tick.
 
         :param work: the request
@@ -142,10 +144,10 @@
         """
         self._placement.count_arrival(work, now_seconds=now_seconds)
         if self._placement.is_cold(work.needs):
-            self.hurry(now_seconds=now_seconds)
+            self.advance_tick(now_seconds=now_seconds)
             self._digests_at_seconds = now_seconds
 
-    def hurry(self, *, now_seconds: float) -> None:
+    def advance_tick(self, *, now_seconds: float) -> None:
         """Advance the next decision on loads, as after a load was granted.
 
         :param now_seconds: reading of the process clock
--- a/src/boragefold/policy/fleet_placement.py
+++ b/src/boragefold/policy/fleet_placement.py
@@ -76,7 +76,8 @@
         """
         self._homes.refresh(own)
         waiting = _by_peer(
-            digests.waiting_of(own), lambda each: self._decider(each.adapter)
+            digests.waiting_entries(own),
+            lambda each: self._decider(each.adapter),
         )
         arrived = _by_peer(
             self._arrivals.take(), lambda each: self._decider(each.adapter)
@@ -127,7 +128,7 @@
         *,
         warm_up: bool,
         now_seconds: float,
-    ) -> Iterator[actions.OrderLoad | actions.StopUsing]:
+    ) -> Iterator[actions.OrderLoad | actions.Drain]:
         """Decide which loads to start now.
 
         :param own: the requests that wait at this instance, by adapter
@@ -141,7 +142,7 @@
         self._peers.expire(now_seconds=now_seconds)
         self._homes.refresh(own)
         for name in held_endpoints:
-            self._endpoints.pin_elsewhere(name, self._peers.in_use(name))
+            self._endpoints.set_used_by_peers(name, self._peers.in_use(name))
         demand = self._peers.demand(
             own,
             decides=lambda adapter: (
@@ -157,15 +158,17 @@
             if isinstance(order, placements.Load):
                 yield actions.OrderLoad(order)
             else:
-                yield actions.StopUsing(order)
+                yield actions.Drain(order)
 
-    def load_ended(self, load: placements.Load, *, now_seconds: float) -> None:
+    def load_succeeded(
+        self, load: placements.Load, *, now_seconds: float
+    ) -> None:
         """Record that a load succeeded.
 
         :param load: from an :class:`actions.OrderLoad`
         :param now_seconds: reading of the process clock
         """
-        self._placement.load_ended(load, now_seconds=now_seconds)
+        self._placement.load_succeeded(load, now_seconds=now_seconds)
 
     def load_failed(
         self, load: placements.Load, *, now_seconds: float
--- a/src/boragefold/policy/hot_adapters.py
+++ b/src/boragefold/policy/hot_adapters.py
@@ -74,7 +74,7 @@
         holders = _sample(all_holders)
         if not holders:
             return False
-        if all(state.is_poor() for state in holders):
+        if all(state.is_slow() for state in holders):
             # Its requests would wait at a slow endpoint, where the queue of
             # this instance doesn't show them.
             return True
--- a/src/boragefold/policy/loads.py
+++ b/src/boragefold/policy/loads.py
@@ -97,7 +97,8 @@
         """
         running = self._running.get(state.spec.name, {})
         replaced = sum(
-            each.load.evict in state.blocked_at for each in running.values()
+            each.load.evict in state.evicting_since
+            for each in running.values()
         )
         # A report may list a loaded adapter before the order is answered.
         seen = sum(adapter in state.resident for adapter in running)
@@ -114,7 +115,7 @@
         """
         running = self._running.get(state.spec.name, {})
         claimed = {each.load.evict for each in running.values()}
-        return [each for each in state.blocked_at if each not in claimed]
+        return [each for each in state.evicting_since if each not in claimed]
 
     def begin(
         self, load: Load, *, incarnation: str, now_seconds: float
--- a/src/boragefold/policy/matcher.py
+++ b/src/boragefold/policy/matcher.py
@@ -69,12 +69,12 @@
         rate = self._service.tokens_per_second()
         above_share = self._share.exceeds(
             work.workspace,
-            works.tokens_of(work),
-            service_tokens_per_second=rate * self._overload.given_part,
+            works.charged_tokens(work),
+            throughput_tokens_per_second=rate * self._overload.divided_share,
             now_seconds=now_seconds,
         )
         if self._starts_at_once(work):
-            self.push_back(work, now_seconds=now_seconds)
+            self.requeue(work, now_seconds=now_seconds)
             return None
         shed = self._overload.check(
             work,
@@ -86,12 +86,12 @@
         outcome = self._queue.offer(
             work,
             now_seconds=now_seconds,
-            service_tokens_per_second=rate,
+            throughput_tokens_per_second=rate,
         )
         self._changed_adapters.add(work.needs)
         return outcome if isinstance(outcome, refusal.Refused) else None
 
-    def push_back(self, work: works.Work, *, now_seconds: float) -> None:
+    def requeue(self, work: works.Work, *, now_seconds: float) -> None:
         """Queue a request again after an attempt that didn't complete.
 
         :param work: the request
@@ -100,14 +100,14 @@
         self._queue.push(work, now_seconds=now_seconds)
         self._changed_adapters.add(work.needs)
 
-    def stir(self, adapter: works.AdapterVersion) -> None:
+    def recheck_adapter(self, adapter: works.AdapterVersion) -> None:
         """Mark an adapter whose requests may be servable now.
 
         :param adapter: the adapter version
         """
         self._changed_adapters.add(adapter)
 
-    def stir_endpoint(self, name: str) -> None:
+    def recheck_endpoint(self, name: str) -> None:
         """Mark an endpoint that may have room now.
 
         :param name: the endpoint
@@ -132,7 +132,7 @@
             queue_delay_seconds=self._delay_seconds, now_seconds=now_seconds
         )
 
-    def matches(
+    def take_matches(
         self,
         excluded: Mapping[str, frozenset[str]],
         *,
@@ -158,7 +158,9 @@
                 self._queue.push(work, now_seconds=now_seconds)
                 ready.discard(work.needs)
                 continue
-            self._service.taken(works.tokens_of(work), now_seconds=now_seconds)
+            self._service.taken(
+                works.charged_tokens(work), now_seconds=now_seconds
+            )
             yield Match(work, endpoint)
             adapter = work.needs
             if adapter not in self._demand() or not self._has_room(adapter):
--- a/src/boragefold/policy/overload.py
+++ b/src/boragefold/policy/overload.py
@@ -36,7 +36,7 @@
 # Smooths the mean timeout over recent requests.
 TIMEOUT_SMOOTHING = 0.02
 # What isn't given out drains the queue.
-GIVEN_PART = {
+DIVIDED_SHARES = {
     Level.NORMAL: 1.0,
     Level.NO_EXTRAS: 1.0,
     Level.ABOVE_SHARE: 0.9,
@@ -78,12 +78,12 @@
         return self._level
 
     @property
-    def given_part(self) -> float:
+    def divided_share(self) -> float:
         """Return the part of the throughput that the fair shares divide.
 
         :return: from 0 to 1, for :meth:`fair_share.FairShare.exceeds`
         """
-        return GIVEN_PART[self._level]
+        return DIVIDED_SHARES[self._level]
 
     def observe(
         self, *, queue_delay_seconds: float, now_seconds: float
--- a/src/boragefold/policy/placement.py
+++ b/src/boragefold/policy/placement.py
@@ -142,7 +142,7 @@
         :param now_seconds: reading of the process clock
         :param warm_up: whether to load adapters without waiting requests too
         :return: orders; the caller must report the end of each load with
-            :meth:`load_ended` or :meth:`load_failed`
+            :meth:`load_succeeded` or :meth:`load_failed`
         """
         self._forget_lost(now_seconds)
         states = self._usable(held_endpoints)
@@ -177,7 +177,7 @@
             orders.extend(self._load_early(states, now_seconds))
         return orders
 
-    def load_ended(self, load: Load, *, now_seconds: float) -> None:
+    def load_succeeded(self, load: Load, *, now_seconds: float) -> None:
         """Record that a load succeeded and the endpoint holds the adapter.
 
         :param load: from :meth:`decide`
@@ -195,7 +195,7 @@
                 load.workspace, duration_seconds - EXPECTED_LOAD_SECONDS
             )
         if load.evict is not None:
-            self._endpoints.gone(load.endpoint, load.evict)
+            self._endpoints.slot_freed(load.endpoint, load.evict)
         self._endpoints.loaded(
             load.endpoint, load.adapter, now_seconds=now_seconds
         )
@@ -222,7 +222,7 @@
             self._budget.release(now_seconds=now_seconds)
             self._counters.add("loads_failed", "endpoint_restarted")
         if len(self._backoff) > MAX_FAILURES:
-            self._backoff.forget_old(now_seconds=now_seconds)
+            self._backoff.remove_stale(now_seconds=now_seconds)
 
     def _usable(
         self, held_endpoints: Collection[str]
@@ -273,7 +273,7 @@
             candidate.reason,
         )
         if target.evict is not None:
-            self._endpoints.evicted(
+            self._endpoints.stop_using(
                 name, target.evict, now_seconds=now_seconds
             )
         self._loads.begin(
--- a/src/boragefold/policy/queue_class.py
+++ b/src/boragefold/policy/queue_class.py
@@ -73,8 +73,8 @@
             backlog = Backlog()
             self._backlogs[workspace] = backlog
         backlog.requests += 1
-        backlog.tokens += works.tokens_of(work)
-        self.tokens += works.tokens_of(work)
+        backlog.tokens += works.charged_tokens(work)
+        self.tokens += works.charged_tokens(work)
         adapter_queue = self._by_adapter.setdefault(work.needs, AdapterQueue())
         queue = adapter_queue.queues.get(workspace)
         if queue is None:
@@ -97,9 +97,9 @@
             adapter_queue.order.remove(workspace)
         if not adapter_queue.queues:
             del self._by_adapter[work.needs]
-        self.tokens -= works.tokens_of(work)
+        self.tokens -= works.charged_tokens(work)
         backlog = self._backlogs[workspace]
-        backlog.tokens -= works.tokens_of(work)
+        backlog.tokens -= works.charged_tokens(work)
         backlog.requests -= 1
         if not backlog.requests:
             del self._backlogs[workspace]
@@ -138,9 +138,9 @@
         :param now_seconds: reading of the process clock
         """
         self._backlogs[work.workspace].rate.add(
-            works.tokens_of(work), now_seconds=now_seconds
+            works.charged_tokens(work), now_seconds=now_seconds
         )
-        self._counter.charge(work.workspace, works.tokens_of(work))
+        self._counter.charge(work.workspace, works.charged_tokens(work))
 
     def settle(self, work: works.Work, *, used_tokens: float) -> None:
         """Correct the charge of a request by its actual tokens.
@@ -149,7 +149,7 @@
         :param used_tokens: prompt and generated tokens actually used
         """
         self._counter.correct(
-            work.workspace, used_tokens - works.tokens_of(work)
+            work.workspace, used_tokens - works.charged_tokens(work)
         )
 
     def ahead_tokens(self, work: works.Work) -> float:
@@ -164,10 +164,10 @@
         backlog = self._backlogs.get(work.workspace)
         own = backlog.tokens if backlog is not None else 0.0
         others = len(self._backlogs) - (backlog is not None)
-        share = others * (own + works.tokens_of(work))
+        share = others * (own + works.charged_tokens(work))
         return own + min(max(self.tokens - own, 0.0), share)
 
-    def drain_seconds(self, work: works.Work) -> float:
+    def backlog_seconds(self, work: works.Work) -> float:
         """Return how long a workspace's backlog takes at its recent rate.
 
         The fair-share estimate doesn't include requests that arrive later but
@@ -205,7 +205,7 @@
 def _rank_seconds(work: works.Work) -> float:
     timeout_seconds = work.give_up_at_seconds - work.arrived_at_seconds
     penalty_seconds = min(
-        PENALTY_SECONDS_PER_TOKEN * works.tokens_of(work),
+        PENALTY_SECONDS_PER_TOKEN * works.charged_tokens(work),
         MAX_PENALTY_TIMEOUT_SHARE * timeout_seconds,
     )
     return work.arrived_at_seconds + penalty_seconds
--- a/src/boragefold/policy/retry_budget.py
+++ b/src/boragefold/policy/retry_budget.py
@@ -57,7 +57,7 @@
 MIN_BURST_RETRIES = 1.0
 
 
-def allowance_of(limit: FleetLimit, instances: int) -> Allowance:
+def instance_allowance(limit: FleetLimit, instances: int) -> Allowance:
     """Compute one instance's part of the fleet's retry limit.
 
     :param limit: of all instances together
@@ -113,7 +113,9 @@
         self._total: RetryBucket | None = None
         self._by_endpoint: dict[str, RetryBucket] = {}
 
-    def fresh(self, endpoint: str, *, now_seconds: float) -> None:
+    def record_first_attempt(
+        self, endpoint: str, *, now_seconds: float
+    ) -> None:
         """Record a first attempt.
 
         :param endpoint: the endpoint it was sent to
@@ -203,7 +205,7 @@
         self._allowance = allowance
         self._budgets: dict[str, RetryBudget] = {}
 
-    def of(self, service: str) -> RetryBudget:
+    def get(self, service: str) -> RetryBudget:
         """Return the budget of a service.
 
         :param service: its name
@@ -219,10 +221,10 @@
 
 
 __all__ = [
+    "RETRY_RATIO",
     "Allowance",
     "FleetLimit",
-    "RETRY_RATIO",
     "RetryBudget",
     "ServiceBudgets",
-    "allowance_of",
+    "instance_allowance",
 ]
--- a/src/boragefold/policy/slot_choice.py
+++ b/src/boragefold/policy/slot_choice.py
@@ -48,7 +48,7 @@
         :return: the slot, or None
         """
         empty = [
-            (state.is_poor(), state.fill(), state.spec.name, state)
+            (state.is_slow(), state.fill(), state.spec.name, state)
             for state in states
             if self._loads.taken_slots(state) < state.spec.slots
         ]
@@ -77,7 +77,7 @@
             )
             for state in states
             for adapter in (*self._loads.unclaimed(state), *state.resident)
-            if not state.is_pinned(adapter)
+            if not state.is_in_use(adapter)
             and self._is_evictable(state, adapter, protected, now_seconds)
         ]
         if not found:
@@ -122,7 +122,7 @@
         protected: Container[works.AdapterVersion],
         now_seconds: float,
     ) -> bool:
-        if adapter in state.blocked_at:
+        if adapter in state.evicting_since:
             return True
         if adapter in protected:
             return False
@@ -142,9 +142,9 @@
     ) -> tuple[bool, bool, float, float]:
         per_second = self._rates.per_second(adapter, now_seconds=now_seconds)
         used_at, _gap = self._rates.last_use(adapter)
-        routable = adapter not in state.blocked_at
+        routable = adapter not in state.evicting_since
         # An adapter can't serve requests where there is no room for them.
-        unusable = state.is_poor() or not state.has_room()
+        unusable = state.is_slow() or not state.has_room()
         return routable, unusable, per_second, used_at
 
 
--- a/src/boragefold/policy/slow_endpoints.py
+++ b/src/boragefold/policy/slow_endpoints.py
@@ -25,7 +25,7 @@
 RECOVERY_PER_REFRESH = 0.1
 
 
-def punish(state: endpoint_state.EndpointState) -> None:
+def reduce_weight(state: endpoint_state.EndpointState) -> None:
     """Halve the share of an endpoint that failed a request.
 
     :param state: the endpoint
@@ -34,7 +34,7 @@
     state.weight = max(state.weight * FAILURE_FACTOR, MIN_WEIGHT)
 
 
-def weigh(
+def update_weights(
     states: Iterable[endpoint_state.EndpointState], *, now_seconds: float
 ) -> None:
     """Set each endpoint's weight from its latency and its failures.
@@ -56,7 +56,7 @@
     latencies = {
         state.spec.name: latency
         for state in pool
-        if (latency := state.present_latency(now_seconds=now_seconds))
+        if (latency := state.current_latency(now_seconds=now_seconds))
     }
     enough = len(latencies) >= MIN_PEERS
     median = statistics.median(latencies.values()) if enough else 0.0
@@ -88,6 +88,6 @@
 __all__ = [
     "MIN_WEIGHT",
     "SLOW_RATIO",
-    "punish",
-    "weigh",
+    "reduce_weight",
+    "update_weights",
 ]
--- a/src/boragefold/policy/work.py
+++ b/src/boragefold/policy/work.py
@@ -32,7 +32,7 @@
     prefix: str = ""
 
 
-def tokens_of(work: Work) -> float:
+def charged_tokens(work: Work) -> float:
     """Return the tokens that a request is charged until it is settled.
 
     :param work: the request
@@ -44,5 +44,5 @@
 __all__ = [
     "AdapterVersion",
     "Work",
-    "tokens_of",
+    "charged_tokens",
 ]
--- a/tests/fakes/workloads.py
+++ b/tests/fakes/workloads.py
@@ -232,21 +232,23 @@
         if not isinstance(outcome, admission.Admitted):
             return
         self.reservations[each.request_id] = outcome.reservation
-        delay = self.queue.delay_seconds(service_tokens_per_second=self.rate)
+        delay = self.queue.delay_seconds(
+            throughput_tokens_per_second=self.rate
+        )
         self.overload.observe(queue_delay_seconds=delay, now_seconds=self.now)
         refused = self.overload.check(
             each,
             above_share=self.share.exceeds(
                 each.workspace,
-                works.tokens_of(each),
-                service_tokens_per_second=(
-                    self.overload.given_part * self.rate
+                works.charged_tokens(each),
+                throughput_tokens_per_second=(
+                    self.overload.divided_share * self.rate
                 ),
                 now_seconds=self.now,
             ),
             cold=False,
         ) or self.queue.offer(
-            each, now_seconds=self.now, service_tokens_per_second=self.rate
+            each, now_seconds=self.now, throughput_tokens_per_second=self.rate
         )
         if isinstance(refused, refusal.Refused):
             self._end(each, refused=refused)
--- a/tests/policy/test_dispatcher.py
+++ b/tests/policy/test_dispatcher.py
@@ -110,7 +110,7 @@
     assert sends(done) == [(warm.request_id, "a", 1)]
     (order,) = [each for each in done if isinstance(each, actions.OrderLoad)]
     assert order.load.adapter == cold.needs
-    system.fleet.load_ended(order.load, now_seconds=0.25)
+    system.fleet.load_succeeded(order.load, now_seconds=0.25)
     assert sends(system.next_actions(now_seconds=0.25)) == [
         (cold.request_id, "a", 1)
     ]
@@ -202,7 +202,7 @@
     empty = placed[0][1]
     for request_id, endpoint, _ in placed:
         if endpoint == empty:
-            system.not_held(request_id, now_seconds=0.1)
+            system.adapter_missing(request_id, now_seconds=0.1)
     again = sends(system.next_actions(now_seconds=0.1))
     assert again
     assert {endpoint for _, endpoint, _ in again} == {"a", "b"} - {empty}
@@ -244,7 +244,7 @@
     system.finished(request.request_id, used_tokens=9.0, now_seconds=0.7)
     for order in done:
         if isinstance(order, actions.OrderLoad):
-            system.fleet.load_ended(order.load, now_seconds=0.7)
+            system.fleet.load_succeeded(order.load, now_seconds=0.7)
     assert bucket.used == [7.0]
     assert not sends(system.next_actions(now_seconds=0.7))
 
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -82,7 +82,7 @@
     request = workloads.work()
     endpoints.sent("e", request, now_seconds=0.0)
     assert not endpoints.report(workloads.report("e", 0, 0.5))
-    assert endpoints.get("e").is_pinned(BARE)
+    assert endpoints.get("e").is_in_use(BARE)
 
 
 def test_a_leaving_endpoint_gets_no_new_work() -> None:
@@ -104,7 +104,7 @@
     endpoints = build("e")
     cold = workloads.adapter("cold")
     endpoints.loaded("e", HOT, now_seconds=0.0)
-    endpoints.evicted("e", HOT, now_seconds=5.0)
+    endpoints.stop_using("e", HOT, now_seconds=5.0)
     endpoints.loaded("e", cold, now_seconds=5.2)
     old = workloads.report("e", 0, 4.9)._replace(resident=(HOT,))
     endpoints.report(old)
@@ -159,8 +159,8 @@
             endpoints.sent(name, request, now_seconds=at)
             endpoints.answered(name, request.request_id, now_seconds=at + took)
         endpoints.refresh(now_seconds=at + 1)
-    assert endpoints.get("e").is_poor()
-    assert not endpoints.get("f").is_poor()
+    assert endpoints.get("e").is_slow()
+    assert not endpoints.get("f").is_slow()
 
 
 def test_long_prompts_dont_make_an_endpoint_look_slow() -> None:
--- a/tests/policy/test_fair_queue.py
+++ b/tests/policy/test_fair_queue.py
@@ -107,7 +107,7 @@
 
 def test_a_request_that_would_time_out_is_refused_early() -> None:
     queue = build(*(workloads.work("a", tokens=100) for _ in range(100)))
-    asked = {"now_seconds": 0.0, "service_tokens_per_second": 1000.0}
+    asked = {"now_seconds": 0.0, "throughput_tokens_per_second": 1000.0}
     same = queue.offer(workloads.work("a", patience=10.0), **asked)
     assert isinstance(same, refusal.Refused)
     assert same.reason == "queue_too_long"
@@ -131,7 +131,7 @@
         queue.push(urgent, now_seconds=now)
         queue.pop(candidates=ANY, now_seconds=now)
     start = queue.estimate_start_seconds(
-        workloads.work("a", at=5.0), service_tokens_per_second=1000.0
+        workloads.work("a", at=5.0), throughput_tokens_per_second=1000.0
     )
     assert 30 < start < 60
 
@@ -139,7 +139,7 @@
 def test_without_throughput_requests_are_refused() -> None:
     queue = build(workloads.work("a"))
     outcome = queue.offer(
-        workloads.work("a"), now_seconds=0.0, service_tokens_per_second=0.0
+        workloads.work("a"), now_seconds=0.0, throughput_tokens_per_second=0.0
     )
     assert isinstance(outcome, refusal.Refused)
     assert outcome.retry_after_seconds is None
--- a/tests/policy/test_fair_share.py
+++ b/tests/policy/test_fair_share.py
@@ -30,7 +30,7 @@
             above = share.exceeds(
                 workspace,
                 1.0,
-                service_tokens_per_second=service,
+                throughput_tokens_per_second=service,
                 now_seconds=now,
             )
             passed[workspace] += not above and now >= 20
@@ -43,7 +43,7 @@
 
     def ask(workspace: str, at: float) -> bool:
         return share.exceeds(
-            workspace, 1.0, service_tokens_per_second=10.0, now_seconds=at
+            workspace, 1.0, throughput_tokens_per_second=10.0, now_seconds=at
         )
 
     for step in range(400):
--- a/tests/policy/test_loads.py
+++ b/tests/policy/test_loads.py
@@ -19,7 +19,7 @@
     assert state is not None
     running = loads.Loads()
     load = loads.Load("e", b, a, "quadro", "cold")
-    endpoints.evicted("e", a, now_seconds=1.0)
+    endpoints.stop_using("e", a, now_seconds=1.0)
     assert running.unclaimed(state) == [a]
     running.begin(load, incarnation="i1", now_seconds=1.0)
     assert running.unclaimed(state) == []
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -50,7 +50,7 @@
         orders = self.decide(*waiting, at=at)
         for order in orders:
             if isinstance(order, placement.Load):
-                self.placement.load_ended(order, now_seconds=at + 0.25)
+                self.placement.load_succeeded(order, now_seconds=at + 0.25)
         return orders
 
     def use(self, adapter: works.AdapterVersion, at: float) -> None:
@@ -72,7 +72,7 @@
     (load,) = placer.decide(*wait_for("A", "A", "A"))
     assert (load.adapter, load.evict, load.reason) == (A, None, "cold")
     assert not placer.decide(*wait_for("A", "A"), at=0.1)
-    placer.placement.load_ended(load, now_seconds=0.25)
+    placer.placement.load_succeeded(load, now_seconds=0.25)
     assert placer.state(load.endpoint).resident == {A}
     assert not placer.decide(*wait_for("A"), at=0.3)
 
@@ -111,7 +111,7 @@
     placer.load(*wait_for("A", "B", "C"))
     here = workloads.work(needs="A")
     placer.endpoints.sent("e", here, now_seconds=1.0)
-    placer.endpoints.pin_elsewhere("e", [B])
+    placer.endpoints.set_used_by_peers("e", [B])
     waiting = wait_for("C", "D")
     assert not placer.decide(*waiting, at=3.0)
     placer.endpoints.finished("e", here.request_id, now_seconds=3.1)
@@ -185,7 +185,7 @@
     placer.endpoints.finished("e", busy["B"].request_id, now_seconds=16.0)
     (load,) = placer.decide(*wait_for("C"), at=16.0)
     assert (load.adapter, load.evict) == (C, B)
-    placer.placement.load_ended(load, now_seconds=16.3)
+    placer.placement.load_succeeded(load, now_seconds=16.3)
     assert placer.state().occupied_slots() == 2
 
 
@@ -216,7 +216,7 @@
     (load,) = placer.decide(at=40.0)
     assert (load.adapter, load.reason) == (A, "hot")
     assert not placer.decide(at=40.1)
-    placer.placement.load_ended(load, now_seconds=40.3)
+    placer.placement.load_succeeded(load, now_seconds=40.3)
     assert not placer.decide(at=40.4)
 
 
@@ -232,7 +232,7 @@
     (load,) = placer.decide(at=1.0)
     assert load.adapter == A
     assert load.endpoint != "e"
-    placer.placement.load_ended(load, now_seconds=1.3)
+    placer.placement.load_succeeded(load, now_seconds=1.3)
     placer.use(A, 2.0)
     assert not placer.decide(at=2.0)
     # Nor is a cold adapter loaded at the slow engine while others have a slot.
@@ -279,8 +279,8 @@
     placer.endpoints.report(workloads.report("e", 0, 0.1, "i2"))
     (again,) = placer.decide(*wait_for("A"), at=0.2)
     assert again == load
-    placer.placement.load_ended(again, now_seconds=0.5)
-    placer.placement.load_ended(load, now_seconds=0.6)
+    placer.placement.load_succeeded(again, now_seconds=0.5)
+    placer.placement.load_succeeded(load, now_seconds=0.6)
     assert placer.budget.left == 1
 
 
@@ -303,7 +303,7 @@
     placer.endpoints.report(workloads.report("e", 0, 10.0, "i2"))
     (load,) = placer.decide(at=10.0, warm_up=True)
     assert (load.adapter, load.reason) == (A, "warm_up")
-    placer.placement.load_ended(load, now_seconds=10.3)
+    placer.placement.load_succeeded(load, now_seconds=10.3)
     # B had a single request, too few for a load without a waiting request.
     assert not placer.decide(at=11.0, warm_up=True)
 
@@ -367,7 +367,7 @@
         elif kind in ("answer", "fail") and pending:
             load, _incarnation, _at = pending.pop(number % len(pending))
             if kind == "answer":
-                placer.placement.load_ended(load, now_seconds=now)
+                placer.placement.load_succeeded(load, now_seconds=now)
             else:
                 placer.placement.load_failed(load, now_seconds=now)
         elif kind == "restart":
--- a/tests/policy/test_retry_budget.py
+++ b/tests/policy/test_retry_budget.py
@@ -39,7 +39,7 @@
     retries = 0
     for step in range(10_000):
         endpoint = f"e{step % 50}"
-        budget.fresh(endpoint, now_seconds=step / 1000)
+        budget.record_first_attempt(endpoint, now_seconds=step / 1000)
         retries += retry(budget, endpoint, step / 1000)
     assert 900 <= retries <= 1_010
     assert counters.value("retries_denied", "fleet_budget") > 0
@@ -48,7 +48,7 @@
 def test_one_failing_endpoint_doesnt_use_up_everyones_retries() -> None:
     budget, counters = build()
     for step in range(1000):
-        budget.fresh(f"e{step % 10}", now_seconds=step / 100)
+        budget.record_first_attempt(f"e{step % 10}", now_seconds=step / 100)
     spent = sum(retry(budget, "e0", 10.0) for _ in range(100))
     assert 10 <= spent <= 11
     assert counters.value("retries_denied", "endpoint_budget") > 0
@@ -72,7 +72,7 @@
     :return: the times of the retries
     """
     limit = retry_budget.FleetLimit(ratio=0.2, slack=430, window_seconds=10.0)
-    allowance = retry_budget.allowance_of(limit, instances)
+    allowance = retry_budget.instance_allowance(limit, instances)
     budgets = [
         retry_budget.RetryBudget(
             counters=telemetry.Counters(), allowance=lambda: allowance
@@ -85,7 +85,7 @@
         at = 4 * step / instances
         budget = rng.choice(budgets)
         endpoint = f"e{rng.randrange(5)}"
-        budget.fresh(endpoint, now_seconds=at)
+        budget.record_first_attempt(endpoint, now_seconds=at)
         if rng.random() < failing and retry(budget, endpoint, at):
             retried.append(at)
     return retried
--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -173,7 +173,7 @@
         above = self.share.exceeds(
             request.workspace,
             800,
-            service_tokens_per_second=1e6,
+            throughput_tokens_per_second=1e6,
             now_seconds=self.now,
         )
         self.overload.check(request, above_share=above, cold=False)
@@ -181,7 +181,7 @@
     def queue_up(self) -> None:
         request = self.request(next(self.held))
         self.queue.offer(
-            request, now_seconds=self.now, service_tokens_per_second=1e6
+            request, now_seconds=self.now, throughput_tokens_per_second=1e6
         )
         self.queue.pop(candidates=[request.needs], now_seconds=self.now)
 
@@ -214,13 +214,13 @@
         above = self.share.exceeds(
             request.workspace,
             800,
-            service_tokens_per_second=1e6,
+            throughput_tokens_per_second=1e6,
             now_seconds=self.now,
         )
         self.overload.check(request, above_share=above, cold=False)
         self.placement.count_arrival(request, now_seconds=self.now)
         self.queue.offer(
-            request, now_seconds=self.now, service_tokens_per_second=1e6
+            request, now_seconds=self.now, throughput_tokens_per_second=1e6
         )
         state = self.endpoints.holders(request.needs)[0]
         popped = self.queue.pop(
