--- a/src/boragefold/bench/capacity_parts.py
+++ b/src/boragefold/bench/capacity_parts.py
@@ -38,14 +38,14 @@
     """
     here, there = (_instance(name) for name in ("here", "there"))
     timers = timing.TimerService(clock=clocks.VirtualClock())
-    office = tickets.TicketOffice(
+    ticket_issuer = tickets.TicketIssuer(
         self_id=here, timers=timers, others=lambda: [there]
     )
     codec = envelope.Codec(kinds=once_messages.KINDS)
     began = time.process_time()
     size = 0
     for number in range(ROUNDS):
-        ticket = office.mint("team/workspace")
+        ticket = ticket_issuer.issue("team/workspace")
         attempt = once_messages.Attempt(here, number)
         answer = once_messages.StoredAnswer(200, "application/json", b"x" * 64)
         bodies = (
--- a/src/boragefold/coordination/once/attempt_handler.py
+++ b/src/boragefold/coordination/once/attempt_handler.py
@@ -11,21 +11,21 @@
     """Receives exactly one decision for each attempt."""
 
     @abc.abstractmethod
-    def go(self, attempt: once_messages.Attempt) -> None:
+    def on_granted(self, attempt: once_messages.Attempt) -> None:
         """Send the request now; every register has recorded the attempt.
 
         :param attempt: to be given to ``finished`` or ``release`` later
         """
 
     @abc.abstractmethod
-    def replay(self, answer: once_messages.StoredAnswer) -> None:
+    def on_replay(self, answer: once_messages.StoredAnswer) -> None:
         """Return the answer of an earlier attempt without running again.
 
         :param answer: the endpoint's answer to the earlier attempt
         """
 
     @abc.abstractmethod
-    def not_run(self, reason: str) -> None:
+    def on_not_run(self, reason: str) -> None:
         """Tell the caller that the ticket hasn't run.
 
         :param reason: ``ticket_sealed``, ``ticket_expired``,
@@ -34,7 +34,7 @@
         """
 
     @abc.abstractmethod
-    def unknown(self, reason: str) -> None:
+    def on_unknown(self, reason: str) -> None:
         """Tell the caller that the ticket may have run.
 
         :param reason: ``already_sent`` or ``registers_unreachable``
--- a/src/boragefold/coordination/once/telling.py
+++ b/src/boragefold/coordination/once/outcome_sender.py
@@ -15,7 +15,7 @@
 OutcomeMessage = once_messages.Release | once_messages.Store
 
 
-class Teller:
+class OutcomeSender:
     """Retries release and store messages, which are both idempotent."""
 
     def __init__(
@@ -34,7 +34,7 @@
         link.subscribe(once_messages.Released, self._on_acknowledged)
         link.subscribe(once_messages.Stored, self._on_acknowledged)
 
-    def tell(self, register: ids.InstanceId, message: OutcomeMessage) -> None:
+    def send(self, register: ids.InstanceId, message: OutcomeMessage) -> None:
         """Start sending an outcome to a register.
 
         :param register: the instance that holds it, possibly this one
@@ -85,5 +85,5 @@
 
 
 __all__ = [
-    "Teller",
+    "OutcomeSender",
 ]
--- a/src/boragefold/coordination/once/asking.py
+++ b/src/boragefold/coordination/once/pending_attempt.py
@@ -7,10 +7,10 @@
 from boragefold.protocol import once_messages
 from boragefold.timing import timers as timing
 
-ASKS_PER_REGISTER = 2
+TRIES_PER_REGISTER = 2
 
 
-class Asking:
+class PendingAttempt:
     """The register that is queried now, and those that granted the attempt.
 
     ``sealing`` tells that the registers are asked to refuse the ticket from
@@ -34,8 +34,8 @@
         self.give_up_at_seconds = give_up_at_seconds
         self.sealing = sealing
         self.register = ticket.first
-        self.asks_left = ASKS_PER_REGISTER
-        self.claimed_at: list[ids.InstanceId] = []
+        self.tries_left = TRIES_PER_REGISTER
+        self.granted_by: list[ids.InstanceId] = []
         self.timer: timing.Subscription | None = None
 
     def move_to(self, register: ids.InstanceId) -> None:
@@ -44,7 +44,7 @@
         :param register: the instance that holds the register
         """
         self.register = register
-        self.asks_left = ASKS_PER_REGISTER
+        self.tries_left = TRIES_PER_REGISTER
 
     def message(self) -> once_messages.Claim | once_messages.Seal:
         """Build the message to the register.
@@ -56,5 +56,5 @@
 
 
 __all__ = [
-    "Asking",
+    "PendingAttempt",
 ]
--- a/src/boragefold/coordination/once/reach.py
+++ b/src/boragefold/coordination/once/reachability.py
@@ -9,7 +9,7 @@
 SUSPECT_SECONDS = 10.0
 
 
-class Reach:
+class Reachability:
     """Remembers which data centres didn't answer lately.
 
     The directory keeps the views of a data centre that is partitioned off.
@@ -21,7 +21,7 @@
         self._timers = timers
         self._silent_at_seconds: dict[str, float] = {}
 
-    def note_silent(self, instance: ids.InstanceId) -> None:
+    def record_timeout(self, instance: ids.InstanceId) -> None:
         """Record that an instance didn't answer.
 
         :param instance: the instance
@@ -29,7 +29,7 @@
         now_seconds = self._timers.now_seconds()
         self._silent_at_seconds[instance.data_centre] = now_seconds
 
-    def note_heard(self, instance: ids.InstanceId) -> None:
+    def record_answer(self, instance: ids.InstanceId) -> None:
         """Record that an instance answered.
 
         :param instance: the instance
@@ -49,6 +49,6 @@
 
 
 __all__ = [
-    "Reach",
+    "Reachability",
     "SUSPECT_SECONDS",
 ]
--- a/src/boragefold/coordination/once/register.py
+++ b/src/boragefold/coordination/once/register.py
@@ -39,12 +39,12 @@
         *,
         link: links.PeerLink,
         timers: timing.TimerService,
-        office: tickets.TicketOffice,
+        ticket_issuer: tickets.TicketIssuer,
         counters: telemetry.Counters,
     ) -> None:
         self._link = link
         self._timers = timers
-        self._office = office
+        self._ticket_issuer = ticket_issuer
         self._counters = counters
         self._records: collections.OrderedDict[str, Record] = (
             collections.OrderedDict()
@@ -116,7 +116,10 @@
             return "foreign"
         if record is not None:
             return self._repeat_verdict(claim, record)
-        if ticket.first == self._link.self_id and self._office.expired(ticket):
+        if (
+            ticket.first == self._link.self_id
+            and self._ticket_issuer.is_expired(ticket)
+        ):
             return "expired"
         if len(self._records) >= MAX_RECORDS:
             return "full"
@@ -136,7 +139,7 @@
         # A restarted process has the same address but none of the records.
         self_id = self._link.self_id
         if ticket.first == self_id:
-            return self._office.minted(ticket)
+            return self._ticket_issuer.is_own(ticket)
         return ticket.second == self_id
 
     def _record(
--- a/src/boragefold/coordination/once/runner.py
+++ b/src/boragefold/coordination/once/runner.py
@@ -5,11 +5,11 @@
 import itertools
 
 from boragefold.coordination import link as links
-from boragefold.coordination.once import asking as askings
 from boragefold.coordination.once import attempt_handler
-from boragefold.coordination.once import reach as reaches
+from boragefold.coordination.once import outcome_sender
+from boragefold.coordination.once import pending_attempt as pending_attempts
+from boragefold.coordination.once import reachability as reachabilities
 from boragefold.coordination.once import register as registers
-from boragefold.coordination.once import telling
 from boragefold.protocol import ids
 from boragefold.protocol import once_messages
 from boragefold.telemetry import counters as telemetry
@@ -37,17 +37,21 @@
         timers: timing.TimerService,
         register: registers.Register,
         counters: telemetry.Counters,
-        reach: reaches.Reach | None = None,
+        reachability: reachabilities.Reachability | None = None,
     ) -> None:
         self._link = link
         self._timers = timers
         self._register = register
-        self._reach = reach or reaches.Reach(timers=timers)
+        self._reachability = reachability or reachabilities.Reachability(
+            timers=timers
+        )
         self._counters = counters
         self._numbers = itertools.count(1)
-        self._asking: dict[once_messages.Attempt, askings.Asking] = {}
+        self._pending: dict[
+            once_messages.Attempt, pending_attempts.PendingAttempt
+        ] = {}
         self._tickets: dict[once_messages.Attempt, once_messages.Ticket] = {}
-        self._teller = telling.Teller(
+        self._outcome_sender = outcome_sender.OutcomeSender(
             link=link, timers=timers, register=register
         )
         link.subscribe(once_messages.ClaimReply, self._on_reply)
@@ -58,7 +62,7 @@
 
         :return: attempts that wait for a register or an endpoint
         """
-        return len(self._asking) + len(self._tickets)
+        return len(self._pending) + len(self._tickets)
 
     def begin(
         self,
@@ -77,7 +81,7 @@
         """
         self._start(ticket, digest, give_up_at_seconds, handler, sealing=False)
 
-    def ask(
+    def query(
         self,
         *,
         ticket: once_messages.Ticket,
@@ -91,41 +95,41 @@
 
         :param ticket: as the caller sent it
         :param give_up_at_seconds: the clock time after which to stop
-        :param handler: receives the outcome; its ``go`` is never called
+        :param handler: receives the outcome, never with ``on_granted``
         """
         self._start(ticket, "", give_up_at_seconds, handler, sealing=True)
 
-    def finished(
+    def store_answer(
         self,
         attempt: once_messages.Attempt,
         answer: once_messages.StoredAnswer,
     ) -> None:
         """Store the answer of an attempt at its registers.
 
-        :param attempt: from ``go``
+        :param attempt: from ``on_granted``
         :param answer: the complete answer of the endpoint
         """
         ticket = self._tickets.pop(attempt)
         store = once_messages.Store(ticket.serial, attempt, answer)
         for register in ticket.registers:
-            self._teller.tell(register, store)
+            self._outcome_sender.send(register, store)
 
     def release(self, attempt: once_messages.Attempt) -> None:
         """Release an attempt of which no byte was sent.
 
         This instance forgets the attempt first, so nothing can send it later.
 
-        :param attempt: from ``go``
+        :param attempt: from ``on_granted``
         """
         ticket = self._tickets.pop(attempt)
         release = once_messages.Release(ticket.serial, attempt)
         for register in ticket.registers:
-            self._teller.tell(register, release)
+            self._outcome_sender.send(register, release)
 
-    def lost(self, attempt: once_messages.Attempt) -> None:
+    def abandon(self, attempt: once_messages.Attempt) -> None:
         """Keep the record of an attempt whose outcome can't be determined.
 
-        :param attempt: from ``go``
+        :param attempt: from ``on_granted``
         """
         self._tickets.pop(attempt, None)
 
@@ -141,7 +145,7 @@
         attempt = once_messages.Attempt(
             self._link.self_id, next(self._numbers)
         )
-        asking = askings.Asking(
+        pending = pending_attempts.PendingAttempt(
             ticket=ticket,
             attempt=attempt,
             digest=digest,
@@ -149,20 +153,20 @@
             give_up_at_seconds=give_up_at_seconds,
             sealing=sealing,
         )
-        self._asking[attempt] = asking
-        self._ask_register(asking)
+        self._pending[attempt] = pending
+        self._ask_register(pending)
 
-    def _ask_register(self, asking: askings.Asking) -> None:
-        asking.asks_left -= 1
-        message = asking.message()
-        if asking.register == self._link.self_id:
+    def _ask_register(self, pending: pending_attempts.PendingAttempt) -> None:
+        pending.tries_left -= 1
+        message = pending.message()
+        if pending.register == self._link.self_id:
             self._ask_own_register(message)
             return
-        asking.timer = self._timers.once(
+        pending.timer = self._timers.once(
             delay_seconds=ASK_TIMEOUT_SECONDS,
-            callback=lambda: self._on_timeout(asking),
+            callback=lambda: self._on_timeout(pending),
         )
-        self._link.send(to=asking.register, body=message)
+        self._link.send(to=pending.register, body=message)
 
     def _ask_own_register(
         self, message: once_messages.Claim | once_messages.Seal
@@ -176,96 +180,108 @@
     def _on_reply(
         self, sender: ids.InstanceId, reply: once_messages.ClaimReply
     ) -> None:
-        asking = self._asking.get(reply.attempt)
-        if asking is None or sender != asking.register:
+        pending = self._pending.get(reply.attempt)
+        if pending is None or sender != pending.register:
             return
-        if asking.timer is not None:
-            asking.timer.cancel()
-        self._reach.note_heard(sender)
+        if pending.timer is not None:
+            pending.timer.cancel()
+        self._reachability.record_answer(sender)
         if reply.verdict == "granted":
-            self._granted(asking)
+            self._granted(pending)
         else:
-            self._refused(asking, reply)
-
-    def _granted(self, asking: askings.Asking) -> None:
-        asking.claimed_at.append(asking.register)
-        second = asking.ticket.second
-        if asking.register == asking.ticket.first and second is not None:
-            asking.move_to(second)
-            self._ask_register(asking)
+            self._refused(pending, reply)
+
+    def _granted(self, pending: pending_attempts.PendingAttempt) -> None:
+        pending.granted_by.append(pending.register)
+        second = pending.ticket.second
+        if pending.register == pending.ticket.first and second is not None:
+            pending.move_to(second)
+            self._ask_register(pending)
             return
-        del self._asking[asking.attempt]
-        self._tickets[asking.attempt] = asking.ticket
+        del self._pending[pending.attempt]
+        self._tickets[pending.attempt] = pending.ticket
         # The process may have been suspended until after the deadline, when
         # the caller has already had another outcome.
-        if self._timers.now_seconds() > asking.give_up_at_seconds:
-            self.release(asking.attempt)
-            self._end_not_run(asking, "deadline")
+        if self._timers.now_seconds() > pending.give_up_at_seconds:
+            self.release(pending.attempt)
+            self._end_not_run(pending, "deadline")
             return
-        asking.handler.go(asking.attempt)
+        pending.handler.on_granted(pending.attempt)
 
     def _refused(
-        self, asking: askings.Asking, reply: once_messages.ClaimReply
+        self,
+        pending: pending_attempts.PendingAttempt,
+        reply: once_messages.ClaimReply,
     ) -> None:
-        self._release_claims(asking)
-        del self._asking[asking.attempt]
+        self._release_claims(pending)
+        del self._pending[pending.attempt]
         if reply.answer is not None and reply.verdict != "mismatch":
             self._counters.add("once_outcomes", "replayed")
-            asking.handler.replay(reply.answer)
+            pending.handler.on_replay(reply.answer)
         elif reply.verdict == "taken":
-            self._end_unknown(asking, "already_sent")
+            self._end_unknown(pending, "already_sent")
         else:
-            self._end_not_run(asking, NOT_RUN_REASONS[reply.verdict])
+            self._end_not_run(pending, NOT_RUN_REASONS[reply.verdict])
 
-    def _on_timeout(self, asking: askings.Asking) -> None:
-        if asking.attempt not in self._asking:
+    def _on_timeout(self, pending: pending_attempts.PendingAttempt) -> None:
+        if pending.attempt not in self._pending:
             return
-        if asking.asks_left > 0:
+        if pending.tries_left > 0:
             self._counters.add("once_asks_repeated", "silence")
-            self._ask_register(asking)
+            self._ask_register(pending)
             return
-        self._reach.note_silent(asking.register)
-        if asking.register == asking.ticket.first:
-            self._first_timed_out(asking)
+        self._reachability.record_timeout(pending.register)
+        if pending.register == pending.ticket.first:
+            self._first_timed_out(pending)
         else:
-            self._second_timed_out(asking)
+            self._second_timed_out(pending)
 
-    def _first_timed_out(self, asking: askings.Asking) -> None:
-        second = asking.ticket.second
+    def _first_timed_out(
+        self, pending: pending_attempts.PendingAttempt
+    ) -> None:
+        second = pending.ticket.second
         if second is None:
-            del self._asking[asking.attempt]
-            self._end_unknown(asking, "registers_unreachable")
+            del self._pending[pending.attempt]
+            self._end_unknown(pending, "registers_unreachable")
             return
         # Nothing can run without the second register, so sealing the ticket
         # there guarantees that it won't run.
-        asking.sealing = True
-        asking.move_to(second)
-        self._ask_register(asking)
-
-    def _second_timed_out(self, asking: askings.Asking) -> None:
-        del self._asking[asking.attempt]
-        if asking.claimed_at:
-            self._release_claims(asking)
-            self._end_not_run(asking, "register_unreachable")
+        pending.sealing = True
+        pending.move_to(second)
+        self._ask_register(pending)
+
+    def _second_timed_out(
+        self, pending: pending_attempts.PendingAttempt
+    ) -> None:
+        del self._pending[pending.attempt]
+        if pending.granted_by:
+            self._release_claims(pending)
+            self._end_not_run(pending, "register_unreachable")
         else:
-            self._end_unknown(asking, "registers_unreachable")
+            self._end_unknown(pending, "registers_unreachable")
 
-    def _release_claims(self, asking: askings.Asking) -> None:
+    def _release_claims(
+        self, pending: pending_attempts.PendingAttempt
+    ) -> None:
         # The second register is released too, because it may have granted the
         # attempt in a reply that was lost, and would then refuse a repeat.
-        if not asking.claimed_at:
+        if not pending.granted_by:
             return
-        release = once_messages.Release(asking.ticket.serial, asking.attempt)
-        for register in asking.ticket.registers:
-            self._teller.tell(register, release)
+        release = once_messages.Release(pending.ticket.serial, pending.attempt)
+        for register in pending.ticket.registers:
+            self._outcome_sender.send(register, release)
 
-    def _end_not_run(self, asking: askings.Asking, reason: str) -> None:
+    def _end_not_run(
+        self, pending: pending_attempts.PendingAttempt, reason: str
+    ) -> None:
         self._counters.add("once_outcomes", reason)
-        asking.handler.not_run(reason)
+        pending.handler.on_not_run(reason)
 
-    def _end_unknown(self, asking: askings.Asking, reason: str) -> None:
+    def _end_unknown(
+        self, pending: pending_attempts.PendingAttempt, reason: str
+    ) -> None:
         self._counters.add("once_outcomes", reason)
-        asking.handler.unknown(reason)
+        pending.handler.on_unknown(reason)
 
 
 __all__ = [
--- a/src/boragefold/coordination/once/tickets.py
+++ b/src/boragefold/coordination/once/tickets.py
@@ -13,7 +13,7 @@
 import msgspec
 import xxhash
 
-from boragefold.coordination.once import reach as reaches
+from boragefold.coordination.once import reachability as reachabilities
 from boragefold.protocol import ids
 from boragefold.protocol import once_messages
 from boragefold.timing import timers as timing
@@ -26,13 +26,13 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Unreadable:
+class InvalidTicket:
     """The text isn't a ticket that this system issues."""
 
     remedy: str = "fetch a ticket with POST /v1/tickets and send it unchanged"
 
 
-class TicketOffice:
+class TicketIssuer:
     """Issues the tickets whose first register is this instance."""
 
     def __init__(
@@ -41,7 +41,7 @@
         self_id: ids.InstanceId,
         timers: timing.TimerService,
         others: Callable[[], list[ids.InstanceId]],
-        reach: reaches.Reach | None = None,
+        reachability: reachabilities.Reachability | None = None,
         new_serial: Callable[[], str] = lambda: secrets.token_hex(
             SERIAL_BYTES
         ),
@@ -49,12 +49,14 @@
         self._self_id = self_id
         self._timers = timers
         self._others = others
-        self._reach = reach or reaches.Reach(timers=timers)
+        self._reachability = reachability or reachabilities.Reachability(
+            timers=timers
+        )
         self._new_serial = new_serial
         # New in each process, so tickets of an earlier process aren't valid.
         self._secret = secrets.token_bytes(SEAL_BYTES)
 
-    def mint(self, workspace: str) -> once_messages.Ticket:
+    def issue(self, workspace: str) -> once_messages.Ticket:
         """Issue a ticket.
 
         :param workspace: the only workspace that may use it
@@ -71,7 +73,7 @@
         )
         return ticket._replace(seal=self._seal(ticket))
 
-    def minted(self, ticket: once_messages.Ticket) -> bool:
+    def is_own(self, ticket: once_messages.Ticket) -> bool:
         """Return whether this process issued a ticket.
 
         :param ticket: as the caller sent it
@@ -80,7 +82,7 @@
         expected = self._seal(ticket._replace(seal=b""))
         return hmac.compare_digest(expected, ticket.seal)
 
-    def expired(self, ticket: once_messages.Ticket) -> bool:
+    def is_expired(self, ticket: once_messages.Ticket) -> bool:
         """Return whether a ticket of this process is too old to run.
 
         :param ticket: a ticket that this process issued
@@ -93,7 +95,9 @@
         here = self._self_id.data_centre
         others = self._others()
         answering = [
-            other for other in others if not self._reach.is_suspect(other)
+            other
+            for other in others
+            if not self._reachability.is_suspect(other)
         ]
         # The loss of one data centre must not take both registers.
         elsewhere = [each for each in answering if each.data_centre != here]
@@ -114,7 +118,7 @@
         ).digest()
 
 
-def write(ticket: once_messages.Ticket) -> str:
+def encode(ticket: once_messages.Ticket) -> str:
     """Encode a ticket for callers.
 
     :param ticket: the ticket
@@ -124,27 +128,27 @@
     return PREFIX + base64.urlsafe_b64encode(data).decode().rstrip("=")
 
 
-def read(text: str) -> once_messages.Ticket | Unreadable:
+def decode(text: str) -> once_messages.Ticket | InvalidTicket:
     """Decode a ticket that a caller sent.
 
     :param text: the value of ``Idempotency-Key``
-    :return: the unverified ticket, or ``Unreadable`` if the text is none
+    :return: the unverified ticket, or ``InvalidTicket`` if the text is none
     """
     if not text.startswith(PREFIX):
-        return Unreadable()
+        return InvalidTicket()
     encoded = text[len(PREFIX) :]
     padding = "=" * (-len(encoded) % 4)
     try:
         data = base64.urlsafe_b64decode(encoded + padding)
         return msgspec.msgpack.decode(data, type=once_messages.Ticket)
     except (binascii.Error, ValueError, msgspec.MsgspecError):
-        return Unreadable()
+        return InvalidTicket()
 
 
 __all__ = [
     "TICKET_LIFETIME_SECONDS",
-    "TicketOffice",
-    "Unreadable",
-    "read",
-    "write",
+    "TicketIssuer",
+    "InvalidTicket",
+    "decode",
+    "encode",
 ]
--- a/src/boragefold/entry/cluster_services.py
+++ b/src/boragefold/entry/cluster_services.py
@@ -11,7 +11,7 @@
 from boragefold.coordination.configuration import service as configuration
 import boragefold.coordination.instance_list as instance_lists
 import boragefold.coordination.load_budget as load_budgets
-from boragefold.coordination.once import reach as reaches
+from boragefold.coordination.once import reachability as reachabilities
 from boragefold.coordination.once import register as registers
 from boragefold.coordination.once import runner as runners
 from boragefold.coordination.once import tickets
@@ -92,22 +92,25 @@
         self.load_budget = load_budgets.LeasedLoadBudget(
             rates=self.rates, counters=counters
         )
-        reach = reaches.Reach(timers=timers)
-        self.office = tickets.TicketOffice(
+        reachability = reachabilities.Reachability(timers=timers)
+        self.ticket_issuer = tickets.TicketIssuer(
             self_id=link.self_id,
             timers=timers,
             others=self.others,
-            reach=reach,
+            reachability=reachability,
         )
         self.register = registers.Register(
-            link=link, timers=timers, office=self.office, counters=counters
+            link=link,
+            timers=timers,
+            ticket_issuer=self.ticket_issuer,
+            counters=counters,
         )
         self.runner = runners.Runner(
             link=link,
             timers=timers,
             register=self.register,
             counters=counters,
-            reach=reach,
+            reachability=reachability,
         )
         self.lister = list_polling.ListPoller(
             reader=reader, timers=timers, counters=counters
--- a/src/boragefold/entry/instance.py
+++ b/src/boragefold/entry/instance.py
@@ -183,7 +183,7 @@
         tickets = ticket_handler.TicketHandler(
             timers=self.timers,
             counters=self.counters,
-            office=together.office,
+            ticket_issuer=together.ticket_issuer,
             runner=together.runner,
             new_request_id=new_request_id,
         )
--- a/src/boragefold/entry/ticket_handler.py
+++ b/src/boragefold/entry/ticket_handler.py
@@ -32,13 +32,13 @@
         *,
         timers: timing.TimerService,
         counters: telemetry.Counters,
-        office: tickets.TicketOffice,
+        ticket_issuer: tickets.TicketIssuer,
         runner: runners.Runner,
         new_request_id: Callable[[], str],
     ) -> None:
         self._timers = timers
         self._counters = counters
-        self._office = office
+        self._ticket_issuer = ticket_issuer
         self._runner = runner
         self._new_request_id = new_request_id
 
@@ -79,7 +79,7 @@
             answers.refuse(exchange, ticket, request_id)
             return
         handler = self._once_call(exchange, request_id, lambda done: None)
-        self._runner.ask(
+        self._runner.query(
             ticket=ticket,
             give_up_at_seconds=self._timers.now_seconds()
             + QUERY_TIMEOUT_SECONDS,
@@ -118,7 +118,9 @@
         :param caller: owner of the new ticket
         :return: the ticket in its text form
         """
-        return tickets.write(self._office.mint(caller.settings.workspace))
+        return tickets.encode(
+            self._ticket_issuer.issue(caller.settings.workspace)
+        )
 
     def read_ticket(
         self, text: str, caller: identity.Caller
@@ -129,8 +131,8 @@
         :param caller: the caller, who must own the ticket
         :return: the ticket, or the error response
         """
-        ticket = tickets.read(text)
-        if isinstance(ticket, tickets.Unreadable):
+        ticket = tickets.decode(text)
+        if isinstance(ticket, tickets.InvalidTicket):
             return outcomes.NotRun(
                 status=STATUS_PRECONDITION_REQUIRED,
                 reason="ticket_required",
--- a/src/boragefold/entry/ticketed_call.py
+++ b/src/boragefold/entry/ticketed_call.py
@@ -64,14 +64,14 @@
         self._start_call = start_call
         self._refused = refused
 
-    def go(self, attempt: once_messages.Attempt) -> None:
+    def on_granted(self, attempt: once_messages.Attempt) -> None:
         """Send the call to the service.
 
         :param attempt: the attempt, which both registers have recorded
         """
         self._start_call(lambda result: self._on_result(attempt, result))
 
-    def replay(self, answer: once_messages.StoredAnswer) -> None:
+    def on_replay(self, answer: once_messages.StoredAnswer) -> None:
         """Respond with the stored result of an earlier attempt.
 
         :param answer: the stored response
@@ -83,7 +83,7 @@
         content_type = ("Content-Type", answer.content_type)
         self._exchange.reply(answer.status, [content_type, *headers], body)
 
-    def not_run(self, reason: str) -> None:
+    def on_not_run(self, reason: str) -> None:
         """Respond that the call did not run.
 
         :param reason: why it did not run
@@ -99,7 +99,7 @@
         )
         answers.refuse(self._exchange, refusal, self._request_id)
 
-    def unknown(self, reason: str) -> None:
+    def on_unknown(self, reason: str) -> None:
         """Respond that it is unknown whether the call ran.
 
         :param reason: why it is unknown
@@ -119,10 +119,10 @@
     ) -> None:
         if isinstance(result, service_call.NotSent):
             self._runner.release(attempt)
-            self.not_run("service_unreachable")
+            self.on_not_run("service_unreachable")
         elif isinstance(result, service_call.AnswerLost):
-            self._runner.lost(attempt)
-            self.unknown("answer_lost")
+            self._runner.abandon(attempt)
+            self.on_unknown("answer_lost")
         else:
             self._finish(attempt, result)
 
@@ -137,7 +137,7 @@
         stored = once_messages.StoredAnswer(
             answer.status, content_type, answer.body
         )
-        self._runner.finished(attempt, stored)
+        self._runner.store_answer(attempt, stored)
         headers = answers.outcome_headers("ran", "", self._request_id)
         self._exchange.reply(
             answer.status,
--- a/tests/coordination/once/test_runner.py
+++ b/tests/coordination/once/test_runner.py
@@ -8,7 +8,7 @@
 import pytest
 
 from boragefold.coordination.once import attempt_handler
-from boragefold.coordination.once import reach as reaches
+from boragefold.coordination.once import reachability as reachabilities
 from boragefold.coordination.once import register as registers
 from boragefold.coordination.once import runner as runners
 from boragefold.coordination.once import tickets
@@ -31,9 +31,9 @@
         self.answers = True
         counters = telemetry.Counters()
         self.peers = []
-        reach = reaches.Reach(timers=self.node.timers)
-        self.office = tickets.TicketOffice(
-            reach=reach,
+        reachability = reachabilities.Reachability(timers=self.node.timers)
+        self.ticket_issuer = tickets.TicketIssuer(
+            reachability=reachability,
             self_id=self.node.self_id,
             timers=self.node.timers,
             others=lambda: [p.node.self_id for p in self.peers if p != self],
@@ -42,7 +42,7 @@
         register = registers.Register(
             link=self.node.link,
             timers=self.node.timers,
-            office=self.office,
+            ticket_issuer=self.ticket_issuer,
             counters=counters,
         )
         self.runner = runners.Runner(
@@ -50,7 +50,7 @@
             timers=self.node.timers,
             register=register,
             counters=counters,
-            reach=reach,
+            reachability=reachability,
         )
 
     def begin(self, ticket, digest="d", give_up_seconds=30.0):
@@ -67,7 +67,7 @@
     def ask(self, ticket):
         handler = Handler(self, ticket)
         now_seconds = self.node.timers.now_seconds()
-        self.runner.ask(
+        self.runner.query(
             ticket=ticket,
             give_up_at_seconds=now_seconds + 30.0,
             handler=handler,
@@ -81,26 +81,26 @@
         self.ticket = ticket
         self.outcome = None
 
-    def go(self, attempt):
+    def on_granted(self, attempt):
         assert not self.entry.node.dead
         self.entry.runs.append(self.ticket.serial)
         self.outcome = "ran"
         if self.entry.answers:
-            self.entry.runner.finished(attempt, ANSWER)
+            self.entry.runner.store_answer(attempt, ANSWER)
         else:
-            self.entry.runner.lost(attempt)
+            self.entry.runner.abandon(attempt)
             self.outcome = "unknown"
 
-    def replay(self, answer):
+    def on_replay(self, answer):
         self.outcome = "replayed"
 
-    def not_run(self, reason):
+    def on_not_run(self, reason):
         # "request_differs" refers to another request than the one that ran.
         ran = self.ticket.serial in self.entry.runs
         assert not ran or reason == "request_differs"
         self.outcome = f"not_run:{reason}"
 
-    def unknown(self, reason):
+    def on_unknown(self, reason):
         self.outcome = f"unknown:{reason}"
 
 
@@ -125,7 +125,7 @@
     # A caller sends a payment, loses its connection and repeats the request,
     # which the load balancer routes to an instance that has no state of it.
     net, entries, runs = fleet
-    ticket = entries[0].office.mint("rights")
+    ticket = entries[0].ticket_issuer.issue("rights")
     first = entries[1].begin(ticket)
     net.run_for(1)
     repeat = entries[4].begin(ticket)
@@ -139,7 +139,7 @@
     # After a payment ran, one of the instances involved is killed and the
     # caller repeats the request: it must neither run again nor be refused.
     net, entries, runs = fleet
-    ticket = entries[0].office.mint("rights")
+    ticket = entries[0].ticket_issuer.issue("rights")
     runner = (
         entries[2]
         if ticket.second != entries[2].node.self_id
@@ -164,7 +164,7 @@
     # An instance issues a ticket and is killed before its use. The caller is
     # told "not run", so a delayed first attempt must not run afterwards.
     net, entries, runs = fleet
-    ticket = entries[0].office.mint("rights")
+    ticket = entries[0].ticket_issuer.issue("rights")
     second = by_id(entries, ticket.second)
     late = next(e for e in entries[1:] if e is not second)
     net.pause(late.node)
@@ -185,7 +185,7 @@
     # The runner is suspended between the registers' replies and the send. Its
     # caller has given up since and may have paid in another way.
     net, entries, runs = fleet
-    ticket = entries[0].office.mint("rights")
+    ticket = entries[0].ticket_issuer.issue("rights")
     handler = entries[0].begin(ticket, give_up_seconds=10.0)
     net.pause(entries[0].node)
     net.run_for(3600)
@@ -199,7 +199,7 @@
     # Two data centres are partitioned and the caller repeats its request on
     # both sides. A side that can't reach both registers must not run it.
     net, entries, runs = fleet
-    ticket = entries[0].office.mint("rights")
+    ticket = entries[0].ticket_issuer.issue("rights")
     net.is_cut = lambda a, b: a.data_centre != b.data_centre
     one = entries[1].begin(ticket)
     second = by_id(entries, ticket.second)
@@ -223,7 +223,7 @@
     )
     outcomes = []
     for _ in range(4):
-        handler = entries[0].begin(entries[0].office.mint("rights"))
+        handler = entries[0].begin(entries[0].ticket_issuer.issue("rights"))
         net.run_for(2)
         outcomes.append(handler.outcome)
     assert outcomes.count("ran") >= 2
@@ -234,7 +234,7 @@
 
 def test_a_send_without_answer_is_unknown_everywhere(fleet):
     net, entries, runs = fleet
-    ticket = entries[0].office.mint("rights")
+    ticket = entries[0].ticket_issuer.issue("rights")
     entries[0].answers = False
     entries[0].begin(ticket)
     net.run_for(1)
@@ -248,7 +248,7 @@
 
 def test_another_request_can_not_use_the_ticket(fleet):
     net, entries, runs = fleet
-    ticket = entries[0].office.mint("rights")
+    ticket = entries[0].ticket_issuer.issue("rights")
     entries[0].begin(ticket, digest="pay 10")
     net.run_for(1)
     other = entries[1].begin(ticket, digest="pay 20")
@@ -260,7 +260,7 @@
     # A new process replaces the first register at the same address. It has no
     # records, so a grant from it would run the payment again.
     net, entries, runs = fleet
-    ticket = entries[0].office.mint("rights")
+    ticket = entries[0].ticket_issuer.issue("rights")
     entries[2].begin(ticket)
     net.run_for(1)
     net.kill(entries[0].node)
@@ -318,7 +318,7 @@
 
     def mint(self, entry):
         if not entry.node.paused:
-            self.tickets.append(entry.office.mint("rights"))
+            self.tickets.append(entry.ticket_issuer.issue("rights"))
 
     def begin(self, entry):
         if self.tickets and not entry.node.paused:
