--- a/src/boragefold/coordination/fleet/engine_changes.py
+++ b/src/boragefold/coordination/fleet/engine_diffs.py
@@ -20,7 +20,7 @@
 Item = TypeVar("Item", bound=Hashable)
 
 
-def between(
+def diff(
     before: Engines, after: Engines
 ) -> tuple[messages.EngineChange, ...] | None:
     """Compute the difference between two reports on an owner's engines.
@@ -39,7 +39,7 @@
     )
 
 
-def applied(
+def patch(
     engines: Engines, changes: Sequence[messages.EngineChange]
 ) -> Engines | None:
     """Apply a difference to a report on an owner's engines.
@@ -135,6 +135,6 @@
 
 
 __all__ = [
-    "applied",
-    "between",
+    "diff",
+    "patch",
 ]
--- a/src/boragefold/coordination/fleet/fencing_numbers.py
+++ b/src/boragefold/coordination/fleet/fencing_numbers.py
@@ -20,7 +20,7 @@
 ADDRESS_BITS = 10
 
 
-class Counted(NamedTuple):
+class OrderCount(NamedTuple):
     """An engine's order count, and the start of the engine that it is of."""
 
     born_milliseconds: int
@@ -44,7 +44,7 @@
     return ((position << ADDRESS_BITS) | low_bits) % (1 << GIVER_BITS)
 
 
-def fence(counted: Counted | None, *, giver: int) -> int:
+def fence(counted: OrderCount | None, *, giver: int) -> int:
     """Compute the fencing token of an order.
 
     :param counted: the order count that the order expects; None before the
@@ -64,8 +64,8 @@
 
 
 __all__ = [
-    "Counted",
     "GIVER_BITS",
+    "OrderCount",
     "fence",
     "giver_number",
 ]
--- a/src/boragefold/coordination/fleet/awaited.py
+++ b/src/boragefold/coordination/fleet/heartbeat_deadlines.py
@@ -11,7 +11,7 @@
 AVOID_HUB_SECONDS = 8.0
 
 
-class Awaited:
+class HeartbeatDeadlines:
     """The time of the last heartbeat from each instance that owes one.
 
     An instance that this one sends heartbeats to is expected to reply in kind.
@@ -96,5 +96,5 @@
 
 
 __all__ = [
-    "Awaited",
+    "HeartbeatDeadlines",
 ]
--- a/src/boragefold/coordination/fleet/routes.py
+++ b/src/boragefold/coordination/fleet/heartbeat_targets.py
@@ -17,7 +17,7 @@
 REFRESH_SECONDS = 1.0
 
 
-class Chosen(NamedTuple):
+class HeartbeatTargets(NamedTuple):
     """The targets of heartbeats, and whether this instance is a hub.
 
     An instance that replaces an overdue hub forwards heartbeats at once, but
@@ -25,12 +25,12 @@
     moved with each late heartbeat, amounts in flight would be lost.
     """
 
-    targets: tuple[str, ...]
+    addresses: tuple[str, ...]
     is_hub: bool
     counts: bool
 
 
-class Routes:
+class TargetChooser:
     """Chooses the hubs that an instance sends its heartbeats to."""
 
     def __init__(
@@ -49,10 +49,10 @@
         self._self_id = self_id
         self._members = members
         self._timers = timers
-        self._chosen = Chosen((), False, False)
+        self._chosen = HeartbeatTargets((), False, False)
         self._chosen_inputs: tuple[object, ...] = ()
 
-    def choose(self, own: messages.Beat) -> Chosen:
+    def choose(self, own: messages.Beat) -> HeartbeatTargets:
         """Choose the targets of the next heartbeat.
 
         :param own: this instance's own heartbeat
@@ -92,7 +92,9 @@
             )
         ]
 
-    def _choose(self, own: messages.Beat, late: frozenset[str]) -> Chosen:
+    def _choose(
+        self, own: messages.Beat, late: frozenset[str]
+    ) -> HeartbeatTargets:
         own_candidate = hubs.Candidate(
             self._self_id.address,
             self._self_id.data_centre,
@@ -109,7 +111,7 @@
         ):
             uplinks = hubs.uplinks(own_candidate.address, local, late=late)
             # The last instance of a data centre tells other hubs as it leaves.
-            return Chosen(
+            return HeartbeatTargets(
                 tuple(uplinks) or self._remote_hubs(late), False, False
             )
         # Only hubs need to know the hubs of other data centres.
@@ -121,7 +123,7 @@
         targets = dict.fromkeys(addresses)
         targets.pop(own_candidate.address, None)
         counts = own_candidate in confirmed.get(own_candidate.data_centre, [])
-        return Chosen(tuple(targets), True, counts)
+        return HeartbeatTargets(tuple(targets), True, counts)
 
     def _remote_hubs(self, late: frozenset[str]) -> tuple[str, ...]:
         others = self._members.hub_candidates()
@@ -138,6 +140,6 @@
 
 
 __all__ = [
-    "Chosen",
-    "Routes",
+    "HeartbeatTargets",
+    "TargetChooser",
 ]
--- a/src/boragefold/coordination/fleet/heartbeats.py
+++ b/src/boragefold/coordination/fleet/heartbeats.py
@@ -8,12 +8,12 @@
 import itertools
 import random
 
+from boragefold.coordination.fleet import heartbeat_targets
 from boragefold.coordination.fleet import hubs
 from boragefold.coordination.fleet import member as member_module
 from boragefold.coordination.fleet import members as members_module
 from boragefold.coordination.fleet import rate_messages
 from boragefold.coordination.fleet import reports
-from boragefold.coordination.fleet import routes as routes_module
 import boragefold.coordination.link as links
 from boragefold.protocol import ids
 from boragefold.protocol import peer_messages as messages
@@ -63,7 +63,7 @@
         self._compose = compose
         self._rng = rng
         self._rates = rates
-        self._routes = routes_module.Routes(
+        self._target_chooser = heartbeat_targets.TargetChooser(
             self_id=link.self_id, members=members, timers=timers
         )
         numbering = itertools.count()
@@ -122,18 +122,18 @@
         """Send a heartbeat at once."""
         own = self._compose()
         self._sent_state = member_module.news_of(own)
-        routes = self._routes.choose(own)
-        self._is_hub = routes.is_hub
-        self._members.awaited.await_from(
-            routes.targets, silent_seconds=self._members.silent_seconds()
+        targets = self._target_chooser.choose(own)
+        self._is_hub = targets.is_hub
+        self._members.deadlines.await_from(
+            targets.addresses, silent_seconds=self._members.silent_seconds()
         )
-        followers = self._routes.followers(routes.targets)
+        followers = self._target_chooser.followers(targets.addresses)
         self._has_followers = bool(followers)
         # After listing the followers, which may find a newly silent instance.
         self._forwarded_version = self._members.news_version
         lacks = {*self._members.lacks(), *self._rates.lacks()}
         heartbeat = messages.Heartbeat(own, lacks=tuple(sorted(lacks)))
-        self._send_to_hubs(heartbeat, routes, followers)
+        self._send_to_hubs(heartbeat, targets, followers)
         if followers:
             self._send_to_followers(heartbeat, followers)
 
@@ -148,18 +148,20 @@
     def _send_to_hubs(
         self,
         heartbeat: messages.Heartbeat,
-        routes: routes_module.Chosen,
+        targets: heartbeat_targets.HeartbeatTargets,
         followers: list[member_module.Member],
     ) -> None:
         heartbeat = heartbeat._replace(
-            account=self._rates.compose(routes),
+            account=self._rates.compose(targets),
             entry=self._rates.entry(),
             to_hub=True,
         )
         if not followers:
-            self._send(routes.targets, heartbeat)
+            self._send(targets.addresses, heartbeat)
             return
-        receivers = [self._members.identity(each) for each in routes.targets]
+        receivers = [
+            self._members.identity(each) for each in targets.addresses
+        ]
         for report, chosen in self._hub_reports.write(
             followers, receivers, now_seconds=self._timers.now_seconds()
         ):
--- a/src/boragefold/coordination/fleet/members.py
+++ b/src/boragefold/coordination/fleet/members.py
@@ -14,11 +14,11 @@
 
 import xxhash
 
-from boragefold.coordination.fleet import awaited
+from boragefold.coordination.fleet import heartbeat_deadlines
 from boragefold.coordination.fleet import hub_reports
 from boragefold.coordination.fleet import hubs
 from boragefold.coordination.fleet import member as member_module
-from boragefold.coordination.fleet import told_parts
+from boragefold.coordination.fleet import state_merge
 from boragefold.protocol import ids
 from boragefold.protocol import peer_messages as messages
 from boragefold.timing import timers as timing
@@ -54,7 +54,7 @@
         self._started_at_seconds = timers.now_seconds()
         self._members: dict[str, member_module.Member] = {}
         self._hub_reports = hub_reports.HubReports()
-        self.awaited = awaited.Awaited(timers=timers)
+        self.deadlines = heartbeat_deadlines.HeartbeatDeadlines(timers=timers)
         self._on_beat: list[
             Callable[[ids.InstanceId, messages.Beat], None]
         ] = []
@@ -231,7 +231,7 @@
             for member in (*self.reachable(), *new)
             if member.instance.data_centre
             and data_centre in (None, member.instance.data_centre)
-            and not self.awaited.failed_lately(member.instance.address)
+            and not self.deadlines.failed_lately(member.instance.address)
             and not (member.beat is not None and member.beat.leaving)
         ]
 
@@ -240,7 +240,7 @@
 
         :return: their addresses
         """
-        return self.awaited.late(
+        return self.deadlines.late(
             beyond_seconds=LATE_BEATS * self.beat_seconds()
         )
 
@@ -296,7 +296,7 @@
             sorted(
                 address
                 for address in self._silent
-                if self.awaited.is_awaited(address)
+                if self.deadlines.is_awaited(address)
             )
         )
 
@@ -348,7 +348,7 @@
         """
         member = self.know(sender)
         now_seconds = self._timers.now_seconds()
-        if member is None or told_parts.is_late_word(
+        if member is None or state_merge.is_late_word(
             member, sender, beat, now_seconds=now_seconds
         ):
             return
@@ -360,11 +360,11 @@
         member.heard_at_seconds = now_seconds
         if follows:
             member.follows_at_seconds = now_seconds
-        self.awaited.heard(sender.address)
+        self.deadlines.heard(sender.address)
         if beat is None:
             return
         before = member.beat
-        if told_parts.take_beat(member, beat, now_seconds=now_seconds):
+        if state_merge.take_beat(member, beat, now_seconds=now_seconds):
             self._count_change(before, member)
         if sender.address not in self._reachable:
             self._reachable_until_seconds = -math.inf
@@ -415,13 +415,13 @@
         now_seconds: float,
     ) -> None:
         member = self.know(instance)
-        if member is None or not told_parts.is_current(
+        if member is None or not state_merge.is_current(
             member, instance, told, now_seconds=now_seconds
         ):
             return
         self._replace_incarnation(member, instance)
         before = member.beat
-        if told_parts.take_told(member, told, now_seconds=now_seconds):
+        if state_merge.take_told(member, told, now_seconds=now_seconds):
             self._count_change(before, member)
 
     def _count_change(
@@ -445,7 +445,7 @@
         if before.incarnation == instance.incarnation:
             return
         member.renew(instance)
-        self.awaited.renewed(instance.address)
+        self.deadlines.renewed(instance.address)
         self._reachable_until_seconds = -math.inf
         if before.incarnation:
             for callback in self._on_gone:
--- a/src/boragefold/coordination/fleet/order_leases.py
+++ b/src/boragefold/coordination/fleet/order_leases.py
@@ -15,10 +15,10 @@
 import math
 import random
 
-from boragefold.coordination.fleet import electorate as electorates
 from boragefold.coordination.fleet import lease_voter
 from boragefold.coordination.fleet import order_lease
 from boragefold.coordination.fleet import voted_lease
+from boragefold.coordination.fleet import voter_sets
 import boragefold.coordination.link as links
 from boragefold.protocol import ids
 from boragefold.protocol import order_lease_messages as messages
@@ -36,7 +36,7 @@
 NO_MAJORITY_STEP_SECONDS = 4.0
 
 
-class OrderLeases(voted_lease.Ballot):
+class OrderLeases(voted_lease.VoterClient):
     """The leases of one instance, and its votes for other instances."""
 
     def __init__(
@@ -44,8 +44,8 @@
         *,
         link: links.PeerLink,
         timers: timing.TimerService,
-        voters: Callable[[str], electorates.Electorate],
-        majority_unheard_seconds: Callable[[electorates.Electorate], float],
+        voters: Callable[[str], voter_sets.VoterSet],
+        majority_unheard_seconds: Callable[[voter_sets.VoterSet], float],
         rng: random.Random,
         log: decision_log.DecisionLog,
         started_at_seconds: float,
@@ -96,7 +96,7 @@
             lease = voted_lease.VotedLease(
                 engine=engine,
                 data_centre=data_centre,
-                ballot=self,
+                voter_client=self,
                 now_seconds=self._timers.now_seconds,
                 note=functools.partial(self._log_round, engine),
             )
@@ -123,13 +123,13 @@
         :return: the round, possibly decided by this instance's own vote
         """
         now_seconds = self._timers.now_seconds()
-        electorate = self._voters(data_centre)
-        everybody = everybody or not electorate.near_heard
+        voter_set = self._voters(data_centre)
+        everybody = everybody or not voter_set.near_heard
         round_ = voted_lease.Round(
             number=number,
             sent_at_seconds=now_seconds,
-            electorate=electorate,
-            asked=tuple(self._other_voters(electorate, everybody=everybody)),
+            voter_set=voter_set,
+            asked=tuple(self._other_voters(voter_set, everybody=everybody)),
         )
         # This instance's own promise binds it even if it is not a voter.
         self_id = self._link.self_id
@@ -200,10 +200,10 @@
         return self._rng.uniform(*RETRY_SECONDS)
 
     def _other_voters(
-        self, electorate: electorates.Electorate, *, everybody: bool
+        self, voter_set: voter_sets.VoterSet, *, everybody: bool
     ) -> Iterator[ids.InstanceId]:
         # All voters of the engine's data centre together are a majority.
-        voters = electorate.voters if everybody else electorate.near
+        voters = voter_set.voters if everybody else voter_set.near
         return (voter for voter in voters if voter != self._link.self_id)
 
     def _handle_ask(
@@ -251,8 +251,8 @@
             "order_lease",
             engine=engine,
             number=round_.number,
-            near=[voter.address for voter in round_.electorate.near],
-            far=[voter.address for voter in round_.electorate.far],
+            near=[voter.address for voter in round_.voter_set.near],
+            far=[voter.address for voter in round_.voter_set.far],
             asked=len(round_.asked),
             voted=sorted(voter.address for voter in round_.voted),
             others_seconds=(
--- a/src/boragefold/coordination/fleet/order_turns.py
+++ b/src/boragefold/coordination/fleet/order_turns.py
@@ -21,8 +21,8 @@
 
 import math
 
-from boragefold.coordination.fleet import doubted_orders
 from boragefold.coordination.fleet import fencing_numbers
+from boragefold.coordination.fleet import unanswered_orders
 
 # A turn begins after the count has been constant for this time. By then claims
 # have reached all reachable instances, and reports show the orders of another
@@ -74,10 +74,10 @@
             started_at_seconds + lease_seconds + START_MARGIN_SECONDS
         )
         self._giver = giver
-        self._counted: fencing_numbers.Counted | None = None
+        self._counted: fencing_numbers.OrderCount | None = None
         self._certain = False
-        self._unanswered = doubted_orders.DoubtedOrders()
-        self._explained: tuple[doubted_orders.Doubt, ...] = ()
+        self._unanswered = unanswered_orders.UnansweredOrders()
+        self._explained: tuple[unanswered_orders.UnansweredOrder, ...] = ()
         self._refused_at_seconds = -math.inf
         self._in_flight = False
         self._in_flight_from_earlier_turn = False
@@ -151,7 +151,7 @@
         return len(self._unanswered)
 
     @property
-    def explained(self) -> tuple[doubted_orders.Doubt, ...]:
+    def explained(self) -> tuple[unanswered_orders.UnansweredOrder, ...]:
         """List the unanswered orders that the last report showed as accepted.
 
         :return: the orders to which the rise of the count was attributed
@@ -275,7 +275,9 @@
         self._in_flight = False
         self._certain = False
         self._unanswered.add(
-            doubted_orders.Doubt(order, now_seconds - age_seconds),
+            unanswered_orders.UnansweredOrder(
+                order, now_seconds - age_seconds
+            ),
             of_this_turn=not self._in_flight_from_earlier_turn,
             now_seconds=now_seconds,
         )
@@ -300,7 +302,7 @@
 
     def reported(
         self,
-        counted: fencing_numbers.Counted,
+        counted: fencing_numbers.OrderCount,
         *,
         busy: bool = False,
         age_seconds: float = 0.0,
@@ -352,7 +354,7 @@
             self._explained = settled
         return foreign
 
-    def _is_behind(self, counted: fencing_numbers.Counted) -> bool:
+    def _is_behind(self, counted: fencing_numbers.OrderCount) -> bool:
         # The report predates the last order, or the engine has restarted.
         return counted.orders < self.expected
 
@@ -363,8 +365,8 @@
 
     def _observe_count(
         self,
-        before: fencing_numbers.Counted | None,
-        counted: fencing_numbers.Counted,
+        before: fencing_numbers.OrderCount | None,
+        counted: fencing_numbers.OrderCount,
         asked_at_seconds: float,
         now_seconds: float,
     ) -> None:
--- a/src/boragefold/coordination/fleet/rate_messages.py
+++ b/src/boragefold/coordination/fleet/rate_messages.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 import math
 
+from boragefold.coordination.fleet import heartbeat_targets
 from boragefold.coordination.fleet import members as members_module
-from boragefold.coordination.fleet import routes as routes_module
 import boragefold.coordination.link as links
 from boragefold.policy import admission_counts
 from boragefold.protocol import ids
@@ -59,20 +59,22 @@
         link.subscribe(messages.LedgerAsk, self._handle_ledger_ask)
         link.subscribe(messages.Ledger, self._handle_ledger)
 
-    def compose(self, routes: routes_module.Chosen) -> messages.Account | None:
+    def compose(
+        self, targets: heartbeat_targets.HeartbeatTargets
+    ) -> messages.Account | None:
         """Count what was admitted here, or report it to the hub that counts.
 
-        :param routes: the targets of the heartbeat
+        :param targets: the targets of the heartbeat
         :return: the account for that hub; None if this instance counts itself,
             no hub counts, or the hub that does has everything
         """
         now_seconds = self._timers.now_seconds()
-        if routes.counts:
-            self._count(routes, now_seconds)
+        if targets.counts:
+            self._count(targets, now_seconds)
             return None
         self._counting_since_seconds = math.inf
         self._counts.stop_counting()
-        counter = self._choose_counter(routes)
+        counter = self._choose_counter(targets)
         if counter is None:
             return None
         account = self._counts.state(counter, now_seconds=now_seconds)
@@ -163,21 +165,23 @@
         self._counts_since_seconds.setdefault(hub, now_seconds)
         self._counts.hear_totals(hub, totals, now_seconds=now_seconds)
 
-    def _count(self, routes: routes_module.Chosen, now_seconds: float) -> None:
+    def _count(
+        self, targets: heartbeat_targets.HeartbeatTargets, now_seconds: float
+    ) -> None:
         self._counts.begin_counting(now_seconds=now_seconds)
         self._counting_since_seconds = min(
             self._counting_since_seconds, now_seconds
         )
         if not self._counts.complete:
-            self._begin_era(routes, now_seconds)
+            self._begin_era(targets, now_seconds)
         self._counts.count_own(now_seconds=now_seconds)
 
     def _begin_era(
-        self, routes: routes_module.Chosen, now_seconds: float
+        self, targets: heartbeat_targets.HeartbeatTargets, now_seconds: float
     ) -> None:
         counting_seconds = now_seconds - self._counting_since_seconds
         address = self._link.self_id.address
-        place = sorted((*routes.targets, address)).index(address)
+        place = sorted((*targets.addresses, address)).index(address)
         if counting_seconds < ERA_SECONDS + ERA_STEP_SECONDS * place:
             return
         self._counts.begin_era(
@@ -203,10 +207,12 @@
     ) -> None:
         self._counts.merge(body, now_seconds=self._timers.now_seconds())
 
-    def _choose_counter(self, routes: routes_module.Chosen) -> str | None:
+    def _choose_counter(
+        self, targets: heartbeat_targets.HeartbeatTargets
+    ) -> str | None:
         hubs = [
             self._members.identity(address).incarnation
-            for address in routes.targets
+            for address in targets.addresses
         ]
         counting = list(filter(self._is_counting, hubs))
         counters = {self._entry_names[hub] for hub in counting}
--- a/src/boragefold/coordination/fleet/relay.py
+++ b/src/boragefold/coordination/fleet/relay.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Callable
 
-from boragefold.coordination.fleet import lapses as lapses_module
+from boragefold.coordination.fleet import removal_grace
 import boragefold.coordination.link as links
 from boragefold.protocol import ids
 from boragefold.protocol import peer_messages as messages
@@ -32,14 +32,14 @@
         items: published_items.PublishedItems,
         timers: timing.TimerService,
         behind: Callable[[], bool],
-        lapses: lapses_module.Lapses,
+        grace: removal_grace.RemovalGrace,
     ) -> None:
         """Start to answer requests.
 
         :param link: to the peers
         :param items: the published items
         :param timers: the process clock
-        :param lapses: delays removals after the store recovers
+        :param grace: delays removals after the store recovers
         :param behind: tells whether this instance doesn't read the store, or
             the store has not answered it lately
         """
@@ -47,7 +47,7 @@
         self._items = items
         self._timers = timers
         self._behind = behind
-        self._lapses = lapses
+        self._grace = grace
         self._asked_at_seconds = -ASK_PAUSE_SECONDS
         link.subscribe(messages.Pull, self._handle_pull)
         link.subscribe(messages.Published, self._handle_published)
@@ -79,7 +79,7 @@
             body=messages.Published(
                 told=dict(self._items.told),
                 items=items,
-                settling_seconds=self._lapses.settling_seconds(),
+                settling_seconds=self._grace.settling_seconds(),
             ),
         )
 
@@ -87,7 +87,7 @@
         self, sender: ids.InstanceId, body: messages.Published
     ) -> None:
         if body.settling_seconds:
-            self._lapses.store_returned(body.settling_seconds)
+            self._grace.store_returned(body.settling_seconds)
         items = (published_items.Item(*item) for item in body.items)
         newest = max(body.told.values(), default=0)
         self._items.take(items, revision=newest, told=body.told)
--- a/src/boragefold/coordination/fleet/lapses.py
+++ b/src/boragefold/coordination/fleet/removal_grace.py
@@ -18,7 +18,7 @@
 GRACE_SECONDS = 2.3
 
 
-class Lapses:
+class RemovalGrace:
     """Decides when a removed endpoint is dropped."""
 
     def __init__(
@@ -86,6 +86,6 @@
 
 
 __all__ = [
-    "Lapses",
     "GRACE_SECONDS",
+    "RemovalGrace",
 ]
--- a/src/boragefold/coordination/fleet/reports.py
+++ b/src/boragefold/coordination/fleet/reports.py
@@ -17,7 +17,7 @@
 import math
 from typing import NamedTuple
 
-from boragefold.coordination.fleet import engine_changes
+from boragefold.coordination.fleet import engine_diffs
 from boragefold.coordination.fleet import member as member_module
 from boragefold.protocol import ids
 from boragefold.protocol import peer_messages as messages
@@ -125,13 +125,13 @@
             return _full_entry(known, member, now_seconds)
         standing = _standing_of(beat)
         unchanged = standing == known.standing
-        changes = engine_changes.between(known.engines, beat.engines)
+        changes = engine_diffs.diff(known.engines, beat.engines)
         if unchanged and changes == ():
             return None
         engines = (
             None
             if changes is None
-            else engine_changes.applied(known.engines, changes)
+            else engine_diffs.patch(known.engines, changes)
         )
         reported = known._replace(
             standing=standing,
--- a/src/boragefold/coordination/fleet/told_parts.py
+++ b/src/boragefold/coordination/fleet/state_merge.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from boragefold.coordination.fleet import engine_changes
+from boragefold.coordination.fleet import engine_diffs
 from boragefold.coordination.fleet import member as member_module
 from boragefold.protocol import ids
 from boragefold.protocol import peer_messages as messages
@@ -74,9 +74,7 @@
     :param now_seconds: reading of the process clock
     :return: whether the change must be sent on at once
     """
-    said_milliseconds = round(
-        beat.uptime_seconds * engine_changes.MILLISECONDS
-    )
+    said_milliseconds = round(beat.uptime_seconds * engine_diffs.MILLISECONDS)
     if said_milliseconds < member.standing_said_milliseconds:
         # A newer state has already arrived by a shorter path.
         return False
@@ -126,7 +124,7 @@
         return told.engines
     if told.changes is None:
         return None
-    return engine_changes.applied(beat.engines, told.changes)
+    return engine_diffs.patch(beat.engines, told.changes)
 
 
 def _note_start(
--- a/src/boragefold/coordination/fleet/doubted_orders.py
+++ b/src/boragefold/coordination/fleet/unanswered_orders.py
@@ -11,18 +11,18 @@
 LATE_ARRIVAL_SECONDS = 1.0
 
 
-class Doubt(NamedTuple):
+class UnansweredOrder(NamedTuple):
     """An order without an answer, and when it was sent."""
 
     order: str
     sent_at_seconds: float
 
 
-class DoubtedOrders:
+class UnansweredOrders:
     """The unanswered orders of one instance to one engine."""
 
     def __init__(self) -> None:
-        self._orders: tuple[Doubt, ...] = ()
+        self._orders: tuple[UnansweredOrder, ...] = ()
         self._last_added_at_seconds = -math.inf
 
     def __len__(self) -> int:
@@ -38,17 +38,17 @@
         self._orders = ()
 
     def add(
-        self, doubt: Doubt, *, of_this_turn: bool, now_seconds: float
+        self, order: UnansweredOrder, *, of_this_turn: bool, now_seconds: float
     ) -> None:
         """Record that an order had no answer.
 
-        :param doubt: the order
+        :param order: the order
         :param of_this_turn: whether it was sent in the current turn
         :param now_seconds: reading of a clock that counts suspension
         """
         self._last_added_at_seconds = now_seconds
         if of_this_turn:
-            self._orders = (*self._orders, doubt)
+            self._orders = (*self._orders, order)
 
     def may_arrive(self, *, now_seconds: float) -> bool:
         """Return whether an unanswered order may still arrive.
@@ -75,7 +75,7 @@
         self._orders = ()
         self._last_added_at_seconds = -math.inf
 
-    def settle(self, rise: int) -> tuple[Doubt, ...]:
+    def settle(self, rise: int) -> tuple[UnansweredOrder, ...]:
         """Attribute a rise of the order count to the oldest orders.
 
         :param rise: how many more orders the engine has accepted
@@ -89,7 +89,7 @@
 
 
 __all__ = [
-    "Doubt",
-    "DoubtedOrders",
     "LATE_ARRIVAL_SECONDS",
+    "UnansweredOrder",
+    "UnansweredOrders",
 ]
--- a/src/boragefold/coordination/fleet/voted_lease.py
+++ b/src/boragefold/coordination/fleet/voted_lease.py
@@ -12,9 +12,9 @@
 import dataclasses
 import math
 
-from boragefold.coordination.fleet import electorate as electorates
 from boragefold.coordination.fleet import lease_voter
 from boragefold.coordination.fleet import order_lease
+from boragefold.coordination.fleet import voter_sets
 from boragefold.protocol import ids
 from boragefold.protocol import order_lease_messages as messages
 
@@ -45,7 +45,7 @@
 
     number: int
     sent_at_seconds: float
-    electorate: electorates.Electorate
+    voter_set: voter_sets.VoterSet
     asked: tuple[ids.InstanceId, ...]
     refused: set[ids.InstanceId] = dataclasses.field(default_factory=set)
     voted: set[ids.InstanceId] = dataclasses.field(default_factory=set)
@@ -77,7 +77,7 @@
             self.others_until_seconds, now_seconds - vote.others_seconds
         )
         self.voted.add(voter)
-        self.over = self.electorate.decides(self.voted)
+        self.over = self.voter_set.decides(self.voted)
         return self.over
 
     def unanswered(self) -> set[ids.InstanceId]:
@@ -92,11 +92,11 @@
 
         :return: whether those who haven't refused are no majority
         """
-        voters = {*self.electorate.voters}
-        return not self.electorate.decides(voters - self.refused)
+        voters = {*self.voter_set.voters}
+        return not self.voter_set.decides(voters - self.refused)
 
 
-class Ballot(abc.ABC):
+class VoterClient(abc.ABC):
     """Exchanges messages with the voters on behalf of one instance."""
 
     @abc.abstractmethod
@@ -173,7 +173,7 @@
         *,
         engine: str,
         data_centre: str,
-        ballot: Ballot,
+        voter_client: VoterClient,
         now_seconds: Callable[[], float],
         note: Callable[[Round, str, float], None],
     ) -> None:
@@ -181,7 +181,7 @@
 
         :param engine: the engine's name
         :param data_centre: the engine's data centre
-        :param ballot: exchanges messages with the voters
+        :param voter_client: exchanges messages with the voters
         :param now_seconds: reads a clock that counts suspension
         :param note: logs each switch between obtained and failed rounds, with
             how long ago a majority of the voters was reachable
@@ -189,7 +189,7 @@
         self.changed: Callable[[], None] = lambda: None
         self._engine = engine
         self.data_centre = data_centre
-        self._ballot = ballot
+        self._voter_client = voter_client
         self._now_seconds = now_seconds
         self._note = note
         self._number = 0
@@ -263,7 +263,7 @@
         """
         if self.held(now_seconds=now_seconds):
             return 0.0
-        place = self._ballot.place(self.data_centre)
+        place = self._voter_client.place(self.data_centre)
         return UNLEASED_DELAY_SECONDS + UNLEASED_DELAY_STEP_SECONDS * place
 
     def others_until_seconds(self) -> float:
@@ -278,7 +278,7 @@
         self._until_seconds = -math.inf
         self._alone = False
         if self._round is not None:
-            self._ballot.free(self._engine, self._round)
+            self._voter_client.free(self._engine, self._round)
         self._round = None
 
     def take_vote(
@@ -310,7 +310,7 @@
     def _ask(self) -> None:
         self._number += 1
         self._asked_at_seconds = self._now_seconds()
-        round_ = self._ballot.ask(
+        round_ = self._voter_client.ask(
             self._engine,
             self.data_centre,
             self._number,
@@ -330,20 +330,20 @@
     def _fail_round(self, round_: Round, now_seconds: float) -> None:
         round_.over = True
         self._last_round_failed = True
-        retry_seconds = self._ballot.retry_seconds()
+        retry_seconds = self._voter_client.retry_seconds()
         self._retry_at_seconds = now_seconds + retry_seconds
-        self._ballot.missed(round_)
+        self._voter_client.missed(round_)
         if now_seconds < self._until_seconds + ORDER_SECONDS:
             return
         self._refused_until_seconds = now_seconds + round_.refused_seconds
         self._log_outcome(round_, "no_majority", self._unheard_seconds())
-        self._ballot.free(self._engine, round_)
+        self._voter_client.free(self._engine, round_)
 
     def _alone_after_seconds(self) -> float:
-        return self._ballot.alone_after_seconds(self.data_centre)
+        return self._voter_client.alone_after_seconds(self.data_centre)
 
     def _unheard_seconds(self) -> float:
-        return self._ballot.majority_unheard_seconds(self.data_centre)
+        return self._voter_client.majority_unheard_seconds(self.data_centre)
 
     def _log_outcome(
         self, round_: Round, outcome: str, unheard_seconds: float
@@ -356,8 +356,8 @@
 
 __all__ = [
     "ANSWER_SECONDS",
-    "Ballot",
     "LEASE_SECONDS",
     "Round",
     "VotedLease",
+    "VoterClient",
 ]
--- a/src/boragefold/coordination/fleet/electorate.py
+++ b/src/boragefold/coordination/fleet/voter_sets.py
@@ -33,7 +33,7 @@
 HASH_CACHE_SIZE = 4_096
 
 
-class Electorate(NamedTuple):
+class VoterSet(NamedTuple):
     """The voters for one engine.
 
     ``near`` are those of the engine's data centre, ``far`` the others.
@@ -79,10 +79,10 @@
         """
         self._self_id = self_id
         self._members = members
-        self._cached: dict[str, Electorate] = {}
+        self._cached: dict[str, VoterSet] = {}
         self._cache_key: tuple[object, ...] = ()
 
-    def of(self, data_centre: str) -> Electorate:
+    def of(self, data_centre: str) -> VoterSet:
         """List the voters for the engines of a data centre.
 
         :param data_centre: the data centre of the engines
@@ -106,26 +106,26 @@
         """
         return voter in self._heard()
 
-    def majority_unheard_seconds(self, electorate: Electorate) -> float:
+    def majority_unheard_seconds(self, voter_set: VoterSet) -> float:
         """Return how long ago a majority of the voters was reachable.
 
-        :param electorate: the voters
+        :param voter_set: the voters
         :return: seconds; 0 while a majority is reachable
         """
         unheard_seconds = {
             member.instance: self._members.unheard_seconds(member)
             for member in self._members.unreachable()
         }
-        voters = electorate.voters
+        voters = voter_set.voters
         ages_seconds = sorted(
             unheard_seconds.get(voter, 0.0) for voter in voters
         )
         return ages_seconds[len(voters) // 2] if voters else 0.0
 
-    def _choose(self, data_centre: str) -> Electorate:
+    def _choose(self, data_centre: str) -> VoterSet:
         if self._members.uptime_seconds < lease_voter.PROMISE_SECONDS:
             # Too few members are known shortly after the start.
-            return Electorate(near=(), far=(), near_heard=False)
+            return VoterSet(near=(), far=(), near_heard=False)
         by_centre: dict[str, list[ids.InstanceId]] = {}
         for instance in self._eligible():
             # A seed that never answered may be of this data centre.
@@ -134,7 +134,7 @@
         near = _ranked(by_centre.pop(data_centre, ()))[:MAX_VOTERS]
         far = _interleave(map(_ranked, by_centre.values()))
         wanted = len(near) - 1 if near else MAX_VOTERS
-        return Electorate(
+        return VoterSet(
             near=tuple(near),
             far=tuple(far[:wanted]),
             near_heard=bool(near) and self._heard().issuperset(near),
@@ -187,8 +187,8 @@
 
 
 __all__ = [
-    "Electorate",
     "MAX_VOTERS",
     "SILENT_VOTES_SECONDS",
+    "VoterSet",
     "Voters",
 ]
--- a/src/boragefold/entry/engine_dialect.py
+++ b/src/boragefold/entry/engine_dialect.py
@@ -15,7 +15,7 @@
 class AdapterReport(NamedTuple):
     """An engine's report of its loaded adapters and its order count."""
 
-    counted: fencing_numbers.Counted
+    counted: fencing_numbers.OrderCount
     held: dict[str, dict[str, int]]
     coming: dict[deployment.AdapterKey, int]
     busy: bool
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -6,17 +6,17 @@
 import random
 import sys
 
-from boragefold.coordination.fleet import electorate
 from boragefold.coordination.fleet import fencing_numbers
 from boragefold.coordination.fleet import heartbeats
-from boragefold.coordination.fleet import lapses as lapses_module
 from boragefold.coordination.fleet import members as members_module
 from boragefold.coordination.fleet import order_leases
 from boragefold.coordination.fleet import ownership as ownerships
 from boragefold.coordination.fleet import rate_messages
 from boragefold.coordination.fleet import readers
 from boragefold.coordination.fleet import relay
+from boragefold.coordination.fleet import removal_grace
 from boragefold.coordination.fleet import self_link
+from boragefold.coordination.fleet import voter_sets
 from boragefold.entry import dialect as dialects
 from boragefold.entry import engine_dialect
 from boragefold.entry import engine_owner
@@ -73,7 +73,8 @@
         prefixes: tuple[str, ...],
         matters: published_items.Matters,
         make_reader: Callable[
-            [fleets.Fleet, lapses_module.Lapses], published_items.Subscriber
+            [fleets.Fleet, removal_grace.RemovalGrace],
+            published_items.Subscriber,
         ],
         read_settings: Callable[[], gateway_settings.GatewaySettings],
     ) -> None:
@@ -108,12 +109,12 @@
         self._fleet_log = fleet_log.FleetLog(
             fleet=self._fleet, items=self._items, log=self.log
         )
-        self._lapses = lapses_module.Lapses(
+        self._grace = removal_grace.RemovalGrace(
             timers=self.timers,
             drop=self._fleet.drop_endpoint,
             store_was_up=self._store_was_up,
         )
-        self._items.subscribe(make_reader(self._fleet, self._lapses))
+        self._items.subscribe(make_reader(self._fleet, self._grace))
         self._sockets = sockets.SocketSet(poller=self.loop.poller)
         self._sockets.register(self.loop)
         self._client = http_client.HttpClient(
@@ -131,7 +132,7 @@
             log=self.log,
             rng=self._rng,
             wanted=self._wants_to_read,
-            lapses=self._lapses,
+            grace=self._grace,
         )
         self._link = self_link.SelfLink(
             link=self._make_link(), timers=self.timers
@@ -178,7 +179,7 @@
             items=self._items,
             timers=self.timers,
             behind=self._followers.any_stale,
-            lapses=self._lapses,
+            grace=self._grace,
         )
         self._listeners = gateway_listeners.GatewayListeners(
             sockets_=self._sockets,
@@ -333,7 +334,7 @@
         )
 
     def _make_leases(self) -> order_leases.OrderLeases:
-        voters = electorate.Voters(
+        voters = voter_sets.Voters(
             self_id=self._link.self_id, members=self._members
         )
         return order_leases.OrderLeases(
--- a/src/boragefold/entry/owned_engine.py
+++ b/src/boragefold/entry/owned_engine.py
@@ -6,9 +6,9 @@
 import math
 from typing import NamedTuple
 
-from boragefold.coordination.fleet import doubted_orders
 from boragefold.coordination.fleet import order_lease
 from boragefold.coordination.fleet import order_turns
+from boragefold.coordination.fleet import unanswered_orders
 from boragefold.entry import engine_dialect as dialects
 from boragefold.policy import engine_decisions
 from boragefold.policy import engine_schedule
@@ -25,7 +25,7 @@
 # new. Without a limit, an overdue load would request one on each event.
 MIN_REPORT_INTERVAL_SECONDS = 0.1
 # Unresolved orders named in one log line.
-MAX_LOGGED_DOUBTS = 3
+MAX_LOGGED_ORDERS = 3
 # Orders without the lease need this time of ownership first.
 MIN_OWNED_SECONDS = 2.0
 # Outcome of an order without a response, which may have arrived.
@@ -235,7 +235,9 @@
             other_giver=other_giver_seen,
             certain=self._turns.certain,
             in_doubt=in_doubt,
-            explained_by=_describe_doubts(self._turns.explained, now_seconds),
+            explained_by=_describe_unanswered(
+                self._turns.explained, now_seconds
+            ),
         )
         if self._turns.expected < believed:
             self._counters.add("engine_orders", "not_counted")
@@ -406,12 +408,12 @@
     return f"{kind} {order.key.adapter or order.key.model}"
 
 
-def _describe_doubts(
-    doubts: tuple[doubted_orders.Doubt, ...], now_seconds: float
+def _describe_unanswered(
+    orders: tuple[unanswered_orders.UnansweredOrder, ...], now_seconds: float
 ) -> list[str]:
     return [
-        f"{doubt.order}, sent {now_seconds - doubt.sent_at_seconds:.3f} s ago"
-        for doubt in doubts[:MAX_LOGGED_DOUBTS]
+        f"{order.order}, sent {now_seconds - order.sent_at_seconds:.3f} s ago"
+        for order in orders[:MAX_LOGGED_ORDERS]
     ]
 
 
--- a/src/boragefold/entry/store_followers.py
+++ b/src/boragefold/entry/store_followers.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 import random
 
-from boragefold.coordination.fleet import lapses as lapses_module
+from boragefold.coordination.fleet import removal_grace
 from boragefold.entry import store_follower
 from boragefold.state import published_items
 from boragefold.telemetry import counters as telemetry
@@ -29,7 +29,7 @@
         log: decision_log.DecisionLog,
         rng: random.Random,
         wanted: Callable[[], bool],
-        lapses: lapses_module.Lapses,
+        grace: removal_grace.RemovalGrace,
     ) -> None:
         """Create the followers without starting them.
 
@@ -42,9 +42,9 @@
         :param log: decision log of this process
         :param rng: adds jitter to the retries
         :param wanted: tells whether this instance has to read the store
-        :param lapses: is notified when the store is back
+        :param grace: is notified when the store is back
         """
-        self._lapses = lapses
+        self._grace = grace
         self._followers = [
             store_follower.StoreFollower(
                 prefix=prefix,
@@ -56,7 +56,7 @@
                 log=log,
                 rng=rng,
                 wanted=wanted,
-                returned=lapses.store_returned,
+                returned=grace.store_returned,
             )
             for prefix in prefixes
         ]
@@ -85,7 +85,7 @@
 
         :return: whether it has just answered and hasn't failed recently
         """
-        if self._lapses.settling_seconds() > 0 or self.any_lost():
+        if self._grace.settling_seconds() > 0 or self.any_lost():
             return False
         # A watch on a rarely changed prefix gets no answers for long, but
         # endpoints renew their entries all the time.
--- a/tests/coordination/fleet/test_electorate.py
+++ b/tests/coordination/fleet/test_electorate.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from boragefold.coordination.fleet import electorate as electorates
+from boragefold.coordination.fleet import voter_sets
 from tests.fakes import gateways
 
 SETTLED_SECONDS = 6.0
@@ -19,7 +19,7 @@
 
 def voters_of(fleet, address):
     instance = fleet.instances[address]
-    return electorates.Voters(
+    return voter_sets.Voters(
         self_id=instance.node.self_id, members=instance.members
     )
 
@@ -102,7 +102,7 @@
     last, *killed = fleet.addresses
     for address in killed:
         fleet.kill(address)
-    fleet.run(electorates.SILENT_VOTES_SECONDS - NOTICED_SECONDS)
+    fleet.run(voter_sets.SILENT_VOTES_SECONDS - NOTICED_SECONDS)
     assert not decide(fleet, last, [last], "dc-b")
     fleet.run(2 * NOTICED_SECONDS)
     assert decide(fleet, last, [last], "dc-b")
--- a/tests/coordination/fleet/test_lapses.py
+++ b/tests/coordination/fleet/test_lapses.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from boragefold.coordination.fleet import lapses as lapses_module
+from boragefold.coordination.fleet import removal_grace
 from boragefold.timing import clock as clocks
 from boragefold.timing import timers as timing
 
@@ -12,7 +12,7 @@
         self.clock = clocks.VirtualClock()
         self.timers = timing.TimerService(clock=self.clock)
         self.dropped = []
-        self.lapses = lapses_module.Lapses(
+        self.grace = removal_grace.RemovalGrace(
             timers=self.timers, drop=self.dropped.append
         )
 
@@ -27,35 +27,35 @@
 
 
 def test_a_removal_applies_at_once_while_the_store_is_up(harness) -> None:
-    harness.lapses.removed("e1")
+    harness.grace.removed("e1")
     assert harness.dropped == ["e1"]
 
 
 def test_an_endpoint_that_registers_again_isnt_dropped(harness) -> None:
     # A registration that expired in a store outage isn't a removal.
-    harness.lapses.store_returned()
-    harness.lapses.removed("e1")
-    harness.lapses.removed("e2")
+    harness.grace.store_returned()
+    harness.grace.removed("e1")
+    harness.grace.removed("e2")
     harness.pass_time(1.0)
-    harness.lapses.present("e1")
+    harness.grace.present("e1")
     harness.pass_time(2.0)
     assert harness.dropped == ["e2"]
 
 
 def test_an_endpoint_still_missing_later_is_dropped(harness) -> None:
-    harness.lapses.store_returned()
+    harness.grace.store_returned()
     harness.pass_time(1.5)
-    harness.lapses.removed("e1")
+    harness.grace.removed("e1")
     assert not harness.dropped
     harness.pass_time(1.0)
     assert harness.dropped == ["e1"]
-    harness.lapses.removed("e2")
+    harness.grace.removed("e2")
     assert harness.dropped == ["e1", "e2"]
 
 
 def test_a_peers_remaining_grace_period_applies(harness) -> None:
-    harness.lapses.store_returned(0.5)
-    harness.lapses.removed("e1")
+    harness.grace.store_returned(0.5)
+    harness.grace.removed("e1")
     harness.pass_time(0.6)
     assert harness.dropped == ["e1"]
 
@@ -64,11 +64,11 @@
     harness,
 ) -> None:
     # If a peer kept its connection to the store, no registration expired.
-    lapses = lapses_module.Lapses(
+    grace = removal_grace.RemovalGrace(
         timers=harness.timers,
         drop=harness.dropped.append,
         store_was_up=lambda: True,
     )
-    lapses.store_returned()
-    lapses.removed("e1")
+    grace.store_returned()
+    grace.removed("e1")
     assert harness.dropped == ["e1"]
--- a/tests/coordination/fleet/test_order_turns.py
+++ b/tests/coordination/fleet/test_order_turns.py
@@ -19,7 +19,7 @@
         self.accepted = []
 
     def counted(self):
-        return fencing_numbers.Counted(self.born, self.orders)
+        return fencing_numbers.OrderCount(self.born, self.orders)
 
     def take(self, expected, issuer, at):
         if expected != self.orders:
@@ -495,8 +495,8 @@
     # tokens could be below the order's.
     born = 1_790_000_000_000
     orders_in_100_milliseconds = 20
-    last = fencing_numbers.Counted(born, orders_in_100_milliseconds)
-    first = fencing_numbers.Counted(born + 100, 0)
+    last = fencing_numbers.OrderCount(born, orders_in_100_milliseconds)
+    first = fencing_numbers.OrderCount(born + 100, 0)
     former = fencing_numbers.fence(last, giver=7)
     assert former < fencing_numbers.fence(first, giver=1)
 
--- a/tests/coordination/fleet/test_reports.py
+++ b/tests/coordination/fleet/test_reports.py
@@ -5,7 +5,7 @@
 import itertools
 import random
 
-from boragefold.coordination.fleet import engine_changes
+from boragefold.coordination.fleet import engine_diffs
 from boragefold.coordination.fleet import member as member_module
 from boragefold.coordination.fleet import reports
 from boragefold.protocol import ids
@@ -106,7 +106,7 @@
             known = (
                 told.engines
                 if told.engines is not None
-                else engine_changes.applied(known, told.changes)
+                else engine_diffs.patch(known, told.changes)
             )
         for one, other in zip(known, engines, strict=True):
             assert set(one.adapters) == set(other.adapters)
--- a/tests/fakes/fleet_walk.py
+++ b/tests/fakes/fleet_walk.py
@@ -14,9 +14,9 @@
 from typing import Any
 from typing import NamedTuple
 
-from boragefold.coordination.fleet import electorate
 from boragefold.coordination.fleet import fencing_numbers
 from boragefold.coordination.fleet import order_leases
+from boragefold.coordination.fleet import voter_sets
 from boragefold.entry import engine_owner
 from boragefold.protocol import ids
 from boragefold.state import deployment
@@ -142,7 +142,7 @@
         )
 
     def _leases(self, log: engine_world.Log) -> order_leases.OrderLeases:
-        voters = electorate.Voters(
+        voters = voter_sets.Voters(
             self_id=self.node.self_id, members=self.members
         )
         return order_leases.OrderLeases(
--- a/tests/fakes/gateways.py
+++ b/tests/fakes/gateways.py
@@ -5,12 +5,12 @@
 import random
 
 from boragefold.coordination.fleet import heartbeats
-from boragefold.coordination.fleet import lapses
 from boragefold.coordination.fleet import members as members_module
 from boragefold.coordination.fleet import owner_changes
 from boragefold.coordination.fleet import ownership as ownerships
 from boragefold.coordination.fleet import rate_messages
 from boragefold.coordination.fleet import relay as relays
+from boragefold.coordination.fleet import removal_grace
 from boragefold.policy import admission_counts
 from boragefold.policy import shared_rate
 from boragefold.protocol import peer_messages as messages
@@ -93,7 +93,7 @@
             items=self.items,
             timers=self.node.timers,
             behind=lambda: self.behind,
-            lapses=lapses.Lapses(
+            grace=removal_grace.RemovalGrace(
                 timers=self.node.timers, drop=lambda endpoint: None
             ),
         )
--- a/tests/fakes/leases.py
+++ b/tests/fakes/leases.py
@@ -6,9 +6,9 @@
 import random
 import types
 
-from boragefold.coordination.fleet import electorate
 from boragefold.coordination.fleet import order_lease
 from boragefold.coordination.fleet import order_leases
+from boragefold.coordination.fleet import voter_sets
 
 LOG = types.SimpleNamespace(write=lambda event, **fields: None)
 
@@ -51,8 +51,8 @@
     return order_leases.OrderLeases(
         link=node.link,
         timers=node.timers,
-        voters=lambda centre: electorate.Electorate(tuple(voters()), ()),
-        majority_unheard_seconds=lambda electorate: 0.0,
+        voters=lambda centre: voter_sets.VoterSet(tuple(voters()), ()),
+        majority_unheard_seconds=lambda voter_set: 0.0,
         rng=rng,
         log=log,
         started_at_seconds=now_seconds - started_before_seconds,
--- a/tests/fakes/model_engine.py
+++ b/tests/fakes/model_engine.py
@@ -316,7 +316,7 @@
         for key, version in self._held.items():
             held.setdefault(key.model, {})[key.adapter] = version
         report = dialects.AdapterReport(
-            counted=fencing_numbers.Counted(
+            counted=fencing_numbers.OrderCount(
                 self._born_milliseconds, self.count
             ),
             held=held,
--- a/tests/platform/test_published.py
+++ b/tests/platform/test_published.py
@@ -5,7 +5,7 @@
 import published
 import pytest
 
-from boragefold.coordination.fleet import lapses
+from boragefold.coordination.fleet import removal_grace
 from boragefold.state import deployment
 from boragefold.state import fleet as fleets
 from boragefold.state import published_items
@@ -99,7 +99,9 @@
     timers = timing.TimerService(clock=clocks.VirtualClock())
     reader = published.Reader(
         fleet=fleet,
-        lapses=lapses.Lapses(timers=timers, drop=fleet.drop_endpoint),
+        grace=removal_grace.RemovalGrace(
+            timers=timers, drop=fleet.drop_endpoint
+        ),
     )
     revisions = iter(range(1, 100))
 
