--- a/src/boragefold/coordination/configuration/intake.py
+++ b/src/boragefold/coordination/configuration/change_queue.py
@@ -16,7 +16,7 @@
 Done = Callable[[], None]
 
 
-class Intake:
+class ChangeQueue:
     """A queue of published changes, in the order of the platform's answers."""
 
     def __init__(
@@ -28,7 +28,7 @@
             collections.deque()
         )
 
-    def take(
+    def add(
         self, changes: tuple[platform_api.PublishedChange, ...], done: Done
     ) -> None:
         """Queue an answer; if the queue was empty, apply a batch at once.
@@ -58,5 +58,5 @@
 
 
 __all__ = [
-    "Intake",
+    "ChangeQueue",
 ]
--- a/src/boragefold/coordination/configuration/distribution.py
+++ b/src/boragefold/coordination/configuration/distribution.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from collections.abc import Iterable
 
-from boragefold.coordination.configuration import exchange as exchanges
 from boragefold.coordination.configuration import peers as peering
+from boragefold.coordination.configuration import reconciliation as reconciling
 import boragefold.coordination.link as links
 from boragefold.protocol import config_messages as messages
 from boragefold.protocol import ids
@@ -41,7 +41,7 @@
         link: links.PeerLink,
         tree: trees.Tree,
         history: histories.History,
-        exchange: exchanges.Exchange,
+        reconciliation: reconciling.Reconciliation,
         peers: peering.Peers,
         timers: timing.TimerService,
         compare: Callable[[ids.InstanceId], None],
@@ -50,7 +50,7 @@
         self._link = link
         self._tree = tree
         self._history = history
-        self._exchange = exchange
+        self._reconciliation = reconciliation
         self._peers = peers
         self._timers = timers
         self._compare = compare
@@ -136,7 +136,7 @@
             return
         for member in self._peers.members():
             for path in paths:
-                self._exchange.send_value(member, path)
+                self._reconciliation.send_value(member, path)
         self._counters.add("configuration_pushes", "value")
 
     def _patch(
@@ -173,12 +173,12 @@
             if (entry := self._tree.entry(path)) is not None
         ]
         for member in self._peers.members():
-            self._exchange.send_versions(member, versions)
+            self._reconciliation.send_versions(member, versions)
         self._counters.add("configuration_pushes", "versions")
 
     def _compare_remotely(self) -> None:
         for _ in range(REMOTE_COMPARE_FANOUT):
-            peer = self._peers.remote()
+            peer = self._peers.choose_remote()
             if peer is not None:
                 self._compare(peer)
 
--- a/src/boragefold/coordination/configuration/leaving.py
+++ b/src/boragefold/coordination/configuration/leaving_marks.py
@@ -21,7 +21,7 @@
 MAX_REVOKED_SENT = 256
 
 
-class LeavingNews:
+class LeavingMarks:
     """Shares marks, because instances may read lists of different age."""
 
     def __init__(
@@ -38,7 +38,7 @@
         self._counters = counters
         link.subscribe(messages.ConfigurationMarks, self._on_marks)
 
-    def root(self) -> int:
+    def hash_marks(self) -> int:
         """Hash the marks of the endpoints that are leaving.
 
         :return: a hash that is equal on instances with the same marks
@@ -53,7 +53,7 @@
 
         :param listing: the platform's list
         """
-        marks = listings.marks_of(listing, self._index)
+        marks = listings.find_leaving_marks(listing, self._index)
         news = self._index.mark(marks)
         if news:
             self._counters.add("leaving_marks", "list", len(news))
@@ -99,5 +99,5 @@
 
 
 __all__ = [
-    "LeavingNews",
+    "LeavingMarks",
 ]
--- a/src/boragefold/coordination/configuration/listing.py
+++ b/src/boragefold/coordination/configuration/listing.py
@@ -76,7 +76,7 @@
             callback(answer)
 
 
-def marks_of(
+def find_leaving_marks(
     listing: platform_api.Listing, index: endpoints.EndpointIndex
 ) -> list[messages.LeavingMark]:
     """Find the endpoints of a list that are, or no longer are, leaving.
@@ -98,5 +98,5 @@
 
 __all__ = [
     "ListPoller",
-    "marks_of",
+    "find_leaving_marks",
 ]
--- a/src/boragefold/coordination/configuration/peers.py
+++ b/src/boragefold/coordination/configuration/peers.py
@@ -17,7 +17,11 @@
 
 
 class Role(enum.Enum):
-    """The part of an instance in the configuration of its data centre."""
+    """The part of an instance in the configuration of its data centre.
+
+    The status for operators shows the names of these members. The steward
+    reads the platform and need not be the leader of the view.
+    """
 
     STEWARD = "steward"
     DEPUTY = "deputy"
@@ -25,7 +29,7 @@
     ALONE = "alone"
 
 
-def readers(view: membership.View) -> tuple[ids.InstanceId, ...]:
+def select_readers(view: membership.View) -> tuple[ids.InstanceId, ...]:
     """Select a view's steward, and its deputy if there is a second member.
 
     Reading the platform isn't exclusive: two stewards at a time cost a few
@@ -68,7 +72,7 @@
         view = self._rights.valid_view()
         if view is None:
             return Role.ALONE
-        chosen = readers(view)
+        chosen = select_readers(view)
         if self._self_id not in chosen:
             return Role.MEMBER
         return Role.STEWARD if chosen[0] == self._self_id else Role.DEPUTY
@@ -99,7 +103,7 @@
         view = self._rights.valid_view()
         return () if view is None else self._without_self(view.members)
 
-    def local(self) -> ids.InstanceId | None:
+    def choose_local(self) -> ids.InstanceId | None:
         """Choose a random instance of the data centre of this instance.
 
         :return: a member of the view, otherwise any known instance, or None
@@ -111,7 +115,7 @@
             )
         return self._choose(members)
 
-    def remote(self) -> ids.InstanceId | None:
+    def choose_remote(self) -> ids.InstanceId | None:
         """Choose a random instance of another data centre.
 
         A data centre's steward and deputy receive changes first, so they are
@@ -131,18 +135,18 @@
             )
             return self._choose(foreign)
         view = views[self._random.choice(sorted(views))]
-        candidates = (*readers(view), self._random.choice(view.members))
+        candidates = (*select_readers(view), self._random.choice(view.members))
         return self._choose(candidates)
 
-    def any(self) -> ids.InstanceId | None:
+    def choose_any(self) -> ids.InstanceId | None:
         """Choose a random instance, more often from the same data centre.
 
         :return: an instance, or None if none is known
         """
         first, second = (
-            (self.remote, self.local)
+            (self.choose_remote, self.choose_local)
             if self._random.random() < 1 / 3
-            else (self.local, self.remote)
+            else (self.choose_local, self.choose_remote)
         )
         return first() or second()
 
@@ -173,5 +177,5 @@
 __all__ = [
     "Peers",
     "Role",
-    "readers",
+    "select_readers",
 ]
--- a/src/boragefold/coordination/configuration/readiness.py
+++ b/src/boragefold/coordination/configuration/readiness.py
@@ -49,7 +49,7 @@
 Readiness = Ready | NotReady
 
 
-class ReadinessJudge:
+class ReadinessTracker:
     """Decides when a starting instance is ready, which is final."""
 
     def __init__(
@@ -91,7 +91,7 @@
         """
         return self._ready is not None
 
-    def note_peer(
+    def on_comparison(
         self, peer: ids.InstanceId, differing: int, is_ready: bool
     ) -> None:
         """Record the result of a comparison with another instance.
@@ -113,11 +113,11 @@
 
     def check(self) -> None:
         """Become ready without a peer if there is none to wait for."""
-        whole_read_seconds = self._watcher.whole_read_seconds
-        if self._ready or whole_read_seconds is None or not len(self._tree):
+        full_read_seconds = self._watcher.full_read_seconds
+        if self._ready or full_read_seconds is None or not len(self._tree):
             return
         now_seconds = self._timers.now_seconds()
-        waited_seconds = now_seconds - whole_read_seconds
+        waited_seconds = now_seconds - full_read_seconds
         # A replica of the platform that lags may still hold an API key that
         # has been revoked, so a peer with newer values is waited for.
         peer_seconds = self._ready_peer_seconds
@@ -137,7 +137,7 @@
             callback(self._ready)
 
     def _reason(self) -> NotReady:
-        if self._watcher.whole_read_seconds is not None:
+        if self._watcher.full_read_seconds is not None:
             if not len(self._tree):
                 return NotReady(
                     reason="nothing_published",
@@ -166,6 +166,6 @@
 __all__ = [
     "NotReady",
     "Readiness",
-    "ReadinessJudge",
+    "ReadinessTracker",
     "Ready",
 ]
--- a/src/boragefold/coordination/configuration/exchange.py
+++ b/src/boragefold/coordination/configuration/reconciliation.py
@@ -42,7 +42,7 @@
     is_ready: bool
 
 
-class Exchange:
+class Reconciliation:
     """Answers requests of other instances and requests their newer values."""
 
     def __init__(
@@ -54,7 +54,7 @@
         history: histories.History,
         counters: telemetry.Counters,
         is_ready: Callable[[], bool],
-        reconciled: Callable[[ids.InstanceId, int, bool], None],
+        on_comparison: Callable[[ids.InstanceId, int, bool], None],
     ) -> None:
         self._link = link
         self._tree = tree
@@ -62,7 +62,7 @@
         self._history = history
         self._counters = counters
         self._is_ready = is_ready
-        self._reconciled = reconciled
+        self._on_comparison = on_comparison
         self._assembler = transfer.Assembler()
         self._comparisons: dict[ids.InstanceId, _Comparison] = {}
         link.subscribe(messages.ConfigurationBuckets, self._on_buckets)
@@ -71,7 +71,7 @@
         link.subscribe(messages.ConfigurationValue, self._on_value)
         link.subscribe(messages.ConfigurationPatch, self._on_patch)
 
-    def answer_summary(self, to: ids.InstanceId) -> None:
+    def send_hashes(self, to: ids.InstanceId) -> None:
         """Continue a comparison whose summaries differ by sending hashes.
 
         :param to: the instance that sent the summary
@@ -92,7 +92,7 @@
         if entry is None:
             return 0
         since_seconds = self._history.since_seconds(path)
-        for piece in transfer.split(path, entry, since_seconds):
+        for piece in transfer.split_value(path, entry, since_seconds):
             self._link.send(to=to, body=piece)
         return len(entry.packed or b"") or 1
 
@@ -123,7 +123,7 @@
         remaining = len(comparison.buckets)
         if not remaining:
             del self._comparisons[peer]
-        self._reconciled(peer, remaining, comparison.is_ready)
+        self._on_comparison(peer, remaining, comparison.is_ready)
 
     def _send_buckets(
         self, to: ids.InstanceId, buckets: Iterable[int], *, is_reply: bool
@@ -257,5 +257,5 @@
 
 
 __all__ = [
-    "Exchange",
+    "Reconciliation",
 ]
--- a/src/boragefold/coordination/configuration/service.py
+++ b/src/boragefold/coordination/configuration/service.py
@@ -9,13 +9,13 @@
 
 from absl import logging
 
+from boragefold.coordination.configuration import change_queue
 from boragefold.coordination.configuration import distribution
-from boragefold.coordination.configuration import exchange
-from boragefold.coordination.configuration import intake
-from boragefold.coordination.configuration import leaving
+from boragefold.coordination.configuration import leaving_marks
 from boragefold.coordination.configuration import peers as peering
 from boragefold.coordination.configuration import reader as readers
-from boragefold.coordination.configuration import readiness as judging
+from boragefold.coordination.configuration import readiness as tracking
+from boragefold.coordination.configuration import reconciliation
 from boragefold.coordination.configuration import watching
 import boragefold.coordination.link as links
 import boragefold.coordination.rights as membership
@@ -40,7 +40,7 @@
 # sent an older mark in the meantime.
 SAME_LIST_SECONDS = 5.0
 # Spreads the first calls of starting instances that have no view.
-ALONE_SPREAD_SECONDS = 4.0
+NO_VIEW_JITTER_SECONDS = 4.0
 
 
 class Status(NamedTuple):
@@ -50,7 +50,7 @@
     instance or to a peer that reported it; None without any answer.
     """
 
-    readiness: judging.Readiness
+    readiness: tracking.Readiness
     role: peering.Role
     newest_revision: int
     paths: int
@@ -91,34 +91,34 @@
             timers=timers,
             random=random,
             counters=counters,
-            take=intake.Intake(tree=tree, timers=timers).take,
+            apply=change_queue.ChangeQueue(tree=tree, timers=timers).add,
         )
-        self._judge = judging.ReadinessJudge(
+        self._readiness_tracker = tracking.ReadinessTracker(
             tree=tree,
             watcher=self._watcher,
             timers=timers,
             data_centre=link.self_id.data_centre,
         )
-        self._exchange = exchange.Exchange(
+        self._reconciliation = reconciliation.Reconciliation(
             link=link,
             tree=tree,
             fingerprint=self._fingerprint,
             history=history,
             counters=counters,
-            is_ready=self._judge.is_ready,
-            reconciled=self._judge.note_peer,
+            is_ready=self._readiness_tracker.is_ready,
+            on_comparison=self._readiness_tracker.on_comparison,
         )
         self._distribution = distribution.Distribution(
             link=link,
             tree=tree,
             history=history,
-            exchange=self._exchange,
+            reconciliation=self._reconciliation,
             peers=self._peers,
             timers=timers,
             compare=self._compare,
             counters=counters,
         )
-        self._leaving = leaving.LeavingNews(
+        self._leaving_marks = leaving_marks.LeavingMarks(
             link=link,
             index=catalogue.endpoints,
             peers=self._peers,
@@ -126,7 +126,7 @@
         )
         link.subscribe(messages.ConfigurationSummary, self._on_summary)
         tree.rejections.subscribe(_log_rejection)
-        self._judge.subscribe(_log_ready)
+        self._readiness_tracker.subscribe(_log_ready)
 
     def start(self) -> None:
         """Start reading the platform and comparing with peers."""
@@ -148,23 +148,23 @@
             return
         self._listing_seen = (listing.revision, now_seconds)
         self._peers.note_listing(listing)
-        self._leaving.note_listing(listing)
+        self._leaving_marks.note_listing(listing)
 
-    def readiness(self) -> judging.Readiness:
+    def readiness(self) -> tracking.Readiness:
         """Return whether callers can be answered from this configuration.
 
         :return: ready, or why not and what to do
         """
-        return self._judge.readiness()
+        return self._readiness_tracker.readiness()
 
     def subscribe_ready(
-        self, callback: Callable[[judging.Ready], None]
+        self, callback: Callable[[tracking.Ready], None]
     ) -> None:
         """Call back when the instance becomes ready.
 
         :param callback: called once
         """
-        self._judge.subscribe(callback)
+        self._readiness_tracker.subscribe(callback)
 
     def status(self) -> Status:
         """Summarize the configuration for an operator.
@@ -172,7 +172,7 @@
         :return: the status
         """
         return Status(
-            readiness=self._judge.readiness(),
+            readiness=self._readiness_tracker.readiness(),
             role=self._peers.role,
             newest_revision=self._tree.newest_revision(),
             paths=len(self._tree),
@@ -188,8 +188,8 @@
         elif role is peering.Role.ALONE:
             # Jitter: whole data centres may have been restarted together.
             self._watcher.start(
-                gap_seconds=watching.ALONE_GAP_SECONDS,
-                delay_seconds=self._random.uniform(0, ALONE_SPREAD_SECONDS),
+                gap_seconds=watching.NO_VIEW_GAP_SECONDS,
+                delay_seconds=self._random.uniform(0, NO_VIEW_JITTER_SECONDS),
             )
         else:
             self._watcher.start(gap_seconds=watching.MIN_GAP_SECONDS)
@@ -197,30 +197,30 @@
     def _tick(self) -> None:
         self._ticks += 1
         self._apply_role()
-        self._judge.check()
-        if self._judge.is_ready():
+        self._readiness_tracker.check()
+        if self._readiness_tracker.is_ready():
             self._compare_in_turn()
             period_seconds = COMPARE_PERIOD_SECONDS
         else:
-            self._compare(self._peers.any())
+            self._compare(self._peers.choose_any())
             period_seconds = FRESH_PERIOD_SECONDS
         # Jitter: instances that start together must not compare in lockstep.
         delay_seconds = period_seconds * self._random.uniform(0.8, 1.2)
         self._timers.once(delay_seconds=delay_seconds, callback=self._tick)
 
     def _compare_in_turn(self) -> None:
-        self._compare(self._peers.local())
+        self._compare(self._peers.choose_local())
         reads = self._peers.role is not peering.Role.MEMBER
         if reads and self._ticks % REMOTE_EVERY_TICKS == 0:
-            self._compare(self._peers.remote())
+            self._compare(self._peers.choose_remote())
 
     def _compare(self, peer: ids.InstanceId | None) -> None:
         if peer is None:
             return
         body = messages.ConfigurationSummary(
             root=self._fingerprint.root(),
-            marks_root=self._leaving.root(),
-            ready=self._judge.is_ready(),
+            marks_root=self._leaving_marks.hash_marks(),
+            ready=self._readiness_tracker.is_ready(),
             heard_seconds_ago=self._heard_seconds_ago(),
         )
         self._link.send(to=peer, body=body)
@@ -229,14 +229,14 @@
         self, sender: ids.InstanceId, body: messages.ConfigurationSummary
     ) -> None:
         self._note_heard(body.heard_seconds_ago)
-        if body.marks_root != self._leaving.root():
-            self._leaving.send_all(sender)
+        if body.marks_root != self._leaving_marks.hash_marks():
+            self._leaving_marks.send_all(sender)
         same = body.root == self._fingerprint.root()
         if not same or not body.ready:
             self._counters.add(
                 "configuration_comparisons", "fresh" if same else "differing"
             )
-            self._exchange.answer_summary(sender)
+            self._reconciliation.send_hashes(sender)
 
     def _note_heard(self, seconds_ago: float | None) -> None:
         if seconds_ago is None:
@@ -245,9 +245,9 @@
         self._heard_seconds = max(self._heard_seconds or 0.0, heard_seconds)
 
     def _heard_seconds_ago(self) -> float | None:
-        if self._watcher.heard_seconds is not None:
+        if self._watcher.last_answer_seconds is not None:
             self._note_heard(
-                self._timers.now_seconds() - self._watcher.heard_seconds
+                self._timers.now_seconds() - self._watcher.last_answer_seconds
             )
         if self._heard_seconds is None:
             return None
@@ -264,7 +264,7 @@
     )
 
 
-def _log_ready(ready: judging.Ready) -> None:
+def _log_ready(ready: tracking.Ready) -> None:
     logging.info("the configuration is ready, from the %s", ready.source)
 
 
--- a/src/boragefold/coordination/configuration/transfer.py
+++ b/src/boragefold/coordination/configuration/transfer.py
@@ -27,7 +27,7 @@
     since_seconds: float
 
 
-def split(
+def split_value(
     path: str, entry: trees.Entry, since_seconds: float
 ) -> Iterator[messages.ConfigurationValue]:
     """Split a value into chunks, each in a message of its own.
@@ -131,5 +131,5 @@
     "Assembled",
     "Assembler",
     "CHUNK_BYTES",
-    "split",
+    "split_value",
 ]
--- a/src/boragefold/coordination/configuration/watching.py
+++ b/src/boragefold/coordination/configuration/watching.py
@@ -13,7 +13,7 @@
 # Batches bursts of changes and respects the platform's rate limit.
 MIN_GAP_SECONDS = 0.25
 # Without a view every instance reads, so each one reads less often.
-ALONE_GAP_SECONDS = 2.0
+NO_VIEW_GAP_SECONDS = 2.0
 # Times out a watch whose connection has stalled.
 ANSWER_LIMIT_SECONDS = readers.WATCH_SECONDS + 5.0
 FIRST_RETRY_SECONDS = 0.5
@@ -25,7 +25,7 @@
 WHOLE_TREE = 0
 
 # Applies the changes of an answer, then calls the given callback.
-Take = Callable[
+ApplyChanges = Callable[
     [tuple[platform_api.PublishedChange, ...], Callable[[], None]], None
 ]
 
@@ -40,13 +40,13 @@
         timers: timing.TimerService,
         random: random.Random,
         counters: telemetry.Counters,
-        take: Take,
+        apply: ApplyChanges,
     ) -> None:
         self._reader = reader
         self._timers = timers
         self._random = random
         self._counters = counters
-        self._take = take
+        self._apply = apply
         self._active = False
         self._gap_seconds = MIN_GAP_SECONDS
         self._after_revision = WHOLE_TREE
@@ -54,8 +54,8 @@
         self._pending: timing.Subscription | None = None
         self._retry_seconds = FIRST_RETRY_SECONDS
         self._failing_since_seconds: float | None = None
-        self.heard_seconds: float | None = None
-        self.whole_read_seconds: float | None = None
+        self.last_answer_seconds: float | None = None
+        self.full_read_seconds: float | None = None
 
     @property
     def active(self) -> bool:
@@ -131,9 +131,9 @@
             if self._active and number == self._call_number:
                 self._fail(answer.reason)
             return
-        self.heard_seconds = self._timers.now_seconds()
+        self.last_answer_seconds = self._timers.now_seconds()
         # A late answer is safe: the tree ignores values that aren't newer.
-        self._take(
+        self._apply(
             answer.changes,
             lambda: self._on_applied(number, after_revision, answer),
         )
@@ -146,7 +146,7 @@
     ) -> None:
         now_seconds = self._timers.now_seconds()
         if after_revision == WHOLE_TREE:
-            self.whole_read_seconds = now_seconds
+            self.full_read_seconds = now_seconds
         if self._active and number == self._call_number:
             self._succeed(answer, now_seconds)
 
@@ -182,7 +182,7 @@
 
 
 __all__ = [
-    "ALONE_GAP_SECONDS",
+    "NO_VIEW_GAP_SECONDS",
     "MIN_GAP_SECONDS",
     "TreeWatcher",
 ]
--- a/tests/coordination/configuration/test_readiness.py
+++ b/tests/coordination/configuration/test_readiness.py
@@ -63,7 +63,7 @@
     # replica of the platform that lags by two minutes, while its peers answer
     # slowly. If it became ready from that replica alone, it would accept the
     # revoked key.
-    monkeypatch.setattr(service, "ALONE_SPREAD_SECONDS", 0.0)
+    monkeypatch.setattr(service, "NO_VIEW_JITTER_SECONDS", 0.0)
     scene = scenes.Scene(delay_seconds=(0.4, 0.5))
     scene.network.run_for(200.0)
     revision = scene.put_store(9)
--- a/tests/coordination/configuration/test_transfer.py
+++ b/tests/coordination/configuration/test_transfer.py
@@ -15,7 +15,7 @@
 
 def pieces(data: bytes = DATA):
     entry = trees.Entry(3, b"digest", zlib.compress(data))
-    return list(transfer.split("common/store", entry, 5.0))
+    return list(transfer.split_value("common/store", entry, 5.0))
 
 
 def test_a_large_value_arrives_whole_in_any_order_and_doubled() -> None:
@@ -33,7 +33,7 @@
 
 def test_a_deletion_travels_as_one_piece() -> None:
     entry = trees.Entry(4, trees.NO_VALUE_DIGEST, None)
-    (piece,) = transfer.split("common/store", entry, 5.0)
+    (piece,) = transfer.split_value("common/store", entry, 5.0)
     whole = transfer.Assembler().add(PEER, piece)
     assert whole is not None
     assert (whole.revision, whole.data) == (4, None)
@@ -51,7 +51,7 @@
     packed = zlib.compress(bytes(64 << 20))
     entry = trees.Entry(1, b"digest", packed)
     assembler = transfer.Assembler()
-    for piece in transfer.split("common/store", entry, 0.0):
+    for piece in transfer.split_value("common/store", entry, 0.0):
         assert assembler.add(PEER, piece) is None
 
 
