--- a/src/boragefold/demo/fleet.py
+++ b/src/boragefold/demo/fleet.py
@@ -67,7 +67,7 @@
     def start(self) -> None:
         """Start every instance."""
         for each in self.instances:
-            each.start(operators_face=False)
+            each.start(serve_operators=False)
 
     def ready(self) -> bool:
         """Tell whether every instance serves.
--- a/src/boragefold/entry/active_chat.py
+++ b/src/boragefold/entry/active_chat.py
@@ -8,7 +8,7 @@
 from boragefold.entry import answers
 from boragefold.entry import engine_answer
 from boragefold.policy import work as works
-from boragefold.protocol import chat
+from boragefold.protocol import chat as chat_messages
 from boragefold.protocol import outcome as outcomes
 from boragefold.transport import http_client
 from boragefold.transport import http_server
@@ -24,35 +24,35 @@
     """Receives the events of chat requests and decides how to proceed."""
 
     @abc.abstractmethod
-    def answered(self, live: ActiveChat) -> None:
+    def on_first_token(self, chat: ActiveChat) -> None:
         """Handle the arrival of the first token.
 
-        :param live: the chat request
+        :param chat: the chat request
         """
 
     @abc.abstractmethod
-    def completed(self, live: ActiveChat) -> None:
+    def on_completed(self, chat: ActiveChat) -> None:
         """Handle the end of a complete response.
 
-        :param live: the chat request
+        :param chat: the chat request
         """
 
     @abc.abstractmethod
-    def attempt_broken(
-        self, live: ActiveChat, reason: str, *, may_have_run: bool
+    def on_attempt_failed(
+        self, chat: ActiveChat, reason: str, *, may_have_run: bool
     ) -> None:
         """Resume, retry or fail a chat request whose attempt failed.
 
-        :param live: the chat request
+        :param chat: the chat request
         :param reason: the cause of the failure
         :param may_have_run: whether the engine may have processed the request
         """
 
     @abc.abstractmethod
-    def caller_gone(self, live: ActiveChat) -> None:
+    def on_caller_disconnected(self, chat: ActiveChat) -> None:
         """Handle the disconnection of the caller.
 
-        :param live: the chat request
+        :param chat: the chat request
         """
 
 
@@ -63,7 +63,7 @@
         self,
         *,
         work: works.Work,
-        request: chat.ChatRequest,
+        request: chat_messages.ChatRequest,
         key_digest: str,
         exchange: http_server.Exchange,
         events: ChatEvents,
@@ -105,9 +105,9 @@
         self.endpoint = endpoint
         self.attempts += 1
         self._answer = engine_answer.EngineAnswer(
-            needs=self.work.needs,
+            adapter=self.work.needs,
             next_token=self.generated_tokens,
-            reader=self,
+            observer=self,
         )
         call = http_client.Call(
             address=address,
@@ -121,13 +121,13 @@
         )
         self._answer.pending = self._client.send(call, self._answer)
 
-    def break_attempt(self, reason: str) -> None:
+    def abort_attempt(self, reason: str) -> None:
         """Cancel the running attempt and report it as failed.
 
         :param reason: the cause
         """
         self._cancel_attempt()
-        self.broken(reason, may_have_run=True)
+        self.on_failed(reason, may_have_run=True)
 
     def refuse(self, refusal: outcomes.NotRun | outcomes.Unknown) -> None:
         """Send the final response for a request without a complete result.
@@ -148,14 +148,14 @@
         else:
             answers.refuse(self._exchange, refusal, self.work.request_id)
 
-    def began(self, incarnation: str) -> None:
+    def on_accepted(self, incarnation: str) -> None:
         """Record which incarnation of the engine responds.
 
         :param incarnation: the engine's incarnation
         """
         self.incarnation = incarnation
 
-    def tokens(self, texts: list[str]) -> None:
+    def on_tokens(self, texts: list[str]) -> None:
         """Forward tokens to the caller, or collect them unless streaming.
 
         :param texts: the tokens
@@ -163,21 +163,23 @@
         first = self.generated_tokens == 0
         self.generated_tokens += len(texts)
         if first:
-            self._events.answered(self)
+            self._events.on_first_token(self)
         text = "".join(texts)
         if not self._streaming:
             self._texts.append(text)
             return
         self._start_stream()
         keeps_up = self._exchange.send(
-            chat.chunk(self.work.request_id, self.request["model"], text)
+            chat_messages.chunk(
+                self.work.request_id, self.request["model"], text
+            )
         )
         if not keeps_up and self._answer is not None:
             pending = self._answer.pending
             if pending is not None:
                 pending.pause()
 
-    def whole(self, usage: dict[str, int]) -> None:
+    def on_complete(self, usage: dict[str, int]) -> None:
         """Finish the caller's response.
 
         :param usage: token counts that the engine reports
@@ -186,13 +188,13 @@
         self.usage = usage
         if self._streaming:
             self._start_stream()
-            self._exchange.send(chat.DONE)
+            self._exchange.send(chat_messages.DONE)
             self._exchange.finish()
         else:
             self._reply_whole(usage)
-        self._events.completed(self)
+        self._events.on_completed(self)
 
-    def broken(self, reason: str, *, may_have_run: bool) -> None:
+    def on_failed(self, reason: str, *, may_have_run: bool) -> None:
         """Report a failed attempt unless the request is finished.
 
         :param reason: the cause of the failure
@@ -200,7 +202,7 @@
         """
         self._answer = None
         if not self.finished:
-            self._events.attempt_broken(
+            self._events.on_attempt_failed(
                 self, reason, may_have_run=may_have_run
             )
 
@@ -211,7 +213,7 @@
 
     def _reply_whole(self, usage: dict[str, int]) -> None:
         headers = answers.outcome_headers("ran", "", self.work.request_id)
-        body = chat.whole(
+        body = chat_messages.whole(
             self.work.request_id,
             self.request["model"],
             "".join(self._texts),
@@ -228,7 +230,7 @@
         if not self.finished:
             self.finished = True
             self._cancel_attempt()
-            self._events.caller_gone(self)
+            self._events.on_caller_disconnected(self)
 
     def _on_drained(self) -> None:
         if self._answer is not None and self._answer.pending is not None:
--- a/src/boragefold/entry/chat_assembly.py
+++ b/src/boragefold/entry/chat_assembly.py
@@ -83,43 +83,43 @@
     def __init__(
         self,
         *,
-        together: cluster_services.ClusterServices,
+        cluster: cluster_services.ClusterServices,
         client: http_client.HttpClient,
         timers: timing.TimerService,
         counters: telemetry.Counters,
         stories: telemetry_stories.Stories,
     ) -> None:
-        self._together = together
-        link = together.link
-        rights = FleetOrderRights(rights=together.views)
+        self._cluster = cluster
+        link = cluster.link
+        rights = FleetOrderRights(rights=cluster.views)
         endpoints = fleet.Endpoints()
         self._dispatcher = assembly.assemble(
             endpoints=endpoints,
-            stock=together.rates.stock,
-            load_budget=store_budget.StoreBudget(budget=together.load_budget),
+            stock=cluster.rates.stock,
+            load_budget=store_budget.StoreBudget(budget=cluster.load_budget),
             rights=rights,
-            instances=lambda: 1 + len(together.others()),
+            instances=lambda: 1 + len(cluster.others()),
             rng=random.Random(),
             counters=counters,
         )
-        self._gate = use_queue.UseQueue(
+        self._use_queue = use_queue.UseQueue(
             leases=lambda: self.orders.leases, timers=timers
         )
-        self.desk = chat_controller.ChatController(
+        self.controller = chat_controller.ChatController(
             dispatcher=self._dispatcher,
             timers=timers,
             counters=counters,
             stories=stories,
-            tell_peer=lambda tell: self.digests.tell(tell),
+            send_digest=lambda tell: self.digests.tell(tell),
             sender=chat_sender.ChatSender(
                 timers=timers,
                 counters=counters,
                 address_of=lambda name: self.reports.address_of(name),
-                gate=self._gate,
+                queue=self._use_queue,
             ),
         )
         self.reports = load_poller.LoadPoller(
-            catalogue=together.catalogue,
+            catalogue=cluster.catalogue,
             data_centre=link.self_id.data_centre,
             endpoints=endpoints,
             events=self._dispatcher.fleet,
@@ -127,34 +127,34 @@
             timers=timers,
             counters=counters,
             sampled=self._on_sample,
-            changed=self.desk.run,
+            changed=self.controller.run,
         )
         self.digests = work_digests.WorkDigests(
             link=link,
-            others=together.others,
-            neighbours=together.neighbours,
+            others=cluster.others,
+            neighbours=cluster.view_members,
             events=self._dispatcher.fleet,
             timers=timers,
-            changed=self.desk.run,
+            changed=self.controller.run,
         )
-        orderer = load_executor.LoadExecutor(
+        executor = load_executor.LoadExecutor(
             orders=lambda: self.orders,
             events=self._dispatcher.fleet,
             timers=timers,
             counters=counters,
             loaded=self.digests.tell_loaded,
-            changed=self.desk.run,
+            changed=self.controller.run,
         )
-        self.desk.orderer = orderer
+        self.controller.order_executor = executor
         self.orders = order_service.OrderService(
             peers=link,
-            rights=together.views,
+            rights=cluster.views,
             timers=timers,
             counters=counters,
             sender=order_client.HttpOrderSender(
                 client=client, address_of=self.reports.address_of
             ),
-            finished=orderer.finished,
+            finished=executor.on_order_finished,
         )
         rights.orders = self.orders
         rights.reports = self.reports
@@ -165,13 +165,13 @@
         self.reports.start()
 
     def _subscribe(self) -> None:
-        together = self._together
-        together.tree.subscribe(self._on_change)
-        together.catalogue.subscribe_leaving(lambda record: self._refresh())
-        together.catalogue.subscribe_withdrawn(self.desk.withdraw_key)
-        together.rates.stock.subscribe(lambda workspace: self.desk.run())
-        together.load_budget.subscribe(self.desk.run)
-        self.orders.leases.subscribe(self._gate.lease_came)
+        cluster = self._cluster
+        cluster.tree.subscribe(self._on_change)
+        cluster.catalogue.subscribe_leaving(lambda record: self._refresh())
+        cluster.catalogue.subscribe_withdrawn(self.controller.revoke_key)
+        cluster.rates.stock.subscribe(lambda workspace: self.controller.run())
+        cluster.load_budget.subscribe(self.controller.run)
+        self.orders.leases.subscribe(self._use_queue.on_lease_granted)
 
     def _on_change(self, change: trees.Change) -> None:
         # Other changes of the catalogue require no check of all endpoints.
--- a/src/boragefold/entry/chat_controller.py
+++ b/src/boragefold/entry/chat_controller.py
@@ -33,21 +33,21 @@
         timers: timing.TimerService,
         counters: telemetry.Counters,
         stories: telemetry_stories.Stories,
-        tell_peer: Callable[[actions.SendDigest], None],
+        send_digest: Callable[[actions.SendDigest], None],
         sender: chat_sender.ChatSender,
     ) -> None:
         self._dispatcher = dispatcher
         self._timers = timers
         self._counters = counters
         self._stories = stories
-        self._tell_peer = tell_peer
+        self._send_digest = send_digest
         self._sender = sender
         self._chats: dict[str, active_chat.ActiveChat] = {}
         self._next_run: timing.Subscription | None = None
         self._next_run_at_seconds = math.inf
         self._running = False
         self._run_again = False
-        self.orderer: order_executor.OrderExecutor | None = None
+        self.order_executor: order_executor.OrderExecutor | None = None
 
     @property
     def open_chats(self) -> int:
@@ -57,19 +57,19 @@
         """
         return len(self._chats)
 
-    def offer(self, live: active_chat.ActiveChat) -> None:
+    def submit(self, chat: active_chat.ActiveChat) -> None:
         """Submit a chat request to the dispatcher.
 
-        :param live: the chat request
+        :param chat: the chat request
         """
-        work = live.work
+        work = chat.work
         self._trace(work.request_id, "arrived", work.workspace)
-        self._chats[work.request_id] = live
+        self._chats[work.request_id] = chat
         refused = self._dispatcher.offer(
             work, idempotent=True, now_seconds=self._timers.now_seconds()
         )
         if refused is not None:
-            self._refuse(live, refused)
+            self._refuse(chat, refused)
         self.run()
 
     def run(self) -> None:
@@ -85,7 +85,7 @@
         self._running = False
         self._schedule_run()
 
-    def withdraw_key(self, digest: str) -> None:
+    def revoke_key(self, digest: str) -> None:
         """End every chat request whose API key was revoked.
 
         Queued requests are refused. Streams are aborted: otherwise the owner
@@ -94,62 +94,62 @@
         :param digest: digest of the key
         """
         revoked = [
-            live for live in self._chats.values() if live.key_digest == digest
+            chat for chat in self._chats.values() if chat.key_digest == digest
         ]
-        for live in revoked:
+        for chat in revoked:
             self._counters.add("requests_refused", "key_withdrawn")
-            self._end(live, "key_withdrawn")
+            self._end(chat, "key_withdrawn")
             self._dispatcher.cancel(
-                live.work.request_id,
-                used_tokens=_used_tokens(live),
+                chat.work.request_id,
+                used_tokens=_used_tokens(chat),
                 now_seconds=self._timers.now_seconds(),
             )
-            live.refuse(identity.key_refused())
+            chat.refuse(identity.key_refused())
         self.run()
 
-    def answered(self, live: active_chat.ActiveChat) -> None:
+    def on_first_token(self, chat: active_chat.ActiveChat) -> None:
         """Record the arrival of the first token.
 
-        :param live: the chat request
+        :param chat: the chat request
         """
         now_seconds = self._timers.now_seconds()
         self._dispatcher.first_token(
-            live.work.request_id, now_seconds=now_seconds
+            chat.work.request_id, now_seconds=now_seconds
         )
         self._counters.observe_seconds(
-            "first_token_seconds", now_seconds - live.work.arrived_at_seconds
+            "first_token_seconds", now_seconds - chat.work.arrived_at_seconds
         )
 
-    def completed(self, live: active_chat.ActiveChat) -> None:
+    def on_completed(self, chat: active_chat.ActiveChat) -> None:
         """Account for a complete response.
 
-        :param live: the chat request
+        :param chat: the chat request
         """
-        self._end(live, "ran")
+        self._end(chat, "ran")
         self._counters.add("requests_ran", "chat")
-        self._counters.add("tokens_generated", "", live.generated_tokens)
+        self._counters.add("tokens_generated", "", chat.generated_tokens)
         self._dispatcher.finished(
-            live.work.request_id,
-            used_tokens=_used_tokens(live),
+            chat.work.request_id,
+            used_tokens=_used_tokens(chat),
             now_seconds=self._timers.now_seconds(),
         )
         self.run()
 
-    def attempt_broken(
-        self, live: active_chat.ActiveChat, reason: str, *, may_have_run: bool
+    def on_attempt_failed(
+        self, chat: active_chat.ActiveChat, reason: str, *, may_have_run: bool
     ) -> None:
         """Let the dispatcher retry, resume or fail the chat request.
 
-        :param live: the chat request
+        :param chat: the chat request
         :param reason: the cause of the failure
         :param may_have_run: whether the engine may have processed the request
         """
-        request_id = live.work.request_id
+        request_id = chat.work.request_id
         now_seconds = self._timers.now_seconds()
-        self._sender.end_use(live)
+        self._sender.end_use(chat)
         self._counters.add("attempts_broken", reason)
-        self._trace(request_id, "attempt_broken", f"{live.endpoint}: {reason}")
-        if reason == chat_sender.NOT_HELD:
+        self._trace(request_id, "attempt_broken", f"{chat.endpoint}: {reason}")
+        if reason == chat_sender.ADAPTER_NOT_LOADED:
             self._dispatcher.adapter_missing(
                 request_id, now_seconds=now_seconds
             )
@@ -157,21 +157,21 @@
             self._dispatcher.failed(
                 request_id,
                 bytes_sent=may_have_run,
-                used_tokens=_used_tokens(live),
+                used_tokens=_used_tokens(chat),
                 now_seconds=now_seconds,
             )
         self.run()
 
-    def caller_gone(self, live: active_chat.ActiveChat) -> None:
+    def on_caller_disconnected(self, chat: active_chat.ActiveChat) -> None:
         """Cancel a chat request whose caller disconnected.
 
-        :param live: the chat request
+        :param chat: the chat request
         """
-        self._end(live, "caller_gone")
+        self._end(chat, "caller_gone")
         self._counters.add("requests_cancelled", "caller_gone")
         self._dispatcher.cancel(
-            live.work.request_id,
-            used_tokens=_used_tokens(live),
+            chat.work.request_id,
+            used_tokens=_used_tokens(chat),
             now_seconds=self._timers.now_seconds(),
         )
         self.run()
@@ -181,35 +181,35 @@
 
         :param send: the request, the endpoint and the number of the attempt
         """
-        live = self._chats.get(send.work.request_id)
-        if live is None:
+        chat = self._chats.get(send.work.request_id)
+        if chat is None:
             return
         self._trace(send.work.request_id, "sent", send.endpoint)
         if send.attempt > 1:
             self._counters.add("requests_retried", "attempt_broken")
-        self._sender.send(live, send.endpoint)
+        self._sender.send(chat, send.endpoint)
 
     def refuse(self, refuse: actions.Refuse) -> None:
         """Refuse a chat request, which certainly did not run.
 
         :param refuse: the request and the reason
         """
-        live = self._chats.get(refuse.work.request_id)
-        if live is not None:
-            self._refuse(live, refuse.refused)
+        chat = self._chats.get(refuse.work.request_id)
+        if chat is not None:
+            self._refuse(chat, refuse.refused)
 
     def fail(self, fail: actions.Fail) -> None:
         """Fail a chat request whose last attempt failed.
 
         :param fail: the request, and whether it may have run
         """
-        live = self._chats.get(fail.work.request_id)
-        if live is None:
+        chat = self._chats.get(fail.work.request_id)
+        if chat is None:
             return
         kind = outcomes.Unknown if fail.may_have_run else outcomes.NotRun
         self._counters.add("requests_refused", "endpoint_failed")
-        self._end(live, fail.reason)
-        live.refuse(
+        self._end(chat, fail.reason)
+        chat.refuse(
             kind(
                 status=STATUS_BAD_GATEWAY,
                 reason="endpoint_failed",
@@ -223,29 +223,29 @@
 
         :param order: the adapter and the endpoint
         """
-        if self.orderer is not None:
-            self.orderer.order(order)
+        if self.order_executor is not None:
+            self.order_executor.order(order)
 
     def drain(self, drain: actions.Drain) -> None:
         """Pass on a request to stop using an adapter at an endpoint.
 
         :param drain: the adapter and the endpoint
         """
-        if self.orderer is not None:
-            self.orderer.drain(drain)
+        if self.order_executor is not None:
+            self.order_executor.drain(drain)
 
     def send_digest(self, send_digest: actions.SendDigest) -> None:
         """Send a digest to another instance.
 
         :param send_digest: the receiver and the digest
         """
-        self._tell_peer(send_digest)
+        self._send_digest(send_digest)
 
     def _refuse(
-        self, live: active_chat.ActiveChat, refused: refusals.Refused
+        self, chat: active_chat.ActiveChat, refused: refusals.Refused
     ) -> None:
-        self._end(live, f"refused: {refused.reason}")
-        live.refuse(
+        self._end(chat, f"refused: {refused.reason}")
+        chat.refuse(
             outcomes.NotRun(
                 status=refused.status,
                 reason=refused.reason,
@@ -254,10 +254,10 @@
             )
         )
 
-    def _end(self, live: active_chat.ActiveChat, event: str) -> None:
-        self._chats.pop(live.work.request_id, None)
-        self._sender.end_use(live)
-        self._trace(live.work.request_id, event)
+    def _end(self, chat: active_chat.ActiveChat, event: str) -> None:
+        self._chats.pop(chat.work.request_id, None)
+        self._sender.end_use(chat)
+        self._trace(chat.work.request_id, event)
 
     def _trace(self, request_id: str, event: str, detail: str = "") -> None:
         self._stories.add(
@@ -284,12 +284,12 @@
         self.run()
 
 
-def _used_tokens(live: active_chat.ActiveChat) -> float:
-    if live.usage is not None:
-        return float(sum(live.usage.values()))
-    if live.generated_tokens == 0:
+def _used_tokens(chat: active_chat.ActiveChat) -> float:
+    if chat.usage is not None:
+        return float(sum(chat.usage.values()))
+    if chat.generated_tokens == 0:
         return 0.0
-    return float(live.work.prompt_tokens + live.generated_tokens)
+    return float(chat.work.prompt_tokens + chat.generated_tokens)
 
 
 __all__ = [
--- a/src/boragefold/entry/chat_handler.py
+++ b/src/boragefold/entry/chat_handler.py
@@ -9,7 +9,7 @@
 from boragefold.entry import answers
 from boragefold.entry import identity
 from boragefold.policy import work as works
-from boragefold.protocol import chat
+from boragefold.protocol import chat as chat_messages
 from boragefold.protocol import outcome as outcomes
 from boragefold.state import catalogue as catalogues
 from boragefold.telemetry import counters as telemetry
@@ -27,10 +27,10 @@
     """Schedules validated chat requests."""
 
     @abc.abstractmethod
-    def offer(self, live: active_chat.ActiveChat) -> None:
+    def submit(self, chat: active_chat.ActiveChat) -> None:
         """Submit a chat request, which will be answered or refused.
 
-        :param live: the chat request
+        :param chat: the chat request
         """
 
 
@@ -44,7 +44,7 @@
         timers: timing.TimerService,
         counters: telemetry.Counters,
         client: http_client.HttpClient,
-        desk: ChatScheduler,
+        scheduler: ChatScheduler,
         events: active_chat.ChatEvents,
         new_request_id: Callable[[], str],
     ) -> None:
@@ -52,7 +52,7 @@
         self._timers = timers
         self._counters = counters
         self._client = client
-        self._desk = desk
+        self._scheduler = scheduler
         self._events = events
         self._new_request_id = new_request_id
 
@@ -69,8 +69,8 @@
         :param caller: the caller, identified by its API key
         """
         request_id = self._new_request_id()
-        parsed = chat.parse(request.body)
-        if isinstance(parsed, chat.BadChatRequest):
+        parsed = chat_messages.parse(request.body)
+        if isinstance(parsed, chat_messages.BadChatRequest):
             refusal = outcomes.NotRun(
                 status=STATUS_BAD_REQUEST,
                 reason=parsed.reason,
@@ -83,7 +83,7 @@
             self._refuse(exchange, needs, request_id)
             return
         work = self._work(request_id, request, parsed, caller, needs)
-        live = active_chat.ActiveChat(
+        chat = active_chat.ActiveChat(
             work=work,
             request=parsed,
             key_digest=caller.digest,
@@ -91,12 +91,12 @@
             events=self._events,
             client=self._client,
         )
-        self._desk.offer(live)
+        self._scheduler.submit(chat)
 
     def _resolve(
         self, caller: identity.Caller, model: str
     ) -> works.AdapterVersion | outcomes.NotRun:
-        target = chat.target(model)
+        target = chat_messages.target(model)
         if self._catalogue.model(target.name) is not None:
             return works.AdapterVersion(target.name, "", "")
         record = self._catalogue.adapter(
@@ -121,7 +121,7 @@
         self,
         request_id: str,
         request: http_server.Request,
-        parsed: chat.ChatRequest,
+        parsed: chat_messages.ChatRequest,
         caller: identity.Caller,
         needs: works.AdapterVersion,
     ) -> works.Work:
@@ -133,7 +133,7 @@
             request_id=request_id,
             workspace=settings.workspace,
             needs=needs,
-            prompt_tokens=chat.estimate_tokens(parsed),
+            prompt_tokens=chat_messages.estimate_tokens(parsed),
             max_tokens=min(wanted, settings.max_tokens),
             arrived_at_seconds=now_seconds,
             give_up_at_seconds=now_seconds + deadline,
--- a/src/boragefold/entry/cluster_services.py
+++ b/src/boragefold/entry/cluster_services.py
@@ -142,7 +142,7 @@
             if member != self.link.self_id
         ]
 
-    def neighbours(self) -> list[ids.InstanceId]:
+    def view_members(self) -> list[ids.InstanceId]:
         """List the other members of this instance's view.
 
         :return: instances of the same data centre
--- a/src/boragefold/entry/engine_answer.py
+++ b/src/boragefold/entry/engine_answer.py
@@ -23,28 +23,28 @@
     """Receives the validated tokens of one attempt."""
 
     @abc.abstractmethod
-    def began(self, incarnation: str) -> None:
+    def on_accepted(self, incarnation: str) -> None:
         """Record that the engine accepted the request.
 
         :param incarnation: of the engine
         """
 
     @abc.abstractmethod
-    def tokens(self, texts: list[str]) -> None:
+    def on_tokens(self, texts: list[str]) -> None:
         """Process tokens that arrived together, in order and without a gap.
 
         :param texts: at least one
         """
 
     @abc.abstractmethod
-    def whole(self, usage: dict[str, int]) -> None:
+    def on_complete(self, usage: dict[str, int]) -> None:
         """Record that the response is complete.
 
         :param usage: token counts as reported by the engine
         """
 
     @abc.abstractmethod
-    def broken(self, reason: str, *, may_have_run: bool) -> None:
+    def on_failed(self, reason: str, *, may_have_run: bool) -> None:
         """Record that this attempt failed.
 
         :param reason: ``adapter_not_resident``, ``wrong_adapter``,
@@ -67,13 +67,13 @@
     def __init__(
         self,
         *,
-        needs: works.AdapterVersion,
+        adapter: works.AdapterVersion,
         next_token: int,
-        reader: AttemptObserver,
+        observer: AttemptObserver,
     ) -> None:
-        self._needs = needs
+        self._adapter = adapter
         self._next_token = next_token
-        self._reader = reader
+        self._observer = observer
         self._buffer = b""
         self._usage: dict[str, int] | None = None
         self._done = False
@@ -93,7 +93,7 @@
         elif status != STATUS_OK:
             self._fail("engine_error", may_have_run=True)
         else:
-            self._reader.began(headers.get("engine-incarnation", ""))
+            self._observer.on_accepted(headers.get("engine-incarnation", ""))
 
     def data(self, data: bytes) -> None:
         """Validate the events that are complete and pass their tokens on.
@@ -111,7 +111,7 @@
             filter(None, (self._read_event(e, texts) for e in events)), ""
         )
         if texts:
-            self._reader.tokens(texts)
+            self._observer.on_tokens(texts)
         if fault:
             self._fail(fault, may_have_run=True)
 
@@ -124,7 +124,7 @@
             self._fail("cut", may_have_run=True)
             return
         self._ended = True
-        self._reader.whole(self._usage)
+        self._observer.on_complete(self._usage)
 
     def failed(self, failure: http_client.Failure) -> None:
         """Report a failed connection as a failed attempt.
@@ -150,7 +150,7 @@
 
     def _read_token(self, event: chat.EngineEvent, texts: list[str]) -> str:
         received = (event.adapter, event.version)
-        if received != (self._needs.adapter, self._needs.version):
+        if received != (self._adapter.adapter, self._adapter.version):
             return "wrong_adapter"
         if event.index != self._next_token:
             return "crossed"
@@ -162,7 +162,7 @@
         self._ended = True
         if self.pending is not None:
             self.pending.cancel()
-        self._reader.broken(reason, may_have_run=may_have_run)
+        self._observer.on_failed(reason, may_have_run=may_have_run)
 
 
 _DECODER = msgspec.json.Decoder(chat.EngineEvent)
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -162,7 +162,7 @@
         self._ownership = ownerships.Ownership(
             self_id=self._link.self_id,
             members=self._members,
-            leaving=lambda: self.stopping.begun,
+            leaving=lambda: self.shutdown.has_begun,
             avoids=lambda engine: self._owner.avoids(engine),
         )
         self._owner = self._make_owner(engines)
@@ -189,13 +189,13 @@
             limits=self._limits,
             ready=self.ready,
         )
-        self.stopping = shutdown.GracefulShutdown(
+        self.shutdown = shutdown.GracefulShutdown(
             timers=self.timers,
             notice_seconds=STOP_NOTICE_SECONDS,
             hand_over=self._stop_accepting,
-            finished=lambda: self._listeners.callers.close_idle() == 0,
+            is_finished=lambda: self._listeners.callers.close_idle() == 0,
             stop=self._stop,
-            say=lambda step: self.log.write("stopping", step=step),
+            log_step=lambda step: self.log.write("stopping", step=step),
             limit_seconds=settings.stop_seconds - STOP_MARGIN_SECONDS,
         )
         self._reloading = settings_reload.SettingsReloader(
@@ -214,7 +214,7 @@
         """
         settings = self.settings
         self._listeners.listen(settings)
-        self.stopping.register(self.loop)
+        self.shutdown.register(self.loop)
         self._reloading.register(self.loop)
         self._reloading.start()
         self._members.subscribe(
@@ -242,7 +242,7 @@
         :return: whether it has a deployment and isn't stopping
         """
         known = self._fleet.deployment is not None
-        return known and not self.stopping.begun
+        return known and not self.shutdown.has_begun
 
     def _apply_settings(
         self, settings: gateway_settings.GatewaySettings
@@ -258,7 +258,7 @@
     def _make_beat(self) -> messages.Beat:
         return messages.Beat(
             uptime_seconds=self._members.uptime_seconds,
-            leaving=self.stopping.begun,
+            leaving=self.shutdown.has_begun,
             told=dict(self._items.told),
             engines=self._owner.statuses(),
             avoids=self._owner.avoided(),
--- a/src/boragefold/entry/instance.py
+++ b/src/boragefold/entry/instance.py
@@ -61,7 +61,7 @@
         self._client = http_client.HttpClient(
             sockets_=self._sockets, timers=self.timers
         )
-        self.together = cluster_services.ClusterServices(
+        self.cluster = cluster_services.ClusterServices(
             link=self._make_link(),
             reader=platform_client.PlatformClient(
                 client=self._client, address=settings.platform
@@ -70,8 +70,8 @@
             counters=self.counters,
             seeds=[seed_id(seed) for seed in settings.seeds],
         )
-        self.traffic = chat_assembly.ChatAssembly(
-            together=self.together,
+        self.chats = chat_assembly.ChatAssembly(
+            cluster=self.cluster,
             client=self._client,
             timers=self.timers,
             counters=self.counters,
@@ -82,25 +82,25 @@
             application=self._make_router(),
             counters=self.counters,
         )
-        self.stopping = shutdown.GracefulShutdown(
+        self.shutdown = shutdown.GracefulShutdown(
             timers=self.timers,
             notice_seconds=settings.stop_notice_seconds,
             hand_over=self._hand_over,
-            finished=self._is_finished,
+            is_finished=self._is_finished,
             stop=self._stop,
-            say=lambda step: logging.info("stopping: %s", step),
+            log_step=lambda step: logging.info("stopping: %s", step),
         )
 
-    def start(self, *, operators_face: bool = True) -> None:
+    def start(self, *, serve_operators: bool = True) -> None:
         """Bind the ports and begin to exchange messages with peers.
 
-        :param operators_face: whether to serve the operators' port and handle
+        :param serve_operators: whether to serve the operators' port and handle
             signals, which only one instance of a process can do
         """
         host, port = serve_settings.split_address(self.settings.listen)
         self._callers.listen(host=host, port=port, tls=self._tls())
-        if operators_face:
-            self.stopping.register(self.loop)
+        if serve_operators:
+            self.shutdown.register(self.loop)
             host, port = serve_settings.split_address(
                 self.settings.operators_listen
             )
@@ -108,26 +108,26 @@
                 root=self.loop,
                 host=host,
                 port=port,
-                inside=self._inspection(),
+                state=self._instance_status(),
             )
-        self.together.start()
-        self.traffic.start()
+        self.cluster.start()
+        self.chats.start()
 
     def ready(self) -> bool:
         """Tell whether the balancer should send requests to this instance.
 
         :return: whether it should
         """
-        return self._serving() and not self.stopping.begun
+        return self._serving() and not self.shutdown.has_begun
 
-    def _inspection(self) -> instance_status.InstanceStatus:
+    def _instance_status(self) -> instance_status.InstanceStatus:
         return instance_status.InstanceStatus(
-            together=self.together,
-            desk=self.traffic.desk,
+            cluster=self.cluster,
+            chats=self.chats.controller,
             counters=self.counters,
             stories=self.stories,
             is_ready=self.ready,
-            is_stopping=lambda: self.stopping.begun,
+            is_stopping=lambda: self.shutdown.has_begun,
         )
 
     def _serving(self) -> bool:
@@ -136,10 +136,7 @@
         # count: the balancer would drop all instances of a partitioned data
         # centre.
         now_seconds = self.timers.now_seconds()
-        if (
-            self._joined_at_seconds is None
-            and self.together.views.valid_view()
-        ):
+        if self._joined_at_seconds is None and self.cluster.views.valid_view():
             self._joined_at_seconds = now_seconds
         return (
             self._joined_at_seconds is not None
@@ -149,7 +146,7 @@
 
     def _configured(self) -> bool:
         return isinstance(
-            self.together.configuration.readiness(), readiness.Ready
+            self.cluster.configuration.readiness(), readiness.Ready
         )
 
     def _make_link(self) -> peer_link.ZmqPeerLink:
@@ -170,33 +167,33 @@
         return link
 
     def _make_router(self) -> routers.Router:
-        together = self.together
+        cluster = self.cluster
         chats = chat_handler.ChatHandler(
-            catalogue=together.catalogue,
+            catalogue=cluster.catalogue,
             timers=self.timers,
             counters=self.counters,
             client=self._client,
-            desk=self.traffic.desk,
-            events=self.traffic.desk,
+            scheduler=self.chats.controller,
+            events=self.chats.controller,
             new_request_id=new_request_id,
         )
         tickets = ticket_handler.TicketHandler(
             timers=self.timers,
             counters=self.counters,
-            ticket_issuer=together.ticket_issuer,
-            runner=together.runner,
+            ticket_issuer=cluster.ticket_issuer,
+            runner=cluster.runner,
             new_request_id=new_request_id,
         )
         services = service_handler.ServiceHandler(
             data_centre=self.settings.data_centre,
-            catalogue=together.catalogue,
+            catalogue=cluster.catalogue,
             counters=self.counters,
             client=self._client,
             tickets=tickets,
             new_request_id=new_request_id,
         )
         return routers.Router(
-            catalogue=together.catalogue,
+            catalogue=cluster.catalogue,
             counters=self.counters,
             chats=chats,
             services=services,
@@ -217,12 +214,12 @@
     def _hand_over(self) -> None:
         self._left_at_seconds = self.timers.now_seconds()
         self._callers.stop_listening()
-        self.together.leave()
+        self.cluster.leave()
 
     def _is_finished(self) -> bool:
         served = (
             self._callers.close_idle() == 0
-            and self.together.runner.open_attempts == 0
+            and self.cluster.runner.open_attempts == 0
         )
         return served and self._has_left()
 
@@ -230,11 +227,11 @@
         # Without a steward no view is published that omits this instance; its
         # leases have expired by the time limit.
         waited_seconds = self.timers.now_seconds() - self._left_at_seconds
-        left = self.together.views.has_left
+        left = self.cluster.views.has_left
         return left or waited_seconds > LEAVE_LIMIT_SECONDS
 
     def _stop(self) -> None:
-        self.together.link.close()
+        self.cluster.link.close()
         self.loop.stop()
 
 
--- a/src/boragefold/entry/instance_status.py
+++ b/src/boragefold/entry/instance_status.py
@@ -19,15 +19,15 @@
     def __init__(
         self,
         *,
-        together: cluster_services.ClusterServices,
-        desk: chat_controller.ChatController,
+        cluster: cluster_services.ClusterServices,
+        chats: chat_controller.ChatController,
         counters: telemetry.Counters,
         stories: telemetry_stories.Stories,
         is_ready: Callable[[], bool],
         is_stopping: Callable[[], bool],
     ) -> None:
-        self._together = together
-        self._desk = desk
+        self._cluster = cluster
+        self._chats = chats
         self._counters = counters
         self._stories = stories
         self._is_ready = is_ready
@@ -45,10 +45,10 @@
 
         :return: values that can be encoded as JSON
         """
-        view = self._together.views.valid_view()
-        configuration = self._together.configuration.status()
+        view = self._cluster.views.valid_view()
+        configuration = self._cluster.configuration.status()
         return {
-            "instance": self._together.link.self_id,
+            "instance": self._cluster.link.self_id,
             "ready": self._is_ready(),
             "readiness": configuration.readiness,
             "stopping": self._is_stopping(),
@@ -63,11 +63,11 @@
                 },
             },
             "view": view,
-            "view_valid_for_seconds": self._together.views.valid_for_seconds(),
-            "is_steward": self._together.views.is_leader,
-            "adapters": len(self._together.catalogue.adapters),
-            "open_chats": self._desk.open_chats,
-            "tickets_recorded": len(self._together.register),
+            "view_valid_for_seconds": self._cluster.views.valid_for_seconds(),
+            "is_steward": self._cluster.views.is_leader,
+            "adapters": len(self._cluster.catalogue.adapters),
+            "open_chats": self._chats.open_chats,
+            "tickets_recorded": len(self._cluster.register),
         }
 
     def metrics(self) -> bytes:
@@ -98,7 +98,7 @@
         :return: values that can be encoded as JSON; None for a time before
             the recorded history
         """
-        history = self._together.history
+        history = self._cluster.history
         if at_seconds is not None:
             records = history.at(at_seconds)
         else:
--- a/src/boragefold/entry/load_executor.py
+++ b/src/boragefold/entry/load_executor.py
@@ -64,7 +64,9 @@
         if held is not None:
             held.evict(drain.drain.adapter)
 
-    def finished(self, order: sending.Order, outcome: sending.Outcome) -> None:
+    def on_order_finished(
+        self, order: sending.Order, outcome: sending.Outcome
+    ) -> None:
         """Process the outcome of an order.
 
         :param order: the order
--- a/src/boragefold/entry/operators.py
+++ b/src/boragefold/entry/operators.py
@@ -14,7 +14,7 @@
 STATUS_UNAVAILABLE = 503
 CHANNEL = "operators"
 JSON = "application/json"
-PLAIN = "text/plain; version=0.0.4"
+PROMETHEUS_TEXT = "text/plain; version=0.0.4"
 
 
 class InstanceState(abc.ABC):
@@ -69,9 +69,9 @@
 
     channel = "/"
 
-    def __init__(self, *, inside: InstanceState) -> None:
+    def __init__(self, *, state: InstanceState) -> None:
         super().__init__()
-        self._inside = inside
+        self._state = state
 
     def health(self) -> str:
         """Answer the liveness probe.
@@ -85,7 +85,7 @@
 
         :return: plain text
         """
-        if self._inside.ready():
+        if self._state.ready():
             return "ready\n"
         self.response.status = STATUS_UNAVAILABLE
         return "not ready\n"
@@ -95,15 +95,15 @@
 
         :return: Prometheus text
         """
-        self.response.headers["Content-Type"] = PLAIN
-        return self._inside.metrics().decode()
+        self.response.headers["Content-Type"] = PROMETHEUS_TEXT
+        return self._state.metrics().decode()
 
     def status(self) -> str:
         """Return the current state of the instance.
 
         :return: JSON
         """
-        return self._json(self._inside.status())
+        return self._json(self._state.status())
 
     def explain(self, request_id: str = "") -> str:
         """Return the recorded events of one request.
@@ -111,7 +111,7 @@
         :param request_id: from the response's header
         :return: JSON
         """
-        return self._json(self._inside.explain(request_id))
+        return self._json(self._state.explain(request_id))
 
     def audit(self, path: str = "", at: str = "") -> str:
         """Return the configuration that was in force.
@@ -126,7 +126,7 @@
             self.response.status = STATUS_BAD_REQUEST
             return self._json({"remedy": "write at as 2026-12-01T10:00:00Z"})
         at_seconds = None if moment is None else moment.timestamp()
-        return self._json(self._inside.audit(path, at_seconds))
+        return self._json(self._state.audit(path, at_seconds))
 
     def _json(self, data: Any) -> str:
         self.response.headers["Content-Type"] = JSON
@@ -138,18 +138,18 @@
     root: circuits.BaseComponent,
     host: str,
     port: int,
-    inside: InstanceState,
+    state: InstanceState,
 ) -> None:
     """Start the operators' HTTP server on the event loop.
 
     :param root: the event loop
     :param host: the IP number to bind
     :param port: the port
-    :param inside: reads the state of the instance
+    :param state: reads the state of the instance
     """
     server = web.Server((host, port), channel=CHANNEL, display_banner=False)
     server.register(root)
-    OperatorsController(inside=inside).register(server)
+    OperatorsController(state=state).register(server)
 
 
 __all__ = [
--- a/src/boragefold/entry/shutdown.py
+++ b/src/boragefold/entry/shutdown.py
@@ -32,9 +32,9 @@
         timers: timing.TimerService,
         notice_seconds: float,
         hand_over: Callable[[], None],
-        finished: Callable[[], bool],
+        is_finished: Callable[[], bool],
         stop: Callable[[], None],
-        say: Callable[[str], None],
+        log_step: Callable[[str], None],
         limit_seconds: float | None = None,
     ) -> None:
         """Create a shutdown that waits for the signal.
@@ -42,9 +42,9 @@
         :param timers: the process clock
         :param notice_seconds: how long connections are still accepted
         :param hand_over: releases leases and closes the listening sockets
-        :param finished: tells whether nothing is left to finish
+        :param is_finished: tells whether nothing is left to finish
         :param stop: ends the event loop
-        :param say: logs each step
+        :param log_step: logs each step
         :param limit_seconds: time after the signal at which the process ends
             even if requests still run; None waits for as long as they do
         """
@@ -54,16 +54,16 @@
         self._timers = timers
         self._notice_seconds = notice_seconds
         self._hand_over = hand_over
-        self._finished = finished
+        self._is_finished = is_finished
         self._stop_loop = stop
-        self._log_step = say
-        self.begun = False
+        self._log_step = log_step
+        self.has_begun = False
 
     def begin(self) -> None:
         """Begin the shutdown; further calls change nothing."""
-        if self.begun:
+        if self.has_begun:
             return
-        self.begun = True
+        self.has_begun = True
         self._begun_at_seconds = self._timers.now_seconds()
         self._log_step("not ready, accepting for a while longer")
         self._timers.once(
@@ -84,7 +84,7 @@
         self._timers.every(period_seconds=CHECK_SECONDS, callback=self._check)
 
     def _check(self) -> None:
-        if self._finished():
+        if self._is_finished():
             self._log_step("finished")
             self._stop_loop()
         elif self._is_over_limit():
--- a/src/boragefold/entry/use_queue.py
+++ b/src/boragefold/entry/use_queue.py
@@ -25,8 +25,8 @@
 
     target: order_messages.Target
     deadline_seconds: float
-    granted: Callable[[lease_client.Use], None]
-    refused: Callable[[str], None]
+    on_granted: Callable[[lease_client.Use], None]
+    on_refused: Callable[[str], None]
 
 
 class UseQueue:
@@ -43,32 +43,32 @@
         self._queue: list[QueuedUse] = []
         timers.every(period_seconds=CHECK_SECONDS, callback=self._retry_all)
 
-    def enter(
+    def start(
         self,
         *,
         endpoint: str,
         adapter: works.AdapterVersion,
-        granted: Callable[[lease_client.Use], None],
-        refused: Callable[[str], None],
+        on_granted: Callable[[lease_client.Use], None],
+        on_refused: Callable[[str], None],
     ) -> None:
         """Start a use, now or when the lease is granted.
 
         :param endpoint: its name
         :param adapter: the adapter to use
-        :param granted: called with the use, perhaps inside this call
-        :param refused: called later with the reason; nothing may be sent
+        :param on_granted: called with the use, perhaps inside this call
+        :param on_refused: called later with the reason; nothing may be sent
         """
         weights = order_messages.Weights(*adapter)
         queued = QueuedUse(
             target=order_messages.Target(endpoint, weights),
             deadline_seconds=self._timers.now_seconds() + MAX_WAIT_SECONDS,
-            granted=granted,
-            refused=refused,
+            on_granted=on_granted,
+            on_refused=on_refused,
         )
         self._queue.append(queued)
         self._try_start(queued)
 
-    def lease_came(self, target: order_messages.Target) -> None:
+    def on_lease_granted(self, target: order_messages.Target) -> None:
         """Start the uses that waited for a lease.
 
         :param target: the endpoint and adapter of the lease
@@ -77,10 +77,10 @@
             if queued.target == target:
                 self._try_start(queued)
 
-    def leave(self, use: lease_client.Use) -> None:
+    def end(self, use: lease_client.Use) -> None:
         """End a use.
 
-        :param use: from ``granted``
+        :param use: from ``on_granted``
         """
         self._leases().finish(use)
 
@@ -96,7 +96,7 @@
             # begin() may have started this use through a callback already.
             if queued in self._queue:
                 self._queue.remove(queued)
-                queued.granted(use)
+                queued.on_granted(use)
             else:
                 self._leases().finish(use)
             return
@@ -108,7 +108,7 @@
         if queued in self._queue:
             self._queue.remove(queued)
             self._timers.once(
-                delay_seconds=0.0, callback=lambda: queued.refused(reason)
+                delay_seconds=0.0, callback=lambda: queued.on_refused(reason)
             )
 
 
--- a/tests/entry/test_engine_answer.py
+++ b/tests/entry/test_engine_answer.py
@@ -17,16 +17,16 @@
         self.texts = []
         self.ended = None
 
-    def began(self, incarnation):
+    def on_accepted(self, incarnation):
         pass
 
-    def tokens(self, texts):
+    def on_tokens(self, texts):
         self.texts += texts
 
-    def whole(self, usage):
+    def on_complete(self, usage):
         self.ended = "whole"
 
-    def broken(self, reason, *, may_have_run):
+    def on_failed(self, reason, *, may_have_run):
         self.ended = (reason, may_have_run)
 
 
@@ -48,7 +48,7 @@
 def read(*pieces, next_token=0):
     reader = Reader()
     answer = engine_answer.EngineAnswer(
-        needs=NEEDS, next_token=next_token, reader=reader
+        adapter=NEEDS, next_token=next_token, observer=reader
     )
     answer.head(200, {"engine-incarnation": "i"})
     for piece in pieces:
@@ -104,7 +104,7 @@
 def test_a_refused_connection_did_not_run():
     reader = Reader()
     answer = engine_answer.EngineAnswer(
-        needs=NEEDS, next_token=0, reader=reader
+        adapter=NEEDS, next_token=0, observer=reader
     )
     answer.failed(
         http_client.Failure(reason="refused", may_have_arrived=False)
