--- a/src/boragefold/entry/active_chat.py
+++ b/src/boragefold/entry/active_chat.py
@@ -146,7 +146,7 @@
             )
             self._exchange.abort()
         else:
-            answers.refuse(self._exchange, refusal, self.work.request_id)
+            answers.send_error(self._exchange, refusal, self.work.request_id)
 
     def on_accepted(self, incarnation: str) -> None:
         """Record which incarnation of the engine responds.
--- a/src/boragefold/entry/answer_deadline.py
+++ b/src/boragefold/entry/answer_deadline.py
@@ -11,7 +11,9 @@
 MAX_MARGIN_SECONDS = 0.1
 
 
-def ends_at_seconds(admitted: request_context.AdmittedRequest) -> float:
+def compute_deadline_seconds(
+    admitted: request_context.AdmittedRequest,
+) -> float:
     """Compute when the gateway stops waiting for the response to a request.
 
     :param admitted: the request
@@ -30,5 +32,5 @@
 
 __all__ = [
     "MARGIN_SECONDS",
-    "ends_at_seconds",
+    "compute_deadline_seconds",
 ]
--- a/src/boragefold/entry/answer_times.py
+++ b/src/boragefold/entry/answer_times.py
@@ -29,7 +29,7 @@
         self.first_event_seconds: float | None = None
         self.longest_pause_seconds = 0.0
 
-    def passed(self, *, now_seconds: float) -> None:
+    def record_chunk(self, *, now_seconds: float) -> None:
         """Record that a chunk was forwarded.
 
         :param now_seconds: reading of the process clock
--- a/src/boragefold/entry/answers.py
+++ b/src/boragefold/entry/answers.py
@@ -50,7 +50,7 @@
     return msgspec.json.encode({"error": error})
 
 
-def refuse(
+def send_error(
     exchange: http_server.Exchange,
     refusal: outcomes.NotRun | outcomes.Unknown,
     request_id: str,
@@ -78,5 +78,5 @@
     "JSON",
     "error_body",
     "outcome_headers",
-    "refuse",
+    "send_error",
 ]
--- a/src/boragefold/entry/attempt.py
+++ b/src/boragefold/entry/attempt.py
@@ -98,9 +98,9 @@
         if self._try_retry(facts):
             self._retry_at_end = True
         elif not facts.not_run and not self._is_invalid(facts):
-            self._forwarded = self._forwarding.pass_head(status, headers)
+            self._forwarded = self._forwarding.forward_headers(status, headers)
             if self._forwarded:
-                self._forwarding.attempt_answering()
+                self._forwarding.on_answer_started()
 
     def data(self, data: bytes) -> None:
         """Forward a chunk of the response body.
@@ -108,25 +108,25 @@
         :param data: the chunk
         """
         if self._forwarded:
-            self._forwarding.pass_data(data)
+            self._forwarding.forward_data(data)
 
     def end(self) -> None:
         """Finish the request, or try another endpoint."""
         facts = self._facts
-        if facts is None or self._forwarding.over:
+        if facts is None or self._forwarding.finished:
             return
         if facts.not_run:
-            self._forwarding.attempt_rejected(self._record.name, facts)
+            self._forwarding.on_attempt_rejected(self._record.name, facts)
         elif self._retry_at_end:
             self._forwarding.begin()
         elif self._is_invalid(facts):
             self._forwarding.refuse(refusals.UNKNOWN, "answer_unfit")
         elif not self._forwarded:
-            self._forwarding.attempt_failed(
+            self._forwarding.on_attempt_failed(
                 self._record.name, "resume_failed", may_have_run=True
             )
         else:
-            self._forwarding.pass_end(self._status)
+            self._forwarding.forward_end(self._status)
 
     def failed(self, failure: http_client.Failure) -> None:
         """Handle the failure to receive a complete response.
@@ -135,12 +135,14 @@
         """
         if not self._result_recorded:
             self._record_result(failed=True)
-        if self._forwarding.over:
+        if self._forwarding.finished:
             return
         if self.rejected and self._facts is not None:
-            self._forwarding.attempt_rejected(self._record.name, self._facts)
+            self._forwarding.on_attempt_rejected(
+                self._record.name, self._facts
+            )
         else:
-            self._forwarding.attempt_failed(
+            self._forwarding.on_attempt_failed(
                 self._record.name,
                 failure.reason,
                 may_have_run=failure.may_have_arrived,
@@ -152,11 +154,9 @@
             return False
         if self._status not in SERVER_ERRORS:
             return False
-        if not self._forwarding.has_untried():
+        if not self._forwarding.can_try_another():
             return False
-        return self._forwarding.may_repeat(
-            self._record.name, may_have_run=True
-        )
+        return self._forwarding.try_retry(self._record.name, may_have_run=True)
 
     def _is_invalid(self, facts: dialects.AnswerFacts) -> bool:
         # A success without a signature, or an unconfirmed "not run" status.
--- a/src/boragefold/entry/caller_answer.py
+++ b/src/boragefold/entry/caller_answer.py
@@ -57,7 +57,7 @@
             return self._admitted.request.last_event_id
         return self._events.last_event_id
 
-    def pass_head(self, status: int, headers: dict[str, str]) -> bool:
+    def forward_headers(self, status: int, headers: dict[str, str]) -> bool:
         """Forward the response headers unless headers were already sent.
 
         :param status: status of the endpoint's response
@@ -80,7 +80,7 @@
         self._exchange.start(status, forwarded)
         return True
 
-    def pass_data(self, data: bytes) -> bool:
+    def forward_data(self, data: bytes) -> bool:
         """Forward a chunk of an endpoint's response.
 
         :param data: the chunk
@@ -93,25 +93,27 @@
             # of another endpoint would be joined to it.
             data = self._events.feed(data)
         if data:
-            self.times.passed(now_seconds=self._shared.timers.now_seconds())
+            self.times.record_chunk(
+                now_seconds=self._shared.timers.now_seconds()
+            )
         keeps_up = self._exchange.send(data)
         return keeps_up or self._exchange.finished or not data
 
-    def pass_end(self) -> None:
+    def forward_end(self) -> None:
         """Finish the caller's response, or abort it if it is incomplete."""
         if not self._accepted:
-            self.break_off()
+            self.abort()
             return
         if self._events is not None:
-            self._exchange.send(self._events.rest())
+            self._exchange.send(self._events.take_partial())
         self._exchange.finish()
 
-    def drop_torn_event(self) -> None:
+    def discard_partial_event(self) -> None:
         """Discard a partially received event."""
         if self._events is not None and self.started:
-            self._events.drop_torn()
+            self._events.discard_partial()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, so that the caller sees a truncated response.
 
         After a normal close the response would look complete.
@@ -128,9 +130,9 @@
         :param retry_after_seconds: when to retry, where a retry helps
         """
         if self.started:
-            self.break_off()
+            self.abort()
             return
-        refusals.write(
+        refusals.send_error(
             self._exchange,
             kind,
             reason,
--- a/src/boragefold/entry/chat_handler.py
+++ b/src/boragefold/entry/chat_handler.py
@@ -148,7 +148,7 @@
         request_id: str,
     ) -> None:
         self._counters.add("requests_refused", refusal.reason)
-        answers.refuse(exchange, refusal, request_id)
+        answers.send_error(exchange, refusal, request_id)
 
 
 def read_deadline_seconds(
--- a/src/boragefold/entry/engine_forwarding.py
+++ b/src/boragefold/entry/engine_forwarding.py
@@ -63,9 +63,9 @@
     def begin(self) -> None:
         """Ask for the best available engine, or refuse the request."""
         self._release_engine()
-        if self.over:
+        if self.finished:
             return
-        if not self.still_allowed():
+        if not self.is_key_valid():
             self.refuse(refusals.NO_KEY, "key_withdrawn")
             return
         engine = self._next_engine()
@@ -88,7 +88,7 @@
                 delay_seconds=RETRY_SECONDS, callback=self.begin
             )
 
-    def has_untried(self) -> bool:
+    def can_try_another(self) -> bool:
         """Check whether the request may be sent to a further engine.
 
         :return: whether the route allows it
@@ -105,13 +105,13 @@
         :param version: of the adapter, 0 for any
         :param waits: how long it waited in the owner's queue, by cause
         """
-        if self.over:
+        if self.finished:
             return
         self._queue_times = waits
         record = self.shared.fleet.endpoint(engine)
         if record is None or record.leaving:
             self.begin()
-        elif not self.still_allowed():
+        elif not self.is_key_valid():
             self.refuse(refusals.NO_KEY, "key_withdrawn")
         else:
             self._queue_seconds.clear()
@@ -132,7 +132,7 @@
         :param wait_seconds: estimated time in the queue, for a request that
             was refused since it asked not to be queued
         """
-        if self.over:
+        if self.finished:
             return
         self.shared.log.write_ordinary(
             "engine_refused",
@@ -151,7 +151,7 @@
             self._retry_after_seconds = retry_after_seconds
         self.begin()
 
-    def wait_fields(self) -> dict[str, Any]:
+    def queue_time_fields(self) -> dict[str, Any]:
         """Break down the time before the last attempt, for the log.
 
         :return: seconds and counts, by name
@@ -165,11 +165,11 @@
             "turn_wait_seconds": round(waits.capacity_seconds, 4),
         }
 
-    def attempt_answering(self) -> None:
+    def on_answer_started(self) -> None:
         """Tell the engine's owner that the response has started."""
         self._asker.started(self.admitted.request.request_id, self._engine)
 
-    def attempt_rejected(
+    def on_attempt_rejected(
         self, endpoint: str, facts: dialects.AnswerFacts
     ) -> None:
         """Retry or refuse after an engine rejected the request.
@@ -189,7 +189,7 @@
             self._not_loaded_count += 1
             if self._not_loaded_count < MAX_NOT_LOADED:
                 self._tried.remove(endpoint)
-        if self.may_repeat(endpoint, may_have_run=False):
+        if self.try_retry(endpoint, may_have_run=False):
             self.begin()
         else:
             reason = "adapter_missing" if facts.not_held else "engine_full"
@@ -207,7 +207,7 @@
                 engine.name
                 for engine in ranked
                 if engine.name not in self._tried
-                and self.may_go_to(engine.name)
+                and self.may_send_to(engine.name)
             ),
             None,
         )
@@ -241,7 +241,7 @@
             priority=priority,
             start_deadline_seconds=self._start_deadline_seconds(),
             queue_deadline_seconds=self._queue_deadline_seconds(),
-            end_deadline_seconds=self.ends_at_seconds + END_MARGIN_SECONDS,
+            end_deadline_seconds=self.deadline_seconds + END_MARGIN_SECONDS,
             eager=eager,
             event_gap_seconds=admitted.route.event_gap_seconds,
         )
@@ -257,7 +257,7 @@
             + max_wait_seconds
             - answer_deadline.MARGIN_SECONDS
         )
-        return min(self.ends_at_seconds, first_event_at_seconds)
+        return min(self.deadline_seconds, first_event_at_seconds)
 
     def _may_retry(self) -> bool:
         now_seconds = self.shared.timers.now_seconds()
@@ -275,7 +275,7 @@
             self.admitted.request.request_id, engine, not_held=not_held
         )
 
-    def _ended(self) -> None:
+    def _on_finished(self) -> None:
         self._release_engine()
 
 
--- a/src/boragefold/entry/event_stream.py
+++ b/src/boragefold/entry/event_stream.py
@@ -24,13 +24,13 @@
         self._partial += data
         end = self._partial.rfind(EVENT_END)
         if end < 0:
-            return self.rest() if self._is_too_long() else b""
+            return self.take_partial() if self._is_too_long() else b""
         complete = bytes(self._partial[: end + len(EVENT_END)])
         del self._partial[: end + len(EVENT_END)]
         self._update_last_id(complete)
         return complete
 
-    def rest(self) -> bytes:
+    def take_partial(self) -> bytes:
         """Remove and return the bytes after the last complete event.
 
         :return: the bytes, which belong to the response if it is complete
@@ -39,7 +39,7 @@
         self._partial.clear()
         return rest
 
-    def drop_torn(self) -> None:
+    def discard_partial(self) -> None:
         """Discard a partially received event."""
         self._partial.clear()
 
--- a/src/boragefold/entry/fleet_log.py
+++ b/src/boragefold/entry/fleet_log.py
@@ -32,7 +32,7 @@
         self._last_snapshot: Snapshot = (None, frozenset(), frozenset())
         self._silence_changes: list[tuple[ids.InstanceId, bool]] = []
 
-    def fleet_changed(self) -> None:
+    def log_changes(self) -> None:
         """Log the changes since the last such line, if there are any."""
         before, self._last_snapshot = (
             self._last_snapshot,
@@ -51,7 +51,7 @@
             revision=self._items.revision,
         )
 
-    def silence_changed(self, peer: ids.InstanceId, silent: bool) -> None:
+    def record_silence(self, peer: ids.InstanceId, silent: bool) -> None:
         """Record that a peer fell silent or was heard again.
 
         :param peer: the instance whose state changed
@@ -59,7 +59,7 @@
         """
         self._silence_changes.append((peer, silent))
 
-    def write_silence(self) -> None:
+    def log_silence(self) -> None:
         """Log the recorded peers, many of them in a single line."""
         changes, self._silence_changes = self._silence_changes, []
         for is_silent in (True, False):
--- a/src/boragefold/entry/forwarding.py
+++ b/src/boragefold/entry/forwarding.py
@@ -42,49 +42,51 @@
         self._answer = caller_answer.CallerAnswer(
             admitted=admitted, exchange=exchange, shared=shared
         )
-        self.ends_at_seconds = answer_deadline.ends_at_seconds(admitted)
+        self.deadline_seconds = answer_deadline.compute_deadline_seconds(
+            admitted
+        )
         exchange.on_closed = self._on_caller_disconnected
         exchange.on_drained = self._on_drained
         self._timeout = shared.timers.once(
-            delay_seconds=self.left_seconds(), callback=self._on_timeout
+            delay_seconds=self.remaining_seconds(), callback=self._on_timeout
         )
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         """Tell whether the request is finished or its caller disconnected.
 
         :return: whether no more work is to be done
         """
         return self._finished
 
-    def left_seconds(self) -> float:
+    def remaining_seconds(self) -> float:
         """Return the time until the deadline of the response.
 
         :return: seconds
         """
-        return self.ends_at_seconds - self.shared.timers.now_seconds()
+        return self.deadline_seconds - self.shared.timers.now_seconds()
 
     @abc.abstractmethod
     def begin(self) -> None:
         """Choose an endpoint and send the request, or refuse the request."""
 
     @abc.abstractmethod
-    def has_untried(self) -> bool:
+    def can_try_another(self) -> bool:
         """Tell whether the request could be sent to another endpoint.
 
         :return: whether one is available and the route allows another attempt
         """
 
     @abc.abstractmethod
-    def _ended(self) -> None:
+    def _on_finished(self) -> None:
         """Release the resources that other objects hold for the request."""
 
     @abc.abstractmethod
-    def attempt_answering(self) -> None:
+    def on_answer_started(self) -> None:
         """Handle the start of an endpoint's response."""
 
     @abc.abstractmethod
-    def attempt_rejected(
+    def on_attempt_rejected(
         self, endpoint: str, facts: dialects.AnswerFacts
     ) -> None:
         """Handle an endpoint's confirmation that it didn't run the request.
@@ -93,7 +95,7 @@
         :param facts: information from its response headers
         """
 
-    def may_go_to(self, endpoint: str) -> bool:
+    def may_send_to(self, endpoint: str) -> bool:
         """Tell whether the request may be sent to an endpoint.
 
         :param endpoint: name of the endpoint
@@ -106,7 +108,7 @@
             return True
         return len(set(self._sent_to)) < self.admitted.route.max_attempts
 
-    def still_allowed(self) -> bool:
+    def is_key_valid(self) -> bool:
         """Tell whether the API key of the request is still valid.
 
         It may have been revoked while the request was queued.
@@ -140,7 +142,7 @@
         workspace = admitted.workspace
         target = dialects.EndpointTarget(
             record=record,
-            deadline_seconds=self._remaining_seconds(),
+            deadline_seconds=self._attempt_timeout_seconds(),
             workspace="" if workspace is None else workspace.name,
             version=version,
             resume_after=self._answer.last_event_id,
@@ -155,14 +157,14 @@
         )
         attempt.begin(self._call(target))
 
-    def may_repeat(self, endpoint: str, *, may_have_run: bool) -> bool:
+    def try_retry(self, endpoint: str, *, may_have_run: bool) -> bool:
         """Check whether the request may be sent again, and consume a retry.
 
         :param endpoint: name of the endpoint where it failed
         :param may_have_run: whether it may have run there
         :return: whether idempotence, retry budget and deadline allow it
         """
-        if self.left_seconds() <= answer_deadline.MARGIN_SECONDS:
+        if self.remaining_seconds() <= answer_deadline.MARGIN_SECONDS:
             return False
         budget = self.shared.retries.get(self.admitted.service.name)
         return budget.try_retry(
@@ -172,33 +174,33 @@
             now_seconds=self.shared.timers.now_seconds(),
         )
 
-    def pass_head(self, status: int, headers: dict[str, str]) -> bool:
+    def forward_headers(self, status: int, headers: dict[str, str]) -> bool:
         """Forward the headers of an endpoint's response.
 
         :param status: status of the response
         :param headers: headers of the response
         :return: whether to forward the rest of the response
         """
-        return self._answer.pass_head(status, headers)
+        return self._answer.forward_headers(status, headers)
 
-    def pass_data(self, data: bytes) -> None:
+    def forward_data(self, data: bytes) -> None:
         """Forward a chunk of an endpoint's response.
 
         :param data: the chunk
         """
-        keeps_up = self._answer.pass_data(data)
+        keeps_up = self._answer.forward_data(data)
         if not keeps_up and self._attempt is not None:
             self._attempt.pause()
 
-    def pass_end(self, status: int) -> None:
+    def forward_end(self, status: int) -> None:
         """Finish the caller's response.
 
         :param status: status of the response
         """
-        self._answer.pass_end()
+        self._answer.forward_end()
         self._finish("answered", status)
 
-    def attempt_failed(
+    def on_attempt_failed(
         self, endpoint: str, reason: str, *, may_have_run: bool
     ) -> None:
         """Retry or fail the request after an attempt without full response.
@@ -219,17 +221,17 @@
             self._record_unreachable(endpoint)
         if (
             not may_have_run
-            and self.left_seconds() > answer_deadline.MARGIN_SECONDS
+            and self.remaining_seconds() > answer_deadline.MARGIN_SECONDS
         ):
             # Nothing was sent, so this doesn't use the retry budget.
             self.begin()
-        elif self._answer.resumable and self.may_repeat(
+        elif self._answer.resumable and self.try_retry(
             endpoint, may_have_run=may_have_run
         ):
-            self._answer.drop_torn_event()
+            self._answer.discard_partial_event()
             self.begin()
         elif self._answer.started:
-            self._answer.break_off()
+            self._answer.abort()
             self._finish("broken_off", 0)
         elif may_have_run:
             self.refuse(refusals.UNKNOWN, reason)
@@ -254,15 +256,15 @@
         self.shared.counters.add("requests_refused", reason)
         self._finish(reason, kind.status, retry_after_seconds)
 
-    def wait_fields(self) -> dict[str, Any]:
+    def queue_time_fields(self) -> dict[str, Any]:
         """Return the time spent before the last attempt, as log fields.
 
         :return: seconds and counts by field name
         """
         return {}
 
-    def _remaining_seconds(self) -> float:
-        return max(self.left_seconds(), answer_deadline.MARGIN_SECONDS)
+    def _attempt_timeout_seconds(self) -> float:
+        return max(self.remaining_seconds(), answer_deadline.MARGIN_SECONDS)
 
     def _waited_seconds(self) -> float:
         return self._sent_at_seconds - self.admitted.arrived_at_seconds
@@ -286,7 +288,7 @@
             # If a reused idle connection turned out to be dead, the outcome
             # of a non-idempotent request would be unknown.
             fresh=not self.admitted.route.repeatable,
-            progress_seconds=self._remaining_seconds()
+            progress_seconds=self._attempt_timeout_seconds()
             + PROGRESS_SLACK_SECONDS,
             may_send=lambda: not self._finished,
             accepts=lambda found: self.shared.dialect.answers(request, found),
@@ -322,7 +324,7 @@
             return
         self._finished = True
         self._timeout.cancel()
-        self._ended()
+        self._on_finished()
         self._refund_unused()
         end = request_end.RequestEnd(
             outcome=outcome,
@@ -330,7 +332,7 @@
             retry_after_seconds=retry_after_seconds,
             sent_to=self._sent_to,
             waited_seconds=self._waited_seconds(),
-            wait_fields=self.wait_fields(),
+            queue_time_fields=self.queue_time_fields(),
             times=self._answer.times,
         )
         request_end.record(end, admitted=self.admitted, shared=self.shared)
--- a/src/boragefold/entry/gateway.py
+++ b/src/boragefold/entry/gateway.py
@@ -180,7 +180,7 @@
             ),
             retry_after_seconds=round(retry_after_seconds, 3),
         )
-        refusals.write(
+        refusals.send_error(
             exchange,
             kind,
             reason,
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -220,9 +220,9 @@
         self._members.subscribe(
             on_beat=self._relay.on_beat,
             on_gone=self._owner.peer_gone,
-            on_silent=self._fleet_log.silence_changed,
+            on_silent=self._fleet_log.record_silence,
         )
-        self._fleet.subscribe(self._fleet_log.fleet_changed)
+        self._fleet.subscribe(self._fleet_log.log_changes)
         self._followers.start()
         self._heartbeats.start()
         self.timers.every(
@@ -274,7 +274,7 @@
     def _refresh(self) -> None:
         engines = {record.name: record for record in self._fleet.engines()}
         self._ownership.refresh(engines.values())
-        self._fleet_log.write_silence()
+        self._fleet_log.log_silence()
         claimed = self._ownership.claimed
         self._owner.hold(engines[name] for name in claimed)
         self._heartbeats.refresh()
--- a/src/boragefold/entry/refusals.py
+++ b/src/boragefold/entry/refusals.py
@@ -15,13 +15,13 @@
     """A kind of error response.
 
     ``outcome`` is ``not_run`` if the request certainly didn't run, and
-    ``unknown`` if it may have run. ``returns`` tells whether a retry helps.
+    ``unknown`` if it may have run. ``retryable`` tells whether a retry helps.
     """
 
     status: int
     outcome: str
     remedy: str
-    returns: bool
+    retryable: bool
 
 
 MALFORMED = ErrorKind(400, "not_run", "send a well-formed request", False)
@@ -33,7 +33,7 @@
 TIMED_OUT = ErrorKind(504, "unknown", "allow more time", False)
 
 
-def write(
+def send_error(
     exchange: http_server.Exchange,
     kind: ErrorKind,
     reason: str,
@@ -55,7 +55,7 @@
         "remedy": kind.remedy,
     }
     all_headers = [JSON, *headers]
-    if kind.returns:
+    if kind.retryable:
         error["retry_after_seconds"] = retry_after_seconds
         all_headers.append(("Retry-After", f"{retry_after_seconds:.3f}"))
     body = msgspec.json.encode({"error": error})
@@ -71,5 +71,5 @@
     "OVER_RATE",
     "TIMED_OUT",
     "UNKNOWN",
-    "write",
+    "send_error",
 ]
--- a/src/boragefold/entry/request_end.py
+++ b/src/boragefold/entry/request_end.py
@@ -14,8 +14,8 @@
 class RequestEnd(NamedTuple):
     """The outcome of a request and the time that its phases took.
 
-    ``waited_seconds`` is the time before the last attempt; ``wait_fields``
-    breaks it down.
+    ``waited_seconds`` is the time before the last attempt, broken down by
+    ``queue_time_fields``.
     """
 
     outcome: str
@@ -23,7 +23,7 @@
     retry_after_seconds: float
     sent_to: Sequence[str]
     waited_seconds: float
-    wait_fields: dict[str, Any]
+    queue_time_fields: dict[str, Any]
     times: answer_times.AnswerTimes
 
 
@@ -53,7 +53,7 @@
         "deployment_version": current and current.version,
     }
     if admitted.route.kind is deployment.RouteKind.STREAM:
-        fields |= end.wait_fields | _stream_fields(end, admitted, shared)
+        fields |= end.queue_time_fields | _stream_fields(end, admitted, shared)
     shared.counters.add("requests_ended", end.outcome)
     shared.counters.observe_seconds("request_seconds", took_seconds)
     if end.outcome == "answered" and len(end.sent_to) == 1:
--- a/src/boragefold/entry/router.py
+++ b/src/boragefold/entry/router.py
@@ -111,7 +111,7 @@
         self, exchange: http_server.Exchange, refusal: outcomes.NotRun
     ) -> None:
         self._counters.add("requests_refused", refusal.reason)
-        answers.refuse(exchange, refusal, self._new_request_id())
+        answers.send_error(exchange, refusal, self._new_request_id())
 
 
 def _path_unknown() -> outcomes.NotRun:
--- a/src/boragefold/entry/service_forwarding.py
+++ b/src/boragefold/entry/service_forwarding.py
@@ -13,7 +13,7 @@
 
     def begin(self) -> None:
         """Choose an endpoint and send the request, or refuse the request."""
-        if not self.still_allowed():
+        if not self.is_key_valid():
             self.refuse(refusals.NO_KEY, "key_withdrawn")
             return
         record = self._choose()
@@ -22,17 +22,17 @@
             return
         self.send(record, version=0)
 
-    def has_untried(self) -> bool:
+    def can_try_another(self) -> bool:
         """Tell whether the request could be sent to another endpoint.
 
         :return: whether one is available and the route allows another attempt
         """
         return self._choose() is not None
 
-    def attempt_answering(self) -> None:
+    def on_answer_started(self) -> None:
         """Do nothing: no schedule tracks the request."""
 
-    def attempt_rejected(
+    def on_attempt_rejected(
         self, endpoint: str, facts: dialects.AnswerFacts
     ) -> None:
         """Retry or refuse a request that an endpoint didn't run.
@@ -41,7 +41,7 @@
         :param facts: information from its response headers
         """
         reason = "endpoint_leaving" if facts.leaving else "endpoint_full"
-        if self.has_untried() and self.may_repeat(
+        if self.can_try_another() and self.try_retry(
             endpoint, may_have_run=False
         ):
             self.begin()
@@ -53,7 +53,8 @@
         candidates = {
             record.name: record
             for record in shared.fleet.endpoints_of(self.admitted.service.name)
-            if record.name not in self._sent_to and self.may_go_to(record.name)
+            if record.name not in self._sent_to
+            and self.may_send_to(record.name)
         }
         name = shared.choice.choose(
             (
@@ -68,7 +69,7 @@
         )
         return None if name is None else candidates[name]
 
-    def _ended(self) -> None:
+    def _on_finished(self) -> None:
         """Do nothing: no other object holds resources for the request."""
 
 
--- a/src/boragefold/entry/service_handler.py
+++ b/src/boragefold/entry/service_handler.py
@@ -191,7 +191,7 @@
         **extra: str,
     ) -> None:
         self._counters.add("requests_refused", refusal.reason)
-        answers.refuse(exchange, refusal, request_id, **extra)
+        answers.send_error(exchange, refusal, request_id, **extra)
 
 
 def _idempotent_refusal(
--- a/src/boragefold/entry/ticket_handler.py
+++ b/src/boragefold/entry/ticket_handler.py
@@ -76,7 +76,7 @@
         ticket = self.read_ticket(text, caller)
         if isinstance(ticket, outcomes.NotRun):
             self._counters.add("requests_refused", ticket.reason)
-            answers.refuse(exchange, ticket, request_id)
+            answers.send_error(exchange, ticket, request_id)
             return
         handler = self._once_call(exchange, request_id, lambda done: None)
         self._runner.query(
--- a/src/boragefold/entry/ticketed_call.py
+++ b/src/boragefold/entry/ticketed_call.py
@@ -97,7 +97,7 @@
             remedy=remedy,
             retry_after_seconds=1.0 if waits else None,
         )
-        answers.refuse(self._exchange, refusal, self._request_id)
+        answers.send_error(self._exchange, refusal, self._request_id)
 
     def on_unknown(self, reason: str) -> None:
         """Respond that it is unknown whether the call ran.
@@ -112,7 +112,7 @@
             "before you know",
             retry_after_seconds=OUTCOME_RETRY_SECONDS,
         )
-        answers.refuse(self._exchange, refusal, self._request_id)
+        answers.send_error(self._exchange, refusal, self._request_id)
 
     def _on_result(
         self, attempt: once_messages.Attempt, result: service_call.Result
--- a/tests/entry/test_answer_times.py
+++ b/tests/entry/test_answer_times.py
@@ -36,14 +36,14 @@
 def test_an_answer_is_late_by_its_first_event_or_by_a_pause(passed, late):
     times = answer_times.AnswerTimes(arrived_at_seconds=10.0)
     for now_seconds in passed:
-        times.passed(now_seconds=now_seconds)
+        times.record_chunk(now_seconds=now_seconds)
     assert times.lateness(route()) is late
 
 
 def test_a_route_without_a_pause_has_none_too_long() -> None:
     times = answer_times.AnswerTimes(arrived_at_seconds=0.0)
-    times.passed(now_seconds=0.1)
-    times.passed(now_seconds=9.0)
+    times.record_chunk(now_seconds=0.1)
+    times.record_chunk(now_seconds=9.0)
     judged = times.lateness(route(event_gap_seconds=0.0))
     assert judged is answer_times.Lateness.NONE
     assert times.longest_pause_seconds == pytest.approx(8.9)
--- a/tests/entry/test_caller_answer.py
+++ b/tests/entry/test_caller_answer.py
@@ -40,10 +40,10 @@
             timers=types.SimpleNamespace(now_seconds=lambda: 1.0),
         ),
     )
-    answer.pass_head(200, {})
-    answer.pass_data(b"id: 1\ndata: t1\n\n")
-    answer.pass_head(500, {})
-    answer.pass_data(b"failed")
-    answer.pass_end()
+    answer.forward_headers(200, {})
+    answer.forward_data(b"id: 1\ndata: t1\n\n")
+    answer.forward_headers(500, {})
+    answer.forward_data(b"failed")
+    answer.forward_end()
     assert exchange.sent == b"id: 1\ndata: t1\n\n"
     assert exchange.aborted
--- a/tests/entry/test_fleet_log.py
+++ b/tests/entry/test_fleet_log.py
@@ -25,13 +25,13 @@
     )
     for number in range(60):
         peer = ids.InstanceId("dc-b", f"10.2.0.{number}:70", "x")
-        fleet.silence_changed(peer, True)
+        fleet.record_silence(peer, True)
     alone = ids.InstanceId("dc-a", "10.1.0.1:70", "y")
-    fleet.silence_changed(alone, False)
-    fleet.write_silence()
+    fleet.record_silence(alone, False)
+    fleet.log_silence()
     (silent, fields), (heard, other) = log.lines
     assert (silent, fields["peers"]) == ("peer_silent", 60)
     assert fields["data_centres"] == {"dc-b": 60}
     assert (heard, other["peer"]) == ("peer_heard", alone.address)
-    fleet.write_silence()
+    fleet.log_silence()
     assert len(log.lines) == 2
