--- a/src/boragefold/bench/capacity_rates.py
+++ b/src/boragefold/bench/capacity_rates.py
@@ -16,7 +16,7 @@
 from boragefold.bench import rate_fleet
 from boragefold.coordination.rates import limits
 from boragefold.coordination.rates import service
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.telemetry import counters as counting
 
 REQUESTS_PER_SECOND = 29_000 / 890
@@ -68,7 +68,9 @@
             for name, weight in zip(self._names, self.weights, strict=True)
         }
 
-    def add(self, instance: rate_fleet.Instance, tokens: stock.Stock) -> None:
+    def add(
+        self, instance: rate_fleet.Instance, tokens: token_balance.TokenBalance
+    ) -> None:
         """Send requests to an instance, for as long as it runs."""
         callers = [
             rate_callers.Caller(
@@ -154,9 +156,9 @@
         for name in itertools.islice(itertools.cycle(names), instances):
             instance = fleet.start(name)
             tokens = (
-                _leased_stock(fleet, instance, rates)
+                _granted_tokens(fleet, instance, rates)
                 if leased
-                else _ample_stock(instance)
+                else _unlimited_balance(instance)
             )
             self.load.add(instance, tokens)
         for name in names:
@@ -170,11 +172,11 @@
         self.message_bytes = fleet.message_bytes - message_bytes
 
 
-def _leased_stock(
+def _granted_tokens(
     fleet: rate_fleet.VirtualFleet,
     instance: rate_fleet.Instance,
     rates: dict[str, limits.Limit],
-) -> stock.Stock:
+) -> token_balance.TokenBalance:
     own = service.Rates(
         peers=instance.link,
         rights=instance.rights,
@@ -188,7 +190,9 @@
     return own.stock
 
 
-def _ample_stock(instance: rate_fleet.Instance) -> stock.Stock:
+def _unlimited_balance(
+    instance: rate_fleet.Instance,
+) -> token_balance.TokenBalance:
     return rate_baselines.LocalBucket(
         timers=instance.timers,
         limit=limits.Limit(1e9, 1e9),
--- a/src/boragefold/bench/decision_cost.py
+++ b/src/boragefold/bench/decision_cost.py
@@ -16,7 +16,7 @@
 from boragefold.policy import endpoints
 from boragefold.policy import homes
 from boragefold.policy import placement
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.policy import work as works
 from boragefold.telemetry import counters
 
@@ -59,17 +59,17 @@
     periodic: float
 
 
-class _AmpleStock(stock.Stock):
+class _UnlimitedBalance(token_balance.TokenBalance):
     """Always has tokens, so that the decisions are measured and not it."""
 
     def reserve(
         self, *, workspace: str, tokens: float
-    ) -> stock.Reservation | stock.Shortfall:
+    ) -> token_balance.Reservation | token_balance.Shortfall:
         """Set tokens aside."""
-        return stock.Reservation(workspace=workspace, tokens=tokens)
+        return token_balance.Reservation(workspace=workspace, tokens=tokens)
 
     def settle(
-        self, reservation: stock.Reservation, *, used_tokens: float
+        self, reservation: token_balance.Reservation, *, used_tokens: float
     ) -> None:
         """Give nothing back."""
 
@@ -128,7 +128,7 @@
         )
         self.dispatcher = assembly.assemble(
             endpoints=known,
-            stock=_AmpleStock(),
+            token_balance=_UnlimitedBalance(),
             load_budget=_NoLoads(),
             rights=_Orders(replicas=replicas),
             instances=lambda: INSTANCES,
--- a/src/boragefold/bench/instance.py
+++ b/src/boragefold/bench/instance.py
@@ -78,12 +78,12 @@
         known = endpoints.Endpoints()
         for engine in fleet.engines.values():
             known.put(self._spec(engine.size))
-        stock = shares.ModelStock(
+        balance = shares.ModelBalance(
             service=fleet.service, holder=rates, delay_seconds=between
         )
         self.dispatcher = assembly.assemble(
             endpoints=known,
-            stock=stock,
+            token_balance=balance,
             load_budget=load_shares.ModelLoadBudget(
                 service=fleet.service,
                 holder=loads,
@@ -95,7 +95,7 @@
             rng=random.Random(f"instance {number} {seed}"),
             counters=self.counters,
         )
-        stock.subscribe(lambda _: self.run())
+        balance.subscribe(lambda _: self.run())
 
     def run(self) -> None:
         """Do what the dispatcher decides now, and come back when it is due."""
--- a/src/boragefold/bench/rate_baselines.py
+++ b/src/boragefold/bench/rate_baselines.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from boragefold.coordination.rates import limits
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.timing import timers as timing
 
 
-class LocalBucket(stock.Stock):
+class LocalBucket(token_balance.TokenBalance):
     """A bucket per instance that knows nothing of the others."""
 
     def __init__(
@@ -32,7 +32,7 @@
 
     def reserve(
         self, *, workspace: str, tokens: float
-    ) -> stock.Reservation | stock.Shortfall:
+    ) -> token_balance.Reservation | token_balance.Shortfall:
         """Set tokens aside, or say why not and when to come back.
 
         :param workspace: whose rate is charged
@@ -41,16 +41,18 @@
         """
         self._refill()
         if tokens > self._limit.burst_tokens:
-            return stock.Shortfall(ready_in_seconds=None)
+            return token_balance.Shortfall(ready_in_seconds=None)
         if tokens > self._level_tokens:
             missing_tokens = tokens - self._level_tokens
             rate = self._limit.rate_tokens_per_second
-            return stock.Shortfall(ready_in_seconds=missing_tokens / rate)
+            return token_balance.Shortfall(
+                ready_in_seconds=missing_tokens / rate
+            )
         self._level_tokens -= tokens
-        return stock.Reservation(workspace=workspace, tokens=tokens)
+        return token_balance.Reservation(workspace=workspace, tokens=tokens)
 
     def settle(
-        self, reservation: stock.Reservation, *, used_tokens: float
+        self, reservation: token_balance.Reservation, *, used_tokens: float
     ) -> None:
         """Add what was left over to the level.
 
--- a/src/boragefold/bench/rate_callers.py
+++ b/src/boragefold/bench/rate_callers.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from boragefold.coordination.rates import limits
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.timing import timers as timing
 
 # A caller inside its rate accepts a short wait.
@@ -53,24 +53,24 @@
 
 
 class Caller:
-    """Sends a request to one stock and waits for it, with some patience."""
+    """Sends a request to one instance and waits for it, with some patience."""
 
     def __init__(
         self,
         *,
-        tokens: stock.Stock,
+        tokens: token_balance.TokenBalance,
         workspace: str,
         timers: timing.TimerService,
         alive: Callable[[], bool],
     ) -> None:
         """Bind a caller to an instance.
 
-        :param tokens: the stock of the instance
+        :param tokens: the token balance of the instance
         :param workspace: whose rate is used
         :param timers: the timer service of the instance
         :param alive: tells whether the instance still runs
         """
-        self._stock = tokens
+        self._token_balance = tokens
         self._workspace = workspace
         self._timers = timers
         self._alive = alive
@@ -102,11 +102,11 @@
         ]
         while self._waiting:
             served = self._waiting[0]
-            result = self._stock.reserve(
+            result = self._token_balance.reserve(
                 workspace=self._workspace,
                 tokens=served.demand.reserved_tokens,
             )
-            if isinstance(result, stock.Shortfall):
+            if isinstance(result, token_balance.Shortfall):
                 self._again(result.ready_in_seconds)
                 return
             self._waiting.pop(0)
@@ -121,18 +121,24 @@
                 delay_seconds=delay_seconds, callback=self._try_all
             )
 
-    def _begin(self, served: Served, reservation: stock.Reservation) -> None:
+    def _begin(
+        self, served: Served, reservation: token_balance.Reservation
+    ) -> None:
         served.charged_at_seconds = self._timers.now_seconds()
         self._timers.once(
             delay_seconds=served.demand.duration_seconds,
             callback=lambda: self._end(served, reservation),
         )
 
-    def _end(self, served: Served, reservation: stock.Reservation) -> None:
+    def _end(
+        self, served: Served, reservation: token_balance.Reservation
+    ) -> None:
         if not self._alive():
             return
         served.settled_at_seconds = self._timers.now_seconds()
-        self._stock.settle(reservation, used_tokens=served.demand.used_tokens)
+        self._token_balance.settle(
+            reservation, used_tokens=served.demand.used_tokens
+        )
 
 
 def excess_tokens(
--- a/src/boragefold/bench/rates.py
+++ b/src/boragefold/bench/rates.py
@@ -19,7 +19,7 @@
 from boragefold.bench import rate_scenarios
 from boragefold.coordination.rates import limits
 from boragefold.coordination.rates import service
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.telemetry import counters as counting
 
 Way = Literal["leased", "share", "full"]
@@ -140,15 +140,15 @@
         instance = self.fleet.start(slot.data_centre)
         slot.instance = instance
         slot.caller = rate_callers.Caller(
-            tokens=self._stock(slot, instance),
+            tokens=self._token_balance(slot, instance),
             workspace=WORKSPACE,
             timers=instance.timers,
             alive=lambda: not instance.dead,
         )
 
-    def _stock(
+    def _token_balance(
         self, slot: _Slot, instance: rate_fleet.Instance
-    ) -> stock.Stock:
+    ) -> token_balance.TokenBalance:
         if self._way != "leased":
             part = LIMIT.part(1 / rate_scenarios.INSTANCES)
             full = self._way == "full"
--- a/src/boragefold/bench/shares.py
+++ b/src/boragefold/bench/shares.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from boragefold.bench import deployments
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.timing import timers
 
 # An instance asks for a second of its part ahead, and hands back what is more
@@ -120,7 +120,7 @@
         self._levels[workspace] = (level, self._service.now_seconds())
 
 
-class ModelStock(stock.Stock):
+class ModelBalance(token_balance.TokenBalance):
     """One instance's part of the rates, granted by the holder."""
 
     def __init__(
@@ -143,19 +143,23 @@
 
     def reserve(
         self, *, workspace: str, tokens: float
-    ) -> stock.Reservation | stock.Shortfall:
+    ) -> token_balance.Reservation | token_balance.Shortfall:
         """Set tokens aside, or ask the holder for them."""
         if tokens > self._holder.bursts[workspace]:
-            return stock.Shortfall(ready_in_seconds=None)
+            return token_balance.Shortfall(ready_in_seconds=None)
         if self._local[workspace] >= tokens:
             self._local[workspace] -= tokens
-            return stock.Reservation(workspace=workspace, tokens=tokens)
+            return token_balance.Reservation(
+                workspace=workspace, tokens=tokens
+            )
         short = tokens - self._local[workspace]
         self._ask(workspace, short)
-        return stock.Shortfall(ready_in_seconds=self._ready_in(workspace))
+        return token_balance.Shortfall(
+            ready_in_seconds=self._ready_in(workspace)
+        )
 
     def settle(
-        self, reservation: stock.Reservation, *, used_tokens: float
+        self, reservation: token_balance.Reservation, *, used_tokens: float
     ) -> None:
         """Give back what a request left over."""
         if reservation.settled:
@@ -230,6 +234,6 @@
 
 
 __all__ = [
-    "ModelStock",
+    "ModelBalance",
     "RateHolder",
 ]
--- a/src/boragefold/coordination/load_budget.py
+++ b/src/boragefold/coordination/load_budget.py
@@ -8,7 +8,7 @@
 
 from boragefold.coordination.rates import limits
 from boragefold.coordination.rates import service
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.state import documents
 from boragefold.telemetry import counters as counting
 
@@ -27,7 +27,7 @@
 class Load:
     """The permission to load one set of weights; finished exactly once."""
 
-    place: stock.Reservation
+    place: token_balance.Reservation
     finished: bool = False
 
 
@@ -35,7 +35,7 @@
     """Permits loads from the weight store."""
 
     @abc.abstractmethod
-    def try_take(self) -> Load | stock.Shortfall:
+    def try_take(self) -> Load | token_balance.Shortfall:
         """Start a load, or return when to retry.
 
         :return: the permission, or the shortfall
@@ -98,17 +98,17 @@
             }
         )
 
-    def try_take(self) -> Load | stock.Shortfall:
+    def try_take(self) -> Load | token_balance.Shortfall:
         """Start a load, or return when to retry.
 
         :return: the permission, or the shortfall
         """
         start = self._stock.reserve(workspace=LOADS, tokens=1.0)
-        if isinstance(start, stock.Shortfall):
+        if isinstance(start, token_balance.Shortfall):
             self._counters.add("loads_refused", "rate")
             return start
         place = self._stock.reserve(workspace=IN_FLIGHT, tokens=1.0)
-        if isinstance(place, stock.Shortfall):
+        if isinstance(place, token_balance.Shortfall):
             self._counters.add("loads_refused", "in_flight")
             self._stock.settle(start, used_tokens=0.0)
             return place
--- a/src/boragefold/coordination/rates/granted_tokens.py
+++ b/src/boragefold/coordination/rates/granted_tokens.py
@@ -9,7 +9,7 @@
 from boragefold.coordination.rates import limits
 from boragefold.coordination.rates import usage
 from boragefold.coordination.rates import workspace_state as workspace_states
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.protocol import rate_messages
 from boragefold.telemetry import counters as counting
 from boragefold.timing import timers as timing
@@ -32,7 +32,7 @@
 NO_HOLDER_SECONDS = 1.0
 
 
-class GrantedTokens(stock.Stock):
+class GrantedTokens(token_balance.TokenBalance):
     """Spends granted tokens and requests more from the holder."""
 
     def __init__(
@@ -63,7 +63,7 @@
 
     def reserve(
         self, *, workspace: str, tokens: float
-    ) -> stock.Reservation | stock.Shortfall:
+    ) -> token_balance.Reservation | token_balance.Shortfall:
         """Reserve tokens, or return a shortfall with the expected wait.
 
         :param workspace: workspace whose rate is charged
@@ -91,7 +91,7 @@
         )
 
     def settle(
-        self, reservation: stock.Reservation, *, used_tokens: float
+        self, reservation: token_balance.Reservation, *, used_tokens: float
     ) -> None:
         """Return the unused tokens of a request that has ended.
 
@@ -174,19 +174,21 @@
 
     def _create_shortfall(
         self, reason: str, ready_in_seconds: float | None
-    ) -> stock.Shortfall:
+    ) -> token_balance.Shortfall:
         self._counters.add("rate_shortfalls", reason)
-        return stock.Shortfall(ready_in_seconds=ready_in_seconds)
+        return token_balance.Shortfall(ready_in_seconds=ready_in_seconds)
 
-    def _create_no_holder_shortfall(self, reason: str) -> stock.Shortfall:
+    def _create_no_holder_shortfall(
+        self, reason: str
+    ) -> token_balance.Shortfall:
         self._counters.add("rate_shortfalls", reason)
-        return stock.Shortfall(
+        return token_balance.Shortfall(
             ready_in_seconds=NO_HOLDER_SECONDS, no_holder=True
         )
 
     def _shortfall(
         self, workspace: str, state: workspace_states.WorkspaceState
-    ) -> stock.Shortfall:
+    ) -> token_balance.Shortfall:
         now_seconds = self._timers.now_seconds()
         left_seconds = state.grant_pool.ready_at_seconds - now_seconds
         if not self._has_holder(workspace):
--- a/src/boragefold/coordination/rates/workspace_state.py
+++ b/src/boragefold/coordination/rates/workspace_state.py
@@ -8,7 +8,7 @@
 from boragefold.coordination.rates import grants
 from boragefold.coordination.rates import limits
 from boragefold.coordination.rates import usage
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.timing import timers as timing
 
 # A shortfall counts as current demand for this long.
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class ChargedReservation(stock.Reservation):
+class ChargedReservation(token_balance.Reservation):
     """A reservation with the grants that it is charged to."""
 
     charge: grants.Charge
--- a/src/boragefold/entry/chat_assembly.py
+++ b/src/boragefold/entry/chat_assembly.py
@@ -95,7 +95,7 @@
         endpoints = fleet.Endpoints()
         self._dispatcher = assembly.assemble(
             endpoints=endpoints,
-            stock=cluster.rates.stock,
+            token_balance=cluster.rates.stock,
             load_budget=store_budget.StoreBudget(budget=cluster.load_budget),
             rights=rights,
             instances=lambda: 1 + len(cluster.others()),
--- a/src/boragefold/policy/admission.py
+++ b/src/boragefold/policy/admission.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from boragefold.policy import refusal
-from boragefold.policy import stock as stocks
+from boragefold.policy import token_balance
 from boragefold.policy import token_queue
 from boragefold.policy import work as works
 from boragefold.telemetry import counters as telemetry
@@ -29,7 +29,7 @@
 class Admitted:
     """The tokens are reserved; the reservation must be settled at the end."""
 
-    reservation: stocks.Reservation
+    reservation: token_balance.Reservation
     tag: str = "admitted"
 
 
@@ -52,9 +52,12 @@
     """Reserves tokens in order of arrival within each workspace."""
 
     def __init__(
-        self, *, stock: stocks.Stock, counters: telemetry.Counters
+        self,
+        *,
+        token_balance: token_balance.TokenBalance,
+        counters: telemetry.Counters,
     ) -> None:
-        self._stock = stock
+        self._token_balance = token_balance
         self._counters = counters
         self._queues: dict[str, token_queue.TokenQueue] = {}
         self._workspace_by_request: dict[str, str] = {}
@@ -73,7 +76,7 @@
         if queue is not None:
             return self._offer_behind(queue, work, now_seconds)
         result = self._reserve(work)
-        if isinstance(result, stocks.Reservation):
+        if isinstance(result, token_balance.Reservation):
             return Admitted(reservation=result)
         if result.ready_in_seconds is None:
             return self._too_large()
@@ -92,7 +95,7 @@
     ) -> list[Decision]:
         """Decide on waiting requests; call it at :meth:`next_due_seconds`.
 
-        Also call it with the workspace that the stock's callback names.
+        Also call it with the workspace that the balance's callback names.
 
         :param now_seconds: reading of the process clock
         :param workspace: the only one whose tokens may have changed, or None
@@ -150,8 +153,8 @@
 
     def _never_fits(self, work: works.Work) -> bool:
         result = self._reserve(work)
-        if isinstance(result, stocks.Reservation):
-            self._stock.settle(result, used_tokens=0)
+        if isinstance(result, token_balance.Reservation):
+            self._token_balance.settle(result, used_tokens=0)
             return False
         return result.ready_in_seconds is None
 
@@ -171,7 +174,7 @@
     ) -> Decision | None:
         entry = queue.head()
         result = self._reserve(entry.work)
-        if isinstance(result, stocks.Reservation):
+        if isinstance(result, token_balance.Reservation):
             queue.drained(entry.tokens, now_seconds=now_seconds)
             self._remove(entry.work.workspace, entry.work.request_id)
             self._counters.add("requests_waited", "rate")
@@ -234,11 +237,11 @@
 
     def _reserve(
         self, work: works.Work
-    ) -> stocks.Reservation | stocks.Shortfall:
-        result = self._stock.reserve(
+    ) -> token_balance.Reservation | token_balance.Shortfall:
+        result = self._token_balance.reserve(
             workspace=work.workspace, tokens=works.charged_tokens(work)
         )
-        if isinstance(result, stocks.Shortfall) and result.no_holder:
+        if isinstance(result, token_balance.Shortfall) and result.no_holder:
             self._without_holder.add(work.workspace)
         else:
             self._without_holder.discard(work.workspace)
--- a/src/boragefold/policy/assembly.py
+++ b/src/boragefold/policy/assembly.py
@@ -18,14 +18,14 @@
 from boragefold.policy import overload
 from boragefold.policy import placement
 from boragefold.policy import retry_budget
-from boragefold.policy import stock as stocks
+from boragefold.policy import token_balance
 from boragefold.telemetry import counters as telemetry
 
 
 def assemble(
     *,
     endpoints: endpoints_module.Endpoints,
-    stock: stocks.Stock,
+    token_balance: token_balance.TokenBalance,
     load_budget: placement.LoadBudget,
     rights: homes.OrderRights,
     instances: Callable[[], int],
@@ -36,7 +36,7 @@
 
     :param endpoints: the known endpoints; the caller keeps them up to date
         with ``put``
-    :param stock: the tokens that this instance may spend
+    :param token_balance: the tokens that this instance may spend
     :param load_budget: the loads that this instance may start
     :param rights: the endpoints that this instance may send orders to
     :param instances: returns how many instances use the same endpoints
@@ -68,7 +68,9 @@
         rights=rights,
     )
     return dispatcher.Dispatcher(
-        admission=admission.Admission(stock=stock, counters=counters),
+        admission=admission.Admission(
+            token_balance=token_balance, counters=counters
+        ),
         queue=queue,
         matcher=sender,
         endpoints=endpoints,
@@ -79,7 +81,7 @@
             placement=shared_placement,
         ),
         retry_budget=retry_budget.RetryBudget(counters=counters),
-        stock=stock,
+        token_balance=token_balance,
         counters=counters,
     )
 
--- a/src/boragefold/policy/dispatcher.py
+++ b/src/boragefold/policy/dispatcher.py
@@ -18,7 +18,7 @@
 from boragefold.policy import open_requests
 from boragefold.policy import refusal
 from boragefold.policy import retry_budget as retry_budgets
-from boragefold.policy import stock as stocks
+from boragefold.policy import token_balance
 from boragefold.policy import work as works
 from boragefold.telemetry import counters as telemetry
 
@@ -39,7 +39,7 @@
         endpoints: endpoints_module.Endpoints,
         fleet: fleet_events.FleetEvents,
         retry_budget: retry_budgets.RetryBudget,
-        stock: stocks.Stock,
+        token_balance: token_balance.TokenBalance,
         counters: telemetry.Counters,
     ) -> None:
         self.fleet = fleet
@@ -47,7 +47,9 @@
         self._queue = queue
         self._matcher = matcher
         self._endpoints = endpoints
-        self._requests = open_requests.OpenRequests(stock=stock)
+        self._requests = open_requests.OpenRequests(
+            token_balance=token_balance
+        )
         self._attempts = attempts.Attempts(
             queue=queue,
             matcher=matcher,
@@ -58,7 +60,7 @@
         )
         self._refilled_workspaces: set[str] = set()
         self._answers: list[actions.Action] = []
-        stock.subscribe(self._refilled_workspaces.add)
+        token_balance.subscribe(self._refilled_workspaces.add)
 
     def offer(
         self, work: works.Work, *, idempotent: bool, now_seconds: float
--- a/src/boragefold/policy/open_requests.py
+++ b/src/boragefold/policy/open_requests.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-from boragefold.policy import stock as stocks
+from boragefold.policy import token_balance
 from boragefold.policy import work as works
 
 
@@ -19,7 +19,7 @@
 
     work: works.Work
     idempotent: bool
-    reservation: stocks.Reservation | None = None
+    reservation: token_balance.Reservation | None = None
     endpoint: str = ""
     attempts: int = 0
     may_have_run: bool = False
@@ -29,8 +29,8 @@
 class OpenRequests:
     """Open requests by id; each is settled once, when it ends."""
 
-    def __init__(self, *, stock: stocks.Stock) -> None:
-        self._stock = stock
+    def __init__(self, *, token_balance: token_balance.TokenBalance) -> None:
+        self._token_balance = token_balance
         self._open: dict[str, OpenRequest] = {}
         # By request id, the endpoints that failed it already.
         self.excluded: dict[str, frozenset[str]] = {}
@@ -83,7 +83,9 @@
         del self._open[request.work.request_id]
         self.excluded.pop(request.work.request_id, None)
         if request.reservation is not None:
-            self._stock.settle(request.reservation, used_tokens=used_tokens)
+            self._token_balance.settle(
+                request.reservation, used_tokens=used_tokens
+            )
 
 
 __all__ = [
--- a/src/boragefold/policy/stock.py
+++ b/src/boragefold/policy/token_balance.py
@@ -30,7 +30,7 @@
     no_holder: bool = False
 
 
-class Stock(abc.ABC):
+class TokenBalance(abc.ABC):
     """The tokens of each workspace that this instance may spend now."""
 
     @abc.abstractmethod
@@ -68,5 +68,5 @@
 __all__ = [
     "Reservation",
     "Shortfall",
-    "Stock",
+    "TokenBalance",
 ]
--- a/src/boragefold/policy/token_queue.py
+++ b/src/boragefold/policy/token_queue.py
@@ -13,7 +13,7 @@
 from boragefold.policy import drain_rate
 from boragefold.policy import work as works
 
-# Polls the stock, as its callback is lost if a message is lost.
+# Polls the token balance, as its callback is lost if a message is lost.
 POLL_SECONDS = 0.05
 
 
@@ -80,7 +80,7 @@
         ]
 
     def asked(self, *, now_seconds: float, ready_in_seconds: float) -> None:
-        """Record the stock's answer for the head.
+        """Record the token balance's answer for the head.
 
         :param now_seconds: reading of the process clock
         :param ready_in_seconds: seconds until the head's tokens are expected
--- a/tests/bench/test_shares.py
+++ b/tests/bench/test_shares.py
@@ -4,7 +4,7 @@
 
 from boragefold.bench import load_shares
 from boragefold.bench import shares
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.timing import clock
 from boragefold.timing import timers
 
@@ -20,8 +20,8 @@
             rates_tokens_per_second={"w": rate},
             instances=2,
         )
-        self.stocks = [
-            shares.ModelStock(
+        self.balances = [
+            shares.ModelBalance(
                 service=self.service, holder=self.holder, delay_seconds=0.001
             )
             for _ in range(2)
@@ -36,7 +36,7 @@
         self.clock.move_to(until)
 
     def reserve(self, number: int, tokens: float):
-        return self.stocks[number].reserve(workspace="w", tokens=tokens)
+        return self.balances[number].reserve(workspace="w", tokens=tokens)
 
 
 def test_what_two_instances_get_is_never_more_than_the_rate() -> None:
@@ -44,7 +44,7 @@
     got = 0.0
     for step in range(400):
         bed.run(step * 0.01)
-        if isinstance(bed.reserve(step % 2, 50.0), stock.Reservation):
+        if isinstance(bed.reserve(step % 2, 50.0), token_balance.Reservation):
             got += 50.0
     burst = bed.holder.bursts["w"]
     assert burst * 0.9 <= got <= burst + 4.0 * 100.0
@@ -53,16 +53,18 @@
 def test_a_shortfall_is_granted_and_told() -> None:
     bed = Bed()
     told: list[str] = []
-    bed.stocks[0].subscribe(told.append)
-    assert isinstance(bed.reserve(0, 50.0), stock.Shortfall)
+    bed.balances[0].subscribe(told.append)
+    assert isinstance(bed.reserve(0, 50.0), token_balance.Shortfall)
     bed.run(0.01)
     assert told == ["w"]
-    assert isinstance(bed.reserve(0, 50.0), stock.Reservation)
+    assert isinstance(bed.reserve(0, 50.0), token_balance.Reservation)
 
 
 def test_more_than_the_burst_never_fits() -> None:
     bed = Bed()
-    assert bed.reserve(0, 1e6) == stock.Shortfall(ready_in_seconds=None)
+    assert bed.reserve(0, 1e6) == token_balance.Shortfall(
+        ready_in_seconds=None
+    )
 
 
 def test_loads_are_granted_at_the_rate_and_unused_ones_come_back() -> None:
--- a/tests/coordination/rates/test_faults.py
+++ b/tests/coordination/rates/test_faults.py
@@ -7,7 +7,7 @@
 import pytest
 
 from boragefold.coordination.rates import limits
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from tests.fakes import rates as fakes
 
 STEPS = 5000
@@ -23,7 +23,9 @@
         self.fleet = fakes.Fleet(
             seed=seed, per_data_centre=3, loss=0.03, doubling=0.05
         )
-        self.running: list[tuple[fakes.Process, stock.Reservation]] = []
+        self.running: list[
+            tuple[fakes.Process, token_balance.Reservation]
+        ] = []
         self.parts = (0.0, 0.1, 1.0) if seed % 2 else (1.0,)
         self.published = [self.fleet.weights]
         self.known: dict[str, int] = {}
@@ -61,7 +63,7 @@
         if name not in self.waiting:
             return
         result = self.fleet.reserve(process, self.waiting[name])
-        if isinstance(result, stock.Reservation):
+        if isinstance(result, token_balance.Reservation):
             del self.waiting[name]
             self.running.append((process, result))
             return
@@ -212,7 +214,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_callers_get_most_of_a_rate_that_is_not_disturbed(seed: int) -> None:
-    # A stock that never grants anything would pass the test above.
+    # A token balance that never grants anything would pass the test above.
     fleet = fakes.Fleet(seed=seed, per_data_centre=3, loss=0.01)
     fleet.run_for(10.0)
     start = fleet.network.clock.now_seconds()
--- a/tests/coordination/rates/test_service.py
+++ b/tests/coordination/rates/test_service.py
@@ -3,7 +3,7 @@
 import pytest
 
 from boragefold.coordination.rates import limits
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from tests.fakes import rates as fakes
 
 FULL_SECONDS = 10.0
@@ -34,14 +34,16 @@
 
 def test_larger_than_the_burst_never_fits(fleet) -> None:
     result = fleet.reserve(fleet.other("north"), 901.0)
-    assert result == stock.Shortfall(ready_in_seconds=None)
+    assert result == token_balance.Shortfall(ready_in_seconds=None)
 
 
 def test_the_whole_rate_in_one_data_centre(fleet) -> None:
     process = fleet.other("north")
     start = fleet.network.clock.now_seconds()
     while fleet.network.clock.now_seconds() < start + 30.0:
-        while isinstance(fleet.reserve(process, 20.0), stock.Reservation):
+        while isinstance(
+            fleet.reserve(process, 20.0), token_balance.Reservation
+        ):
             pass
         fleet.run_for(0.02)
     got = fleet.charged_tokens(start)
@@ -77,7 +79,7 @@
     fleet.change_view("north")
     process = fleet.holder("north")
     result = fleet.reserve(process, 290.0)
-    assert isinstance(result, stock.Shortfall)
+    assert isinstance(result, token_balance.Shortfall)
     assert fleet.obtain(process, 290.0, within_seconds=6.0)
     assert fleet.excess_tokens() <= TINY
 
@@ -109,7 +111,7 @@
     fleet.network.resume(paused.node)
     fleet.run_for(0.1)
     assert paused.counters.total("rate_tenures") >= before
-    while isinstance(fleet.reserve(process, 10.0), stock.Reservation):
+    while isinstance(fleet.reserve(process, 10.0), token_balance.Reservation):
         fleet.run_for(0.01)
     assert fleet.excess_tokens() <= TINY
 
@@ -130,7 +132,7 @@
     fleet.network.resume(paused.node)
     fleet.views.learn(paused.rights)
     assert fleet.holder("north") is paused
-    assert isinstance(fleet.reserve(paused, 290.0), stock.Shortfall)
+    assert isinstance(fleet.reserve(paused, 290.0), token_balance.Shortfall)
     fleet.run_for(4.0)
     assert fleet.obtain(paused, 100.0, within_seconds=0.1)
     assert fleet.excess_tokens() <= TINY
@@ -151,7 +153,7 @@
     bucket.advance = advance_slowly
     fleet.reserve(process, 100.0)
     fleet.run_for(0.1)
-    assert isinstance(fleet.reserve(process, 100.0), stock.Shortfall)
+    assert isinstance(fleet.reserve(process, 100.0), token_balance.Shortfall)
 
 
 def test_a_raised_weight_waits_for_those_that_fall(fleet) -> None:
@@ -216,10 +218,10 @@
     # full size; without the return of unused tokens, 12 would.
     process = fleet.other("north")
     start = fleet.network.clock.now_seconds()
-    running: list[tuple[float, stock.Reservation]] = []
+    running: list[tuple[float, token_balance.Reservation]] = []
     for step in range(3000):
         result = fleet.reserve(process, 100.0)
-        if isinstance(result, stock.Reservation):
+        if isinstance(result, token_balance.Reservation):
             running.append((step * 0.02 + 4.0, result))
         while running and running[0][0] <= step * 0.02:
             fleet.settle(process, running.pop(0)[1], 10.0)
@@ -248,13 +250,13 @@
 def test_a_shortfall_tells_when(fleet) -> None:
     process = fleet.other("north")
     first = fleet.reserve(process, 100.0)
-    assert isinstance(first, stock.Shortfall)
+    assert isinstance(first, token_balance.Shortfall)
     assert 0 < first.ready_in_seconds <= 10 * limits.IN_FLIGHT_SECONDS
     assert fleet.obtain(process, 900.0, within_seconds=0.5)
     fleet.reserve(process, 600.0)
     fleet.run_for(0.3)
     later = fleet.reserve(process, 600.0)
-    assert isinstance(later, stock.Shortfall)
+    assert isinstance(later, token_balance.Shortfall)
     assert 1.0 < later.ready_in_seconds < 2.5
 
 
@@ -266,6 +268,6 @@
     for _ in range(20):
         result = fleet.reserve(process, 250.0)
         fleet.run_for(0.1)
-    assert isinstance(result, stock.Shortfall)
+    assert isinstance(result, token_balance.Shortfall)
     assert result.ready_in_seconds >= limits.RETRY_SECONDS
     assert process.counters.value("rate_shortfalls", "unanswered") > 0
--- a/tests/coordination/test_load_budget.py
+++ b/tests/coordination/test_load_budget.py
@@ -3,7 +3,7 @@
 import pytest
 
 from boragefold.coordination import load_budget
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.state import documents
 from tests.fakes import rates as fakes
 
@@ -112,7 +112,7 @@
         rates=last.rates, counters=last.counters
     )
     fleet.run_for(6.0)
-    assert isinstance(budget.try_take(), stock.Shortfall)
+    assert isinstance(budget.try_take(), token_balance.Shortfall)
     fleet.run_for(load_budget.LONGEST_LOAD_SECONDS)
     budget.try_take()
     fleet.run_for(0.5)
--- a/tests/fakes/rates.py
+++ b/tests/fakes/rates.py
@@ -7,7 +7,7 @@
 from boragefold.coordination.rates import limits
 from boragefold.coordination.rates import service
 import boragefold.coordination.rights as rights
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.telemetry import counters as counting
 from tests.fakes import network as networks
 from tests.fakes import rights as fake_rights
@@ -31,7 +31,7 @@
     """A reservation and when it was made."""
 
     at_seconds: float
-    reservation: stock.Reservation
+    reservation: token_balance.Reservation
 
 
 class Fleet:
@@ -114,11 +114,11 @@
 
     def reserve(
         self, process: Process, tokens: float
-    ) -> stock.Reservation | stock.Shortfall:
+    ) -> token_balance.Reservation | token_balance.Shortfall:
         result = process.rates.stock.reserve(
             workspace=WORKSPACE, tokens=tokens
         )
-        if isinstance(result, stock.Reservation):
+        if isinstance(result, token_balance.Reservation):
             now_seconds = self.network.clock.now_seconds()
             self.charges.append(Charge(now_seconds, result))
         return result
@@ -130,7 +130,7 @@
         end_seconds = self.network.clock.now_seconds() + within_seconds
         while True:
             result = self.reserve(process, tokens)
-            if isinstance(result, stock.Reservation):
+            if isinstance(result, token_balance.Reservation):
                 return True
             wait_seconds = result.ready_in_seconds
             now_seconds = self.network.clock.now_seconds()
@@ -141,7 +141,7 @@
     def settle(
         self,
         process: Process,
-        reservation: stock.Reservation,
+        reservation: token_balance.Reservation,
         used_tokens: float,
     ) -> None:
         self.used[id(reservation)] = used_tokens
--- a/tests/fakes/workloads.py
+++ b/tests/fakes/workloads.py
@@ -17,7 +17,7 @@
 from boragefold.policy import overload
 from boragefold.policy import placement
 from boragefold.policy import refusal
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.policy import work as works
 from boragefold.telemetry import counters as telemetry
 
@@ -76,30 +76,30 @@
     return dict(queue.waiting_by_adapter())
 
 
-class BucketStock(stock.Stock):
+class BucketBalance(token_balance.TokenBalance):
     """One token bucket per workspace; counts every settlement."""
 
     def __init__(self, *, rate: float, burst: float) -> None:
         self.rate = rate
         self.burst = burst
         self.now = 0.0
-        self.settlements: list[stock.Reservation] = []
+        self.settlements: list[token_balance.Reservation] = []
         self._levels: dict[str, tuple[float, float]] = {}
 
     def reserve(
         self, *, workspace: str, tokens: float
-    ) -> stock.Reservation | stock.Shortfall:
+    ) -> token_balance.Reservation | token_balance.Shortfall:
         if tokens > self.burst:
-            return stock.Shortfall(ready_in_seconds=None)
+            return token_balance.Shortfall(ready_in_seconds=None)
         level = self.level(workspace)
         if tokens > level + 1e-9:
             missing = (tokens - level) / self.rate
-            return stock.Shortfall(ready_in_seconds=missing)
+            return token_balance.Shortfall(ready_in_seconds=missing)
         self._levels[workspace] = (level - tokens, self.now)
-        return stock.Reservation(workspace=workspace, tokens=tokens)
+        return token_balance.Reservation(workspace=workspace, tokens=tokens)
 
     def settle(
-        self, reservation: stock.Reservation, *, used_tokens: float
+        self, reservation: token_balance.Reservation, *, used_tokens: float
     ) -> None:
         if reservation.settled:
             return
@@ -159,7 +159,7 @@
         self,
         *,
         specs: list[fleet.EndpointSpec],
-        bucket: stock.Stock,
+        bucket: token_balance.TokenBalance,
         token_seconds: float = 0.01,
         seed: int = 1,
     ) -> None:
@@ -167,7 +167,7 @@
         self.endpoints = fleet.Endpoints()
         self.bucket = bucket
         self.admission = admission.Admission(
-            stock=bucket, counters=self.counters
+            token_balance=bucket, counters=self.counters
         )
         self.queue = fair_queue.FairQueue(counters=self.counters)
         self.share = fair_share.FairShare()
@@ -179,7 +179,7 @@
         )
         self.token_seconds = {each.name: token_seconds for each in specs}
         self.answers: dict[str, Answer] = {}
-        self.reservations: dict[str, stock.Reservation] = {}
+        self.reservations: dict[str, token_balance.Reservation] = {}
         self.rate = sum(each.batch_size for each in specs) / token_seconds
         self.now = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -8,22 +8,22 @@
 
 from boragefold.policy import admission
 from boragefold.policy import refusal
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.telemetry import counters as telemetry
 from tests.fakes import workloads
 
 
 def build(
     *, rate: float, burst: float
-) -> tuple[admission.Admission, workloads.BucketStock]:
-    bucket = workloads.BucketStock(rate=rate, burst=burst)
+) -> tuple[admission.Admission, workloads.BucketBalance]:
+    bucket = workloads.BucketBalance(rate=rate, burst=burst)
     decisions = admission.Admission(
-        stock=bucket, counters=telemetry.Counters()
+        token_balance=bucket, counters=telemetry.Counters()
     )
     return decisions, bucket
 
 
-def empty(bucket: workloads.BucketStock) -> None:
+def empty(bucket: workloads.BucketBalance) -> None:
     bucket.reserve(workspace="quadro", tokens=bucket.burst)
 
 
@@ -40,7 +40,7 @@
     assert decisions.next_due_seconds() is None
 
 
-def test_a_callback_of_the_stock_ends_the_wait() -> None:
+def test_a_callback_of_the_balance_ends_the_wait() -> None:
     decisions, bucket = build(rate=1000, burst=1000)
     empty(bucket)
     decisions.offer(workloads.work(tokens=500), now_seconds=0.0)
@@ -145,7 +145,7 @@
     # outside an outcome.
     decisions, bucket = build(rate=500, burst=1000)
     outcomes: collections.Counter[str] = collections.Counter()
-    reserved: list[stock.Reservation] = []
+    reserved: list[token_balance.Reservation] = []
     order: dict[str, list[str]] = collections.defaultdict(list)
     offered = []
 
@@ -187,12 +187,14 @@
 def test_without_a_rate_holder_the_rate_isnt_reported_as_exceeded() -> None:
     # Guards against callers within their rate that are refused for exceeding
     # it, when the instance has lost its lease and nobody grants tokens.
-    class StockWithoutHolder(workloads.BucketStock):
+    class BalanceWithoutHolder(workloads.BucketBalance):
         def reserve(self, *, workspace, tokens):
-            return stock.Shortfall(ready_in_seconds=60.0, no_holder=True)
+            return token_balance.Shortfall(
+                ready_in_seconds=60.0, no_holder=True
+            )
 
     decisions = admission.Admission(
-        stock=StockWithoutHolder(rate=1000, burst=1000),
+        token_balance=BalanceWithoutHolder(rate=1000, burst=1000),
         counters=telemetry.Counters(),
     )
     outcome = decisions.offer(workloads.work(tokens=10), now_seconds=0.0)
--- a/tests/policy/test_dispatcher.py
+++ b/tests/policy/test_dispatcher.py
@@ -11,13 +11,13 @@
 from boragefold.policy import dispatcher
 from boragefold.policy import endpoints
 from boragefold.policy import homes
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.policy import work as works
 from boragefold.telemetry import counters
 from tests.fakes import workloads
 
 
-class Stock(workloads.BucketStock):
+class RecordingBalance(workloads.BucketBalance):
     def __init__(self, *, rate: float = 1e6, burst: float = 1e6) -> None:
         super().__init__(rate=rate, burst=burst)
         self.callbacks: list[Callable[[str], None]] = []
@@ -27,7 +27,7 @@
         self.callbacks.append(callback)
 
     def settle(
-        self, reservation: stock.Reservation, *, used_tokens: float
+        self, reservation: token_balance.Reservation, *, used_tokens: float
     ) -> None:
         assert not reservation.settled
         self.used.append(used_tokens)
@@ -57,7 +57,7 @@
 def build(
     *,
     held: dict[str, list[str]],
-    bucket: Stock | None = None,
+    bucket: RecordingBalance | None = None,
     incarnation: str = "i1",
     holders: dict[str, str | None] | None = None,
 ) -> dispatcher.Dispatcher:
@@ -68,7 +68,7 @@
             known.loaded(name, workloads.adapter(adapter), now_seconds=0.0)
     return assembly.assemble(
         endpoints=known,
-        stock=bucket or Stock(),
+        token_balance=bucket or RecordingBalance(),
         load_budget=workloads.Budget(loads=8),
         rights=Rights(
             incarnation, holders or dict.fromkeys(held, incarnation)
@@ -157,7 +157,7 @@
 def test_a_request_that_may_not_run_twice_is_sent_once() -> None:
     # The connection breaks after a payout was sent. A second attempt might
     # pay it twice, so the caller is told that the outcome is unknown.
-    bucket = Stock()
+    bucket = RecordingBalance()
     system = build(held={"a": [], "b": []}, bucket=bucket)
     request = workloads.work()
     ((_, endpoint, _),) = sends(offer(system, request, idempotent=False))
@@ -211,7 +211,7 @@
 def test_a_request_is_sent_when_its_tokens_are_returned() -> None:
     # Tokens are returned early, because the first answer was short; a request
     # that waits for them must not wait until the estimated time.
-    bucket = Stock(rate=1000.0, burst=100.0)
+    bucket = RecordingBalance(rate=1000.0, burst=100.0)
     system = build(held={"a": []}, bucket=bucket)
     first, second = workloads.work(), workloads.work()
     assert len(sends(offer(system, first, second))) == 1
@@ -225,7 +225,7 @@
 
 
 def test_a_request_over_the_rate_is_refused_with_a_retry_time() -> None:
-    bucket = Stock(rate=10.0, burst=100.0)
+    bucket = RecordingBalance(rate=10.0, burst=100.0)
     system = build(held={"a": []}, bucket=bucket)
     offer(system, workloads.work())
     refused = system.offer(workloads.work(), idempotent=True, now_seconds=0.0)
@@ -235,7 +235,7 @@
 
 @pytest.mark.parametrize("stage", ["waiting", "sent"])
 def test_a_cancelled_request_is_settled_once(stage: str) -> None:
-    bucket = Stock()
+    bucket = RecordingBalance()
     system = build(held={"a": ["x"]}, bucket=bucket)
     request = workloads.work(needs="x" if stage == "sent" else "cold")
     done = offer(system, request)
--- a/tests/policy/test_load_patterns.py
+++ b/tests/policy/test_load_patterns.py
@@ -11,7 +11,7 @@
 
 
 def rig(*, rate: float = 100_000.0, burst: float = 100_000.0) -> workloads.Rig:
-    bucket = workloads.BucketStock(rate=rate, burst=burst)
+    bucket = workloads.BucketBalance(rate=rate, burst=burst)
     return workloads.Rig(specs=SPECS, bucket=bucket)
 
 
--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -22,7 +22,7 @@
 from boragefold.policy import fair_share
 from boragefold.policy import overload
 from boragefold.policy import placement
-from boragefold.policy import stock
+from boragefold.policy import token_balance
 from boragefold.policy import work as works
 from boragefold.telemetry import counters as telemetry
 
@@ -48,16 +48,16 @@
 )
 
 
-class OpenStock(stock.Stock):
-    """A stock that always has enough."""
+class UnlimitedBalance(token_balance.TokenBalance):
+    """A token balance that always has enough."""
 
     def reserve(
         self, *, workspace: str, tokens: float
-    ) -> stock.Reservation | stock.Shortfall:
-        return stock.Reservation(workspace=workspace, tokens=tokens)
+    ) -> token_balance.Reservation | token_balance.Shortfall:
+        return token_balance.Reservation(workspace=workspace, tokens=tokens)
 
     def settle(
-        self, reservation: stock.Reservation, *, used_tokens: float
+        self, reservation: token_balance.Reservation, *, used_tokens: float
     ) -> None:
         reservation.settled = True
 
@@ -96,7 +96,7 @@
         for name in self.names:
             self._add_endpoint(name)
         self.admission = admission.Admission(
-            stock=OpenStock(), counters=counters
+            token_balance=UnlimitedBalance(), counters=counters
         )
         self.overload = overload.Overload(counters=counters)
         self.share = fair_share.FairShare()
