--- a/src/boragefold/coordination/orders/dispatcher.py
+++ b/src/boragefold/coordination/orders/dispatcher.py
@@ -24,8 +24,8 @@
         fencing: fences.FencingNumbers | None,
         ready: Callable[[], bool],
         sender: sending.OrderSender,
-        started: Callable[[sending.Order], None],
-        ended: Callable[[sending.Order, sending.Outcome], None],
+        on_start: Callable[[sending.Order], None],
+        on_outcome: Callable[[sending.Order, sending.Outcome], None],
         counters: counting.Counters,
     ) -> None:
         """Create an empty queue.
@@ -34,15 +34,15 @@
             check them
         :param ready: returns whether orders may be sent now
         :param sender: sends orders to the endpoint
-        :param started: called with an order before it is sent
-        :param ended: called with an order and its outcome
+        :param on_start: called with an order before it is sent
+        :param on_outcome: called with an order and its outcome
         :param counters: counts orders
         """
         self._fencing = fencing
         self._ready = ready
         self._sender = sender
-        self._on_start = started
-        self._on_outcome = ended
+        self._on_start = on_start
+        self._on_outcome = on_outcome
         self._counters = counters
         self._queue: collections.deque[sending.Order] = collections.deque()
         self._in_flight: sending.Order | None = None
@@ -64,7 +64,7 @@
         if self._in_flight is None and self._queue and self._ready():
             self._transmit(self._queue.popleft())
 
-    def void(self) -> list[sending.Order]:
+    def clear(self) -> list[sending.Order]:
         """Drop all orders and ignore the outcome of the one in flight.
 
         :return: dropped orders, beginning with the one in flight
@@ -81,12 +81,14 @@
         self._on_start(order)
         numbered = order
         if self._fencing is not None:
-            numbered = dataclasses.replace(order, fencing=self._fencing.take())
+            numbered = dataclasses.replace(
+                order, fencing=self._fencing.next_number()
+            )
         self._counters.add("orders_sent", order.kind)
         self._sender.send(
             numbered,
-            still_ours=lambda: self._in_flight is order and self._ready(),
-            finished=lambda outcome: self._handle_outcome(order, outcome),
+            may_send=lambda: self._in_flight is order and self._ready(),
+            on_outcome=lambda outcome: self._handle_outcome(order, outcome),
         )
 
     def _handle_outcome(
@@ -99,7 +101,7 @@
             # A previous holder that went above its successor's numbers would
             # have the successor's orders refused.
             if self._ready():
-                self._fencing.learn(outcome.highest)
+                self._fencing.advance_past(outcome.highest)
                 self._transmit(order)
                 return
         self._in_flight = None
--- a/src/boragefold/coordination/orders/endpoint_orders.py
+++ b/src/boragefold/coordination/orders/endpoint_orders.py
@@ -36,12 +36,12 @@
         *,
         endpoint: str,
         fencing: fences.FencingNumbers | None,
-        numbers: itertools.count[int],
-        holds: Callable[[], bool],
+        eviction_numbers: itertools.count[int],
+        is_holder: Callable[[], bool],
         now_seconds: Callable[[], float],
         sender: sending.OrderSender,
         send: Callable[[ids.InstanceId, Any], None],
-        finished: OutcomeCallback,
+        on_outcome: OutcomeCallback,
         counters: counting.Counters,
     ) -> None:
         """Create the state of a newly gained right.
@@ -49,30 +49,32 @@
         :param endpoint: name of the endpoint
         :param fencing: fencing numbers, or None if the endpoint does not
             check them
-        :param numbers: eviction numbers, unique within this process
-        :param holds: returns whether this instance holds the right now
+        :param eviction_numbers: unique within this process
+        :param is_holder: returns whether this instance holds the right now
         :param now_seconds: returns the current time
         :param sender: sends orders to the endpoint
         :param send: sends a message to an instance
-        :param finished: called with the outcome of every accepted order
+        :param on_outcome: called with the outcome of every accepted order
         :param counters: counts orders and refusals
         """
         self._endpoint = endpoint
-        self._holds = holds
+        self._is_holder = is_holder
         self._now_seconds = now_seconds
-        self._finished = finished
+        self._on_outcome = on_outcome
         self._counters = counters
         self._ready_at_seconds = (
-            now_seconds() + timeouts.ORDER_SECONDS + timeouts.MARGIN_SECONDS
+            now_seconds()
+            + timeouts.ORDER_TIMEOUT_SECONDS
+            + timeouts.CLOCK_DRIFT_SECONDS
         )
         self._loaded_adapters = loaded_adapters.LoadedAdapters(
             not_before_seconds=self._ready_at_seconds
         )
-        self._leases = leasing.Leases(since_seconds=now_seconds())
+        self._leases = leasing.Leases(gained_at_seconds=now_seconds())
         self._evictions = evicting.Evictions(
             endpoint=endpoint,
             leases=self._leases,
-            numbers=numbers,
+            eviction_numbers=eviction_numbers,
             now_seconds=now_seconds,
             send=send,
         )
@@ -80,8 +82,8 @@
             fencing=fencing,
             ready=self._ready,
             sender=sender,
-            started=self._mark_in_flight,
-            ended=self._handle_outcome,
+            on_start=self._mark_in_flight,
+            on_outcome=self._handle_outcome,
             counters=counters,
         )
 
@@ -101,10 +103,12 @@
         """
         return self._loaded_adapters.loaded
 
-    def ask_use(self, asker: ids.InstanceId, weights: messages.Weights) -> str:
+    def request_lease(
+        self, requester: ids.InstanceId, weights: messages.Weights
+    ) -> str:
         """Grant or refuse a lease on an adapter version.
 
-        :param asker: instance of any data centre that requests the lease
+        :param requester: instance of any data centre that requests the lease
         :param weights: adapter version that it wants to use
         :return: reason for the refusal, empty if the lease was granted
         """
@@ -114,10 +118,10 @@
             return "evicting"
         if weights not in self._loaded_adapters.loaded:
             return "not_loaded"
-        self._leases.give(weights, asker, now_seconds=self._now_seconds())
+        self._leases.grant(weights, requester, now_seconds=self._now_seconds())
         return ""
 
-    def use_stopped(
+    def record_stopped(
         self, instance: ids.InstanceId, stopped: messages.UseStopped
     ) -> None:
         """Record that an instance has no more requests in flight.
@@ -125,10 +129,10 @@
         :param instance: instance that sent the message
         :param stopped: message, ignored if it answers an earlier eviction
         """
-        self._evictions.stopped(instance, stopped)
+        self._evictions.record_stopped(instance, stopped)
         self._evict_unused()
 
-    def report(
+    def apply_report(
         self,
         *,
         incarnation: str,
@@ -142,7 +146,7 @@
         :param sampled_seconds: time of the sample, or an earlier time
         """
         loaded = frozenset(messages.Weights(*each) for each in running)
-        restarted = self._loaded_adapters.report(
+        restarted = self._loaded_adapters.apply_report(
             incarnation=incarnation,
             loaded=loaded,
             sampled_seconds=sampled_seconds,
@@ -152,7 +156,7 @@
             self._cancel_all()
         idle = [adapter for adapter, count in running.items() if not count]
         for adapter in idle:
-            self._leases.idle(
+            self._leases.record_idle(
                 messages.Weights(*adapter), sampled_seconds=sampled_seconds
             )
         self._evict_unused()
@@ -198,7 +202,7 @@
         if weights not in self._loaded_adapters.loaded:
             return self._refuse("not_loaded")
         self._evictions.begin(weights)
-        self._evictions.ask()
+        self._evictions.send_stop_requests()
         self._evict_unused()
         return sending.Accepted()
 
@@ -212,25 +216,25 @@
 
     def tick(self) -> None:
         """Expire leases, repeat stop requests and send what is due."""
-        self._leases.forget_old(self._now_seconds())
-        self._evictions.ask()
+        self._leases.expire(self._now_seconds())
+        self._evictions.send_stop_requests()
         self._evict_unused()
         self._dispatcher.send_next()
 
     def _ready(self) -> bool:
         return (
-            self._loaded_adapters.known
+            self._loaded_adapters.has_report
             and self._now_seconds() >= self._ready_at_seconds
-            and self._holds()
+            and self._is_holder()
         )
 
     def _evict_unused(self) -> None:
         if not self._ready():
             return
-        for weights in self._evictions.take_unused():
+        for weights in self._evictions.pop_unused():
             # No lease is granted while the order is queued or in flight.
-            self._loaded_adapters.changed(
-                weights, loaded=False, now_seconds=self._now_seconds()
+            self._loaded_adapters.record_order(
+                weights, loaded=False, effective_at_seconds=self._now_seconds()
             )
             self._accept(
                 sending.Order(
@@ -257,7 +261,7 @@
         self, order: sending.Order, outcome: sending.Outcome
     ) -> None:
         self._record_outcome(order, outcome)
-        self._finished(order, outcome)
+        self._on_outcome(order, outcome)
 
     def _record_outcome(
         self, order: sending.Order, outcome: sending.Outcome
@@ -267,36 +271,36 @@
         # After an unknown outcome the order may still take effect for a while.
         effective_at_seconds = self._now_seconds()
         if isinstance(outcome, sending.NoAnswer):
-            effective_at_seconds += timeouts.ORDER_SECONDS
+            effective_at_seconds += timeouts.ORDER_TIMEOUT_SECONDS
         done = isinstance(outcome, sending.Done)
-        self._loaded_adapters.changed(
+        self._loaded_adapters.record_order(
             messages.Weights(*order.adapter),
             loaded=done and order.kind == "load",
-            now_seconds=effective_at_seconds,
+            effective_at_seconds=effective_at_seconds,
         )
 
     def _mark_in_flight(self, order: sending.Order) -> None:
         if order.adapter is not None:
             # The order may take effect at any time until its outcome is known.
-            self._loaded_adapters.changed(
+            self._loaded_adapters.record_order(
                 messages.Weights(*order.adapter),
                 loaded=False,
-                now_seconds=math.inf,
+                effective_at_seconds=math.inf,
             )
 
     def _cancel_all(self) -> None:
         """Cancel all evictions and orders after a restart of the engine."""
         self._evictions.clear()
-        cancelled = self._dispatcher.void()
+        cancelled = self._dispatcher.clear()
         if cancelled:
             # The order in flight may still reach the new engine process.
             self._ready_at_seconds = (
                 self._now_seconds()
-                + timeouts.ORDER_SECONDS
-                + timeouts.MARGIN_SECONDS
+                + timeouts.ORDER_TIMEOUT_SECONDS
+                + timeouts.CLOCK_DRIFT_SECONDS
             )
         for order in cancelled:
-            self._finished(order, sending.NoAnswer(reason="restarted"))
+            self._on_outcome(order, sending.NoAnswer(reason="restarted"))
 
 
 __all__ = [
--- a/src/boragefold/coordination/orders/evictions.py
+++ b/src/boragefold/coordination/orders/evictions.py
@@ -29,7 +29,7 @@
         *,
         endpoint: str,
         leases: leasing.Leases,
-        numbers: itertools.count[int],
+        eviction_numbers: itertools.count[int],
         now_seconds: Callable[[], float],
         send: Callable[[ids.InstanceId, Any], None],
     ) -> None:
@@ -37,14 +37,14 @@
 
         :param endpoint: name of the endpoint
         :param leases: granted leases
-        :param numbers: eviction numbers, unique within this process so that
-            a late reply to an earlier eviction is recognised
+        :param eviction_numbers: unique within this process so that a late
+            reply to an earlier eviction is recognised
         :param now_seconds: returns the current time
         :param send: sends a message to an instance
         """
         self._endpoint = endpoint
         self._leases = leases
-        self._numbers = numbers
+        self._eviction_numbers = eviction_numbers
         self._now_seconds = now_seconds
         self._send = send
         self._evictions: dict[messages.Weights, _Eviction] = {}
@@ -60,8 +60,8 @@
         self._evictions.setdefault(
             weights,
             _Eviction(
-                number=next(self._numbers),
-                requested_at_seconds=-timeouts.AGAIN_SECONDS,
+                number=next(self._eviction_numbers),
+                requested_at_seconds=-timeouts.RETRY_SECONDS,
             ),
         )
 
@@ -77,7 +77,7 @@
         """Cancel all pending evictions."""
         self._evictions.clear()
 
-    def stopped(
+    def record_stopped(
         self, instance: ids.InstanceId, stopped: messages.UseStopped
     ) -> None:
         """Record that an instance has no more requests in flight.
@@ -88,15 +88,15 @@
         weights = stopped.target.weights
         eviction = self._evictions.get(weights)
         if eviction is not None and eviction.number == stopped.eviction:
-            self._leases.stopped(weights, instance)
+            self._leases.record_stopped(weights, instance)
 
-    def ask(self) -> None:
+    def send_stop_requests(self) -> None:
         """Send stop requests to possible users; repeat unanswered ones."""
         now_seconds = self._now_seconds()
         for weights, eviction in list(self._evictions.items()):
             if (
                 now_seconds
-                < eviction.requested_at_seconds + timeouts.AGAIN_SECONDS
+                < eviction.requested_at_seconds + timeouts.RETRY_SECONDS
             ):
                 continue
             eviction.requested_at_seconds = now_seconds
@@ -105,7 +105,7 @@
             for user in self._leases.users(weights, now_seconds=now_seconds):
                 self._send(user, asked)
 
-    def take_unused(self) -> list[messages.Weights]:
+    def pop_unused(self) -> list[messages.Weights]:
         """Remove and return the pending evictions that may be ordered.
 
         :return: adapter versions that no instance can use any more
@@ -114,7 +114,7 @@
         unused = [
             weights
             for weights in self._evictions
-            if not self._leases.former_users_possible(
+            if not self._leases.previous_leases_possible(
                 weights, now_seconds=now_seconds
             )
             and not self._leases.users(weights, now_seconds=now_seconds)
--- a/src/boragefold/coordination/orders/fencing.py
+++ b/src/boragefold/coordination/orders/fencing.py
@@ -21,7 +21,7 @@
         view_sequence = view.epoch * VIEWS_PER_EPOCH + view.number
         self._next = view_sequence * ORDERS_PER_VIEW
 
-    def take(self) -> int:
+    def next_number(self) -> int:
         """Return the next number.
 
         :return: number higher than all earlier ones
@@ -29,7 +29,7 @@
         self._next += 1
         return self._next
 
-    def learn(self, highest: int) -> None:
+    def advance_past(self, highest: int) -> None:
         """Continue above a number that the endpoint has seen.
 
         Only the current holder may do so: a previous holder that went above
--- a/src/boragefold/coordination/orders/lease_client.py
+++ b/src/boragefold/coordination/orders/lease_client.py
@@ -97,7 +97,7 @@
         return Use(
             target=target,
             send_by_seconds=lease.ends_at_seconds,
-            ends_by_seconds=now_seconds + timeouts.LONGEST_USE_SECONDS,
+            ends_by_seconds=now_seconds + timeouts.MAX_REQUEST_SECONDS,
         )
 
     def finish(self, use: Use) -> None:
@@ -119,7 +119,9 @@
         """
         self._callbacks.append(callback)
 
-    def given(self, sender: ids.InstanceId, given: messages.UseGiven) -> None:
+    def apply_reply(
+        self, sender: ids.InstanceId, given: messages.UseGiven
+    ) -> None:
         """Apply granted and refused leases.
 
         :param sender: holder of the endpoints
@@ -147,7 +149,7 @@
             if lease is not None:
                 lease.refusal = refusal.reason
 
-    def stop_asked(
+    def handle_stop_request(
         self, sender: ids.InstanceId, asked: messages.UseStopAsked
     ) -> None:
         """Send no new requests and confirm when the last one has ended.
@@ -211,7 +213,7 @@
         requested_seconds = lease.requested_at_seconds
         if (
             requested_seconds is not None
-            and now_seconds < requested_seconds + timeouts.AGAIN_SECONDS
+            and now_seconds < requested_seconds + timeouts.RETRY_SECONDS
         ):
             return
         holder = self._holder_of(target.endpoint)
--- a/src/boragefold/coordination/orders/leases.py
+++ b/src/boragefold/coordination/orders/leases.py
@@ -24,20 +24,20 @@
     after its right ended, which was before this instance gained it.
     """
 
-    def __init__(self, *, since_seconds: float) -> None:
+    def __init__(self, *, gained_at_seconds: float) -> None:
         """Create an empty set of leases.
 
-        :param since_seconds: time when this instance gained the right
+        :param gained_at_seconds: time when this instance gained the right
         """
         self._previous_leases_end_seconds = (
-            since_seconds
+            gained_at_seconds
             + timeouts.USE_LEASE_SECONDS
-            + timeouts.MARGIN_SECONDS
+            + timeouts.CLOCK_DRIFT_SECONDS
         )
         self._leases: dict[messages.Weights, dict[ids.InstanceId, _Lease]] = {}
         self._idle_at_seconds: dict[messages.Weights, float] = {}
 
-    def give(
+    def grant(
         self,
         weights: messages.Weights,
         instance: ids.InstanceId,
@@ -51,7 +51,9 @@
         :param now_seconds: current time
         """
         ends_at_seconds = (
-            now_seconds + timeouts.USE_LEASE_SECONDS + timeouts.MARGIN_SECONDS
+            now_seconds
+            + timeouts.USE_LEASE_SECONDS
+            + timeouts.CLOCK_DRIFT_SECONDS
         )
         self._leases.setdefault(weights, {})[instance] = _Lease(
             ends_at_seconds=ends_at_seconds
@@ -76,7 +78,7 @@
             )
         }
 
-    def former_users_possible(
+    def previous_leases_possible(
         self, weights: messages.Weights, *, now_seconds: float
     ) -> bool:
         """Tell whether leases of the previous holder may still be in use.
@@ -92,7 +94,7 @@
             now_seconds,
         )
 
-    def stopped(
+    def record_stopped(
         self, weights: messages.Weights, instance: ids.InstanceId
     ) -> None:
         """Record that an instance has stopped using an adapter version.
@@ -104,7 +106,7 @@
         if lease is not None:
             lease.stopped = True
 
-    def idle(
+    def record_idle(
         self, weights: messages.Weights, *, sampled_seconds: float
     ) -> None:
         """Record that no request of an adapter version was running.
@@ -114,7 +116,7 @@
         """
         self._idle_at_seconds[weights] = sampled_seconds
 
-    def forget_old(self, now_seconds: float) -> None:
+    def expire(self, now_seconds: float) -> None:
         """Remove leases whose requests must have ended.
 
         :param now_seconds: current time
@@ -138,10 +140,10 @@
     once the longest request duration has passed. They have also ended or been
     lost if the endpoint was idle at a time when all of them must have arrived.
     """
-    all_arrived_seconds = ends_at_seconds + timeouts.TRANSIT_SECONDS
+    all_arrived_seconds = ends_at_seconds + timeouts.MAX_TRANSIT_SECONDS
     if idle_at_seconds is not None and idle_at_seconds >= all_arrived_seconds:
         return True
-    return now_seconds >= all_arrived_seconds + timeouts.LONGEST_USE_SECONDS
+    return now_seconds >= all_arrived_seconds + timeouts.MAX_REQUEST_SECONDS
 
 
 __all__ = [
--- a/src/boragefold/coordination/orders/loaded_adapters.py
+++ b/src/boragefold/coordination/orders/loaded_adapters.py
@@ -25,7 +25,7 @@
         self.incarnation: str | None = None
 
     @property
-    def known(self) -> bool:
+    def has_report(self) -> bool:
         """Tell whether a valid report has arrived.
 
         :return: whether one has arrived
@@ -40,7 +40,7 @@
         """
         return frozenset(self._loaded)
 
-    def report(
+    def apply_report(
         self,
         *,
         incarnation: str,
@@ -57,8 +57,8 @@
         if sampled_seconds < self._sampled_seconds:
             return False
         self._sampled_seconds = sampled_seconds
-        restarted = self.known and incarnation != self.incarnation
-        if restarted or not self.known:
+        restarted = self.has_report and incarnation != self.incarnation
+        if restarted or not self.has_report:
             self._effective_at_seconds.clear()
             self._loaded = set(loaded)
         else:
@@ -72,20 +72,20 @@
         self.incarnation = incarnation
         return restarted
 
-    def changed(
+    def record_order(
         self,
         weights: messages.Weights,
         *,
         loaded: bool,
-        now_seconds: float,
+        effective_at_seconds: float,
     ) -> None:
         """Record the effect that an order had or may have.
 
         :param weights: adapter version that the order concerns
         :param loaded: whether requests may use it now
-        :param now_seconds: time from which samples show the effect
+        :param effective_at_seconds: time from which samples show the effect
         """
-        self._effective_at_seconds[weights] = now_seconds
+        self._effective_at_seconds[weights] = effective_at_seconds
         if loaded:
             self._loaded.add(weights)
         else:
--- a/src/boragefold/coordination/orders/sender.py
+++ b/src/boragefold/coordination/orders/sender.py
@@ -78,19 +78,19 @@
         self,
         order: Order,
         *,
-        still_ours: Callable[[], bool],
-        finished: Callable[[Outcome], None],
+        may_send: Callable[[], bool],
+        on_outcome: Callable[[Outcome], None],
     ) -> None:
         """Send an order on a new connection.
 
-        Call ``still_ours`` immediately before writing, after the connection is
+        Call ``may_send`` immediately before writing, after the connection is
         established, and write nothing if it returns False. Close the
         connection if the order is not written within
-        ``timeouts.ORDER_SECONDS`` of the call.
+        ``timeouts.ORDER_TIMEOUT_SECONDS`` of the call.
 
         :param order: order to send
-        :param still_ours: returns whether the order may still be sent
-        :param finished: called once with the outcome
+        :param may_send: returns whether the order may still be sent
+        :param on_outcome: called once with the outcome
         """
 
 
--- a/src/boragefold/coordination/orders/service.py
+++ b/src/boragefold/coordination/orders/service.py
@@ -44,7 +44,7 @@
         timers: timing.TimerService,
         counters: counting.Counters,
         sender: sending.OrderSender,
-        finished: endpoint_orders.OutcomeCallback,
+        on_outcome: endpoint_orders.OutcomeCallback,
     ) -> None:
         """Create the service without endpoints.
 
@@ -53,14 +53,14 @@
         :param timers: timer service
         :param counters: counts orders and refusals
         :param sender: sends orders to endpoints
-        :param finished: called with the outcome of every accepted order
+        :param on_outcome: called with the outcome of every accepted order
         """
         self._link = peers
         self._rights = rights
         self._timers = timers
         self._counters = counters
         self._sender = sender
-        self._finished = finished
+        self._on_outcome = on_outcome
         self._endpoints: dict[str, documents.Endpoint] = {}
         self._data_centre_of: dict[str, str] = {}
         self._held_endpoints: dict[str, _HeldEndpoint] = {}
@@ -73,8 +73,8 @@
         )
         self._handlers: dict[type, Callable[[ids.InstanceId, Any], None]] = {
             messages.UseAsked: self._use_asked,
-            messages.UseGiven: self.leases.given,
-            messages.UseStopAsked: self.leases.stop_asked,
+            messages.UseGiven: self.leases.apply_reply,
+            messages.UseStopAsked: self.leases.handle_stop_request,
             messages.UseStopped: self._use_stopped,
         }
         for kind, handler in self._handlers.items():
@@ -112,7 +112,7 @@
         view = self._rights.valid_view()
         if view is None or endpoint not in self._endpoints:
             return None
-        if not self._rights.holds(timeouts.right_of(endpoint)):
+        if not self._rights.holds(timeouts.order_right(endpoint)):
             self._held_endpoints.pop(endpoint, None)
             return None
         held = self._held_endpoints.get(endpoint)
@@ -130,19 +130,19 @@
         self, endpoint: str, view: membership.View
     ) -> _HeldEndpoint:
         checks_fencing = self._endpoints[endpoint]["checks_fencing"]
-        right = timeouts.right_of(endpoint)
+        right = timeouts.order_right(endpoint)
         held = _HeldEndpoint(
             orders=endpoint_orders.EndpointOrders(
                 endpoint=endpoint,
                 fencing=fences.FencingNumbers(view=view)
                 if checks_fencing
                 else None,
-                numbers=self._eviction_numbers,
-                holds=lambda: self._rights.holds(right),
+                eviction_numbers=self._eviction_numbers,
+                is_holder=lambda: self._rights.holds(right),
                 now_seconds=self._timers.now_seconds,
                 sender=self._sender,
                 send=self._send,
-                finished=self._finished,
+                on_outcome=self._on_outcome,
                 counters=self._counters,
             ),
             epoch=view.epoch,
@@ -172,7 +172,7 @@
             view = self._rights.directory().get(data_centre)
         if view is None or not view.members:
             return None
-        return membership.holder(view, timeouts.right_of(endpoint))
+        return membership.holder(view, timeouts.order_right(endpoint))
 
     def _use_asked(
         self, sender: ids.InstanceId, asked: messages.UseAsked
@@ -197,14 +197,14 @@
         held = self.held_endpoint(target.endpoint)
         if held is None:
             return "not_holder"
-        return held.ask_use(sender, target.weights)
+        return held.request_lease(sender, target.weights)
 
     def _use_stopped(
         self, sender: ids.InstanceId, stopped: messages.UseStopped
     ) -> None:
         held = self.held_endpoint(stopped.target.endpoint)
         if held is not None:
-            held.use_stopped(sender, stopped)
+            held.record_stopped(sender, stopped)
 
     def _send(self, to: ids.InstanceId, body: Any) -> None:
         if to != self._link.self_id:
--- a/src/boragefold/coordination/orders/timeouts.py
+++ b/src/boragefold/coordination/orders/timeouts.py
@@ -6,22 +6,22 @@
 USE_LEASE_SECONDS = 8.0
 
 # A request ends or is cancelled within this time.
-LONGEST_USE_SECONDS = 120.0
+MAX_REQUEST_SECONDS = 120.0
 
 # A message that has not arrived within this time never arrives.
-TRANSIT_SECONDS = 2.0
+MAX_TRANSIT_SECONDS = 2.0
 
 # The sender closes the connection after this time.
-ORDER_SECONDS = 2.0
+ORDER_TIMEOUT_SECONDS = 2.0
 
 # Exceeds the drift between two clocks over the above durations.
-MARGIN_SECONDS = 0.1
+CLOCK_DRIFT_SECONDS = 0.1
 
 # Retry interval of requests to other instances.
-AGAIN_SECONDS = 0.5
+RETRY_SECONDS = 0.5
 
 
-def right_of(endpoint: str) -> str:
+def order_right(endpoint: str) -> str:
     """Return the name of the right to send orders to an endpoint.
 
     :param endpoint: name of the endpoint
@@ -31,11 +31,11 @@
 
 
 __all__ = [
-    "AGAIN_SECONDS",
-    "LONGEST_USE_SECONDS",
-    "MARGIN_SECONDS",
-    "ORDER_SECONDS",
-    "TRANSIT_SECONDS",
+    "CLOCK_DRIFT_SECONDS",
+    "MAX_REQUEST_SECONDS",
+    "MAX_TRANSIT_SECONDS",
+    "ORDER_TIMEOUT_SECONDS",
+    "RETRY_SECONDS",
     "USE_LEASE_SECONDS",
-    "right_of",
+    "order_right",
 ]
--- a/src/boragefold/entry/chat_assembly.py
+++ b/src/boragefold/entry/chat_assembly.py
@@ -69,7 +69,7 @@
         view = self._rights.directory().get(record.data_centre)
         if view is None:
             return None
-        right = timeouts.right_of(endpoint)
+        right = timeouts.order_right(endpoint)
         return rights_module.holder(view, right).incarnation
 
     def _is_ready(self, endpoint: str) -> bool:
@@ -154,7 +154,7 @@
             sender=order_client.HttpOrderSender(
                 client=client, address_of=self.reports.address_of
             ),
-            finished=executor.on_order_finished,
+            on_outcome=executor.on_order_finished,
         )
         rights.orders = self.orders
         rights.reports = self.reports
@@ -192,7 +192,7 @@
     ) -> None:
         held = self.orders.held_endpoint(endpoint)
         if held is not None:
-            held.report(
+            held.apply_report(
                 incarnation=report.incarnation,
                 running=running,
                 sampled_seconds=sampled_seconds,
--- a/src/boragefold/entry/order_client.py
+++ b/src/boragefold/entry/order_client.py
@@ -40,18 +40,18 @@
         self,
         order: sending.Order,
         *,
-        still_ours: Callable[[], bool],
-        finished: Callable[[sending.Outcome], None],
+        may_send: Callable[[], bool],
+        on_outcome: Callable[[sending.Outcome], None],
     ) -> None:
         """Send an order on a new connection.
 
         :param order: the order
-        :param still_ours: checked right before the request is written
-        :param finished: called once with the outcome
+        :param may_send: checked right before the request is written
+        :param on_outcome: called once with the outcome
         """
         address = self._address_of(order.endpoint)
         if address is None or order.adapter is None:
-            finished(sending.Failed(reason="unlisted"))
+            on_outcome(sending.Failed(reason="unlisted"))
             return
         body = {
             "kind": order.kind,
@@ -67,10 +67,10 @@
             body=msgspec.json.encode(body),
             fresh=True,
             progress_seconds=RESPONSE_TIMEOUT_SECONDS,
-            may_send=still_ours,
+            may_send=may_send,
         )
         sink = whole_answer.WholeAnswerSink(
-            done=lambda answer: finished(_parse_outcome(answer))
+            done=lambda answer: on_outcome(_parse_outcome(answer))
         )
         self._client.send(call, sink)
 
--- a/tests/coordination/orders/test_faults.py
+++ b/tests/coordination/orders/test_faults.py
@@ -17,16 +17,16 @@
 class SlowEngine(worlds.Engine):
     """An engine that orders reach after random delays."""
 
-    def send(self, order, *, still_ours, finished) -> None:
+    def send(self, order, *, may_send, on_outcome) -> None:
         random_source = self.world.network.random
         write_delay_seconds = random_source.uniform(0.0, 0.5)
         transit_seconds = random_source.uniform(
-            0.0, timeouts.ORDER_SECONDS - 0.6
+            0.0, timeouts.ORDER_TIMEOUT_SECONDS - 0.6
         )
 
         def write() -> None:
-            if not still_ours():
-                finished(sending.NoAnswer(reason="not_written"))
+            if not may_send():
+                on_outcome(sending.NoAnswer(reason="not_written"))
                 return
             self.world.timers.once(
                 delay_seconds=transit_seconds, callback=arrive
@@ -36,7 +36,7 @@
             outcome = self.carry_out(order)
             if random_source.random() < 0.1:
                 outcome = sending.NoAnswer(reason="connection_lost")
-            finished(outcome)
+            on_outcome(outcome)
 
         self.world.timers.once(
             delay_seconds=write_delay_seconds, callback=write
--- a/tests/coordination/orders/test_parts.py
+++ b/tests/coordination/orders/test_parts.py
@@ -37,12 +37,12 @@
     )
     leases.begin(TARGET)
     number = sent[-1].number
-    leases.stop_asked(HOLDER, messages.UseStopAsked(TARGET, 7))
+    leases.handle_stop_request(HOLDER, messages.UseStopAsked(TARGET, 7))
     assert sent[-1] == messages.UseStopped(TARGET, 7)
-    leases.given(HOLDER, messages.UseGiven(number, 8.0, (TARGET,), ()))
+    leases.apply_reply(HOLDER, messages.UseGiven(number, 8.0, (TARGET,), ()))
     assert isinstance(leases.begin(TARGET), lease_client.NoLease)
     number = sent[-1].number
-    leases.given(HOLDER, messages.UseGiven(number, 8.0, (TARGET,), ()))
+    leases.apply_reply(HOLDER, messages.UseGiven(number, 8.0, (TARGET,), ()))
     assert isinstance(leases.begin(TARGET), lease_client.Use)
 
 
@@ -51,20 +51,22 @@
     # This must not apply to the engine process that replaces it.
     adapters = loaded_adapters.LoadedAdapters(not_before_seconds=0.0)
     nothing: frozenset[messages.Weights] = frozenset()
-    adapters.report(incarnation="1", loaded=nothing, sampled_seconds=1.0)
-    adapters.changed(NOTES, loaded=False, now_seconds=100.0)
+    adapters.apply_report(incarnation="1", loaded=nothing, sampled_seconds=1.0)
+    adapters.record_order(NOTES, loaded=False, effective_at_seconds=100.0)
     loaded = frozenset({NOTES})
-    adapters.report(incarnation="1", loaded=loaded, sampled_seconds=2.0)
+    adapters.apply_report(incarnation="1", loaded=loaded, sampled_seconds=2.0)
     assert adapters.loaded == nothing
-    adapters.report(incarnation="2", loaded=loaded, sampled_seconds=3.0)
+    adapters.apply_report(incarnation="2", loaded=loaded, sampled_seconds=3.0)
     assert adapters.loaded == loaded
 
 
 def test_a_late_report_of_a_former_process_is_ignored() -> None:
     adapters = loaded_adapters.LoadedAdapters(not_before_seconds=0.0)
     loaded = frozenset({NOTES})
-    adapters.report(incarnation="2", loaded=frozenset(), sampled_seconds=3.0)
-    assert not adapters.report(
+    adapters.apply_report(
+        incarnation="2", loaded=frozenset(), sampled_seconds=3.0
+    )
+    assert not adapters.apply_report(
         incarnation="1", loaded=loaded, sampled_seconds=2.0
     )
     assert adapters.loaded == frozenset()
@@ -77,9 +79,9 @@
         self.orders: list[sending.Order] = []
         self.finished: list[Any] = []
 
-    def send(self, order, *, still_ours, finished) -> None:
+    def send(self, order, *, may_send, on_outcome) -> None:
         self.orders.append(order)
-        self.finished.append(finished)
+        self.finished.append(on_outcome)
 
 
 def dispatch(ready: list[bool]) -> tuple[dispatching.Dispatcher, Recorder]:
@@ -89,8 +91,8 @@
         fencing=fences.FencingNumbers(view=view),
         ready=lambda: ready[0],
         sender=recorder,
-        started=lambda order: None,
-        ended=lambda order, outcome: None,
+        on_start=lambda order: None,
+        on_outcome=lambda order, outcome: None,
         counters=counting.Counters(),
     )
     return dispatcher, recorder
@@ -120,7 +122,7 @@
     numbers = [
         fences.FencingNumbers(
             view=membership.View("north", epoch, number, (HOLDER,))
-        ).take()
+        ).next_number()
         for epoch, number in order
     ]
     assert all(a < b for a, b in itertools.pairwise(numbers))
--- a/tests/coordination/orders/test_service.py
+++ b/tests/coordination/orders/test_service.py
@@ -40,12 +40,12 @@
         self.hold_orders = False
         self.next_outcome: sending.Outcome | None = None
 
-    def send(self, order, *, still_ours, finished) -> None:
+    def send(self, order, *, may_send, on_outcome) -> None:
         def write() -> None:
-            if not still_ours():
-                finished(sending.NoAnswer(reason="not_written"))
+            if not may_send():
+                on_outcome(sending.NoAnswer(reason="not_written"))
                 return
-            finished(self.carry_out(order))
+            on_outcome(self.carry_out(order))
 
         if self.hold_orders:
             self.held_orders.append(write)
@@ -112,7 +112,7 @@
             ]
             self.change_view(name)
         self.timers.every(period_seconds=0.25, callback=self.report)
-        self.run_for(timeouts.ORDER_SECONDS + 2.0)
+        self.run_for(timeouts.ORDER_TIMEOUT_SECONDS + 2.0)
 
     def start(self, data_centre: str, number: int) -> Process:
         node = self.network.start(data_centre, f"{data_centre}-{number}")
@@ -124,7 +124,7 @@
             timers=node.timers,
             counters=counters,
             sender=self.engine,
-            finished=lambda *pair: self.finished.append(pair),
+            on_outcome=lambda *pair: self.finished.append(pair),
         )
         orders.update_endpoints(self.document)
         return Process(node, fake, orders, counters)
@@ -146,7 +146,7 @@
             for process in self.processes["north"]:
                 held = process.orders.held_endpoint(ENDPOINT)
                 if held is not None and not process.node.paused:
-                    held.report(
+                    held.apply_report(
                         incarnation=incarnation,
                         running=running,
                         sampled_seconds=sampled,
@@ -156,7 +156,7 @@
 
     def holder(self) -> Process:
         holder = membership.holder(
-            self.views.latest["north"], timeouts.right_of(ENDPOINT)
+            self.views.latest["north"], timeouts.order_right(ENDPOINT)
         )
         return next(
             process
@@ -192,7 +192,9 @@
 @pytest.fixture
 def world() -> World:
     made = World()
-    made.run_for(timeouts.USE_LEASE_SECONDS + timeouts.TRANSIT_SECONDS + 2.0)
+    made.run_for(
+        timeouts.USE_LEASE_SECONDS + timeouts.MAX_TRANSIT_SECONDS + 2.0
+    )
     return made
 
 
@@ -256,11 +258,13 @@
     world.use(world.processes["south"][1])
     world.network.kill(world.processes["south"][1].node)
     world.held_endpoint().evict(NOTES)
-    world.run_for(timeouts.LONGEST_USE_SECONDS)
+    world.run_for(timeouts.MAX_REQUEST_SECONDS)
     assert not world.evicted()
     world.engine.running[NOTES] = 0
     world.report = lambda: None
-    world.run_for(timeouts.USE_LEASE_SECONDS + timeouts.TRANSIT_SECONDS + 1.0)
+    world.run_for(
+        timeouts.USE_LEASE_SECONDS + timeouts.MAX_TRANSIT_SECONDS + 1.0
+    )
     assert world.evicted()
 
 
@@ -272,7 +276,7 @@
     world.network.kill(former.node)
     world.processes["north"].remove(former)
     world.change_view("north")
-    world.run_for(timeouts.ORDER_SECONDS + 2.0)
+    world.run_for(timeouts.ORDER_TIMEOUT_SECONDS + 2.0)
     assert isinstance(world.held_endpoint().evict(NOTES), sending.Accepted)
     world.run_for(timeouts.USE_LEASE_SECONDS + 10.0)
     assert not world.evicted()
@@ -287,7 +291,9 @@
     # send an eviction. Meanwhile another holder grants leases on the adapter.
     # The former holder must not write the order when it resumes.
     world = World(checks_fencing=checks_fencing)
-    world.run_for(timeouts.USE_LEASE_SECONDS + timeouts.TRANSIT_SECONDS + 2.0)
+    world.run_for(
+        timeouts.USE_LEASE_SECONDS + timeouts.MAX_TRANSIT_SECONDS + 2.0
+    )
     former = world.holder()
     world.engine.hold_orders = True
     world.held_endpoint().evict(NOTES)
@@ -311,7 +317,7 @@
     # ended. It would interrupt requests that the new holder allowed at once.
     former = world.holder()
     world.change_view("north", without=(former,))
-    for _ in range(int(timeouts.ORDER_SECONDS / 0.1)):
+    for _ in range(int(timeouts.ORDER_TIMEOUT_SECONDS / 0.1)):
         process = world.processes["south"][1]
         assert isinstance(
             process.orders.leases.begin(TARGET), lease_client.NoLease
@@ -336,11 +342,13 @@
 
 def test_fencing_numbers_increase_across_holders() -> None:
     world = World(checks_fencing=True)
-    world.run_for(timeouts.USE_LEASE_SECONDS + timeouts.TRANSIT_SECONDS + 2.0)
+    world.run_for(
+        timeouts.USE_LEASE_SECONDS + timeouts.MAX_TRANSIT_SECONDS + 2.0
+    )
     world.held_endpoint().evict(NOTES)
     world.run_for(1.0)
     world.change_view("north", without=(world.holder(),))
-    world.run_for(timeouts.ORDER_SECONDS + 2.0)
+    world.run_for(timeouts.ORDER_TIMEOUT_SECONDS + 2.0)
     world.held_endpoint().load(NOTES)
     world.run_for(1.0)
     world.held_endpoint().set_role("prefill")
@@ -353,7 +361,9 @@
 def test_a_holder_continues_above_an_unknown_higher_number() -> None:
     # The engine has seen a number from an unknown epoch.
     world = World(checks_fencing=True)
-    world.run_for(timeouts.USE_LEASE_SECONDS + timeouts.TRANSIT_SECONDS + 2.0)
+    world.run_for(
+        timeouts.USE_LEASE_SECONDS + timeouts.MAX_TRANSIT_SECONDS + 2.0
+    )
     world.engine.highest = 1 << 60
     world.held_endpoint().evict(NOTES)
     world.run_for(1.0)
@@ -382,7 +392,7 @@
     world.held_endpoint().evict(NOTES)
     world.run_for(1.0)
     assert messages.Weights(*NOTES) not in world.held_endpoint().loaded
-    world.run_for(timeouts.ORDER_SECONDS + 1.0)
+    world.run_for(timeouts.ORDER_TIMEOUT_SECONDS + 1.0)
     assert messages.Weights(*NOTES) in world.held_endpoint().loaded
 
 
