--- a/src/boragefold/coordination/fleet/fencing_numbers.py
+++ b/src/boragefold/coordination/fleet/fencing_numbers.py
@@ -14,7 +14,7 @@
 # after a restart under the same name. Counted from the start of 2024, UTC.
 EPOCH_MILLISECONDS = 1_704_067_200_000
 # Low bits of a token that hold the sending instance's number.
-GIVER_BITS = 15
+ISSUER_BITS = 15
 # Low bits of that number that come from the instance's address; the others are
 # the position of its data centre.
 ADDRESS_BITS = 10
@@ -27,7 +27,7 @@
     orders: int
 
 
-def giver_number(
+def issuer_number(
     *, data_centres: Iterable[str], data_centre: str, address: str
 ) -> int:
     """Compute the number of an instance for its fencing tokens.
@@ -35,37 +35,37 @@
     :param data_centres: all data centres, the same on every instance
     :param data_centre: the instance's data centre
     :param address: its IPv4 address, optionally with a port
-    :return: below two to the power of GIVER_BITS; unique for the first 1,024
+    :return: below two to the power of ISSUER_BITS; unique for the first 1,024
         addresses in each of 32 data centres
     """
     position = sorted(data_centres).index(data_centre)
     number = int(ipaddress.IPv4Address(address.partition(":")[0]))
     low_bits = number % (1 << ADDRESS_BITS)
-    return ((position << ADDRESS_BITS) | low_bits) % (1 << GIVER_BITS)
+    return ((position << ADDRESS_BITS) | low_bits) % (1 << ISSUER_BITS)
 
 
-def fence(counted: OrderCount | None, *, giver: int) -> int:
+def fence(counted: OrderCount | None, *, issuer: int) -> int:
     """Compute the fencing token of an order.
 
     :param counted: the order count that the order expects; None before the
         first report
-    :param giver: number of the instance that sends the order, below two to
-        the power of GIVER_BITS
+    :param issuer: number of the instance that sends the order, below two to
+        the power of ISSUER_BITS
     :return: a token that rises with the engine's order count and with each
         restart of the engine
     """
     if counted is None:
-        return giver
+        return issuer
     born_milliseconds = counted.born_milliseconds - EPOCH_MILLISECONDS
     # An engine accepts fewer than one order per millisecond, so the tokens
     # stay below those after the engine's next restart.
     position = max(0, born_milliseconds) + counted.orders
-    return (position << GIVER_BITS) | giver
+    return (position << ISSUER_BITS) | issuer
 
 
 __all__ = [
-    "GIVER_BITS",
+    "ISSUER_BITS",
     "OrderCount",
     "fence",
-    "giver_number",
+    "issuer_number",
 ]
--- a/src/boragefold/coordination/fleet/order_turns.py
+++ b/src/boragefold/coordination/fleet/order_turns.py
@@ -37,14 +37,14 @@
 START_MARGIN_SECONDS = 0.2
 # Maximum age of the count that an order relies on. Together with the time to
 # send an order and the lag of reports it is at most the quiet time.
-CONFIRMED_SECONDS = 0.25
+MAX_COUNT_AGE_SECONDS = 0.25
 # An order that isn't written within this time of its decision is dropped.
-ORDER_FRESH_SECONDS = 0.1
+MAX_SEND_DELAY_SECONDS = 0.1
 # Owners check ten times a second. After a longer gap the process was paused,
 # and another instance may have begun a turn.
 PAUSE_GAP_SECONDS = 1.0
 # Maximum age of a report's content when the report is requested.
-REPORT_AGE_SECONDS = 0.4
+MAX_REPORT_AGE_SECONDS = 0.4
 # Usual age of a report's content.
 REPORT_LAG_SECONDS = 0.15
 
@@ -56,28 +56,30 @@
         self,
         *,
         lease_seconds: float,
-        giver: int,
+        issuer: int,
         started_at_seconds: float = -math.inf,
     ) -> None:
         """Create it with an unknown order count.
 
         :param lease_seconds: minimum time between orders of two instances
-        :param giver: this instance's number, below two to the power of
-            GIVER_BITS
+        :param issuer: this instance's number, below two to the power of
+            ISSUER_BITS
         :param started_at_seconds: when this process started, on the clock
             whose readings all methods are passed
         """
         self._wait_seconds = lease_seconds + STAGGER_SECONDS * (
-            giver % STAGGER_STEPS
+            issuer % STAGGER_STEPS
         )
         self._first_order_at_seconds = (
             started_at_seconds + lease_seconds + START_MARGIN_SECONDS
         )
-        self._giver = giver
+        self._issuer = issuer
         self._counted: fencing_numbers.OrderCount | None = None
-        self._certain = False
+        self._count_known = False
         self._unanswered = unanswered_orders.UnansweredOrders()
-        self._explained: tuple[unanswered_orders.UnansweredOrder, ...] = ()
+        self._settled_orders: tuple[
+            unanswered_orders.UnansweredOrder, ...
+        ] = ()
         self._refused_at_seconds = -math.inf
         self._in_flight = False
         self._in_flight_from_earlier_turn = False
@@ -92,12 +94,12 @@
     def begin(self) -> None:
         """Begin a turn by checking whether another instance sends orders."""
         self._begun = False
-        self._certain = False
+        self._count_known = False
         self._constant_since_seconds = None
         self._unanswered.begin_turn()
         self._in_flight_from_earlier_turn = self._in_flight
 
-    def listen_since(self, at_seconds: float) -> None:
+    def restart_if_before(self, at_seconds: float) -> None:
         """Begin a new turn if the count has been observed since before a time.
 
         :param at_seconds: when another instance could last send orders
@@ -135,15 +137,15 @@
         return self._busy
 
     @property
-    def certain(self) -> bool:
+    def count_known(self) -> bool:
         """Return whether the engine's order count is known.
 
         :return: whether it was reported after any refused or unanswered order
         """
-        return self._certain
+        return self._count_known
 
     @property
-    def in_doubt_count(self) -> int:
+    def unanswered_count(self) -> int:
         """Count the unanswered orders of this turn.
 
         :return: how many orders may have been accepted
@@ -151,14 +153,14 @@
         return len(self._unanswered)
 
     @property
-    def explained(self) -> tuple[unanswered_orders.UnansweredOrder, ...]:
+    def settled_orders(self) -> tuple[unanswered_orders.UnansweredOrder, ...]:
         """List the unanswered orders that the last report showed as accepted.
 
         :return: the orders to which the rise of the count was attributed
         """
-        return self._explained
+        return self._settled_orders
 
-    def waits(self, *, now_seconds: float) -> bool:
+    def awaits_other_lease(self, *, now_seconds: float) -> bool:
         """Return whether another instance's lease has to expire first.
 
         :param now_seconds: reading of a clock that counts suspension
@@ -194,17 +196,19 @@
         if now_seconds - self._checked_at_seconds > PAUSE_GAP_SECONDS:
             self.begin()
         self._checked_at_seconds = now_seconds
-        free = self._begun and self._certain
+        free = self._begun and self._count_known
         occupied = (
             self._in_flight
             or self._busy
             or self._unanswered.may_arrive(now_seconds=now_seconds)
         )
         return (
-            free and not occupied and not self.waits(now_seconds=now_seconds)
+            free
+            and not occupied
+            and not self.awaits_other_lease(now_seconds=now_seconds)
         )
 
-    def confirmed(self, *, now_seconds: float) -> bool:
+    def is_confirmed(self, *, now_seconds: float) -> bool:
         """Return whether the engine's order count was confirmed recently.
 
         :param now_seconds: reading of a clock that counts suspension
@@ -213,7 +217,7 @@
         """
         return (
             self.count_age_seconds(now_seconds=now_seconds)
-            <= CONFIRMED_SECONDS
+            <= MAX_COUNT_AGE_SECONDS
         )
 
     def count_age_seconds(self, *, now_seconds: float) -> float:
@@ -230,14 +234,14 @@
 
         :return: a token that rises with the engine's order count
         """
-        return fencing_numbers.fence(self._counted, giver=self._giver)
+        return fencing_numbers.fence(self._counted, issuer=self._issuer)
 
-    def sending(self) -> None:
+    def record_sent(self) -> None:
         """Record that an order is being sent; there is one at a time."""
         self._in_flight = True
         self._in_flight_from_earlier_turn = False
 
-    def accepted(
+    def record_accepted(
         self,
         *,
         busy: bool = False,
@@ -259,7 +263,7 @@
                 orders=self._counted.orders + 1
             )
 
-    def in_doubt(
+    def record_unanswered(
         self,
         *,
         order: str = "",
@@ -273,7 +277,7 @@
         :param now_seconds: reading of a clock that counts suspension
         """
         self._in_flight = False
-        self._certain = False
+        self._count_known = False
         self._unanswered.add(
             unanswered_orders.UnansweredOrder(
                 order, now_seconds - age_seconds
@@ -282,12 +286,12 @@
             now_seconds=now_seconds,
         )
 
-    def unsent(self) -> None:
+    def record_unsent(self) -> None:
         """Record that the order was not sent."""
         self._in_flight = False
-        self._certain = False
+        self._count_known = False
 
-    def refused(self, *, now_seconds: float) -> None:
+    def record_refused(self, *, now_seconds: float) -> None:
         """Record that the engine refused the order for its expected count.
 
         An order of another instance may have come first. The count is known
@@ -297,10 +301,10 @@
         :param now_seconds: reading of a clock that counts suspension
         """
         self._in_flight = False
-        self._certain = False
+        self._count_known = False
         self._refused_at_seconds = now_seconds
 
-    def reported(
+    def record_report(
         self,
         counted: fencing_numbers.OrderCount,
         *,
@@ -317,18 +321,20 @@
         :param now_seconds: reading of a clock that counts suspension
         :return: whether the report shows orders of another instance
         """
-        self._explained = ()
+        self._settled_orders = ()
         if self._in_flight:
             # The answer to the order in flight will tell the count.
             return False
         before = self._counted
         asked_at_seconds = now_seconds - age_seconds
-        self._certain = (
-            asked_at_seconds - self._refused_at_seconds >= REPORT_AGE_SECONDS
+        self._count_known = (
+            asked_at_seconds - self._refused_at_seconds
+            >= MAX_REPORT_AGE_SECONDS
         )
         # The report may be older than this instance's last order.
         includes_last_order = (
-            asked_at_seconds - self._accepted_at_seconds >= REPORT_AGE_SECONDS
+            asked_at_seconds - self._accepted_at_seconds
+            >= MAX_REPORT_AGE_SECONDS
         )
         if includes_last_order or not self._is_behind(counted):
             self._confirm(asked_at_seconds)
@@ -339,9 +345,9 @@
             or before.born_milliseconds != counted.born_milliseconds
         ):
             self._counted = counted
-            self._unanswered.forget()
+            self._unanswered.clear()
             return False
-        self._unanswered.forget_late(now_seconds=now_seconds)
+        self._unanswered.expire(now_seconds=now_seconds)
         rise = counted.orders - before.orders
         if rise <= 0 and not includes_last_order:
             return False
@@ -351,7 +357,7 @@
         if foreign:
             self._foreign_order_at_seconds = now_seconds
         else:
-            self._explained = settled
+            self._settled_orders = settled
         return foreign
 
     def _is_behind(self, counted: fencing_numbers.OrderCount) -> bool:
--- a/src/boragefold/coordination/fleet/unanswered_orders.py
+++ b/src/boragefold/coordination/fleet/unanswered_orders.py
@@ -62,7 +62,7 @@
         """
         return now_seconds - self._last_added_at_seconds < LATE_ARRIVAL_SECONDS
 
-    def forget_late(self, *, now_seconds: float) -> None:
+    def expire(self, *, now_seconds: float) -> None:
         """Drop unanswered orders that are too old to arrive.
 
         :param now_seconds: reading of a clock that counts suspension
@@ -70,7 +70,7 @@
         if now_seconds - self._last_added_at_seconds > LATE_ARRIVAL_SECONDS:
             self._orders = ()
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Drop all orders after a restart of the engine reset its count."""
         self._orders = ()
         self._last_added_at_seconds = -math.inf
--- a/src/boragefold/entry/engine_owner.py
+++ b/src/boragefold/entry/engine_owner.py
@@ -49,7 +49,7 @@
         counters: telemetry.Counters,
         log: decision_log.DecisionLog,
         lease_seconds: float,
-        giver: int,
+        issuer: int,
         leases: order_leases.OrderLeases,
         loads_elsewhere: Callable[[], int],
         owner_change: Callable[
@@ -66,7 +66,7 @@
         :param counters: of this process
         :param log: of this process
         :param lease_seconds: minimum time between orders of two instances
-        :param giver: this instance's own number in fencing numbers
+        :param issuer: this instance's own number in fencing numbers
         :param leases: required for giving orders
         :param loads_elsewhere: number of loads under way on engines of other
             owners
@@ -81,7 +81,7 @@
         self._counters = counters
         self._log = log
         self._lease_seconds = lease_seconds
-        self._giver = giver
+        self._issuer = issuer
         self._leases = leases
         self._started_at_seconds = timers.now_seconds()
         self._count_loads_elsewhere = loads_elsewhere
@@ -224,7 +224,7 @@
             record.name,
             order_turns.OrderTurns(
                 lease_seconds=self._lease_seconds,
-                giver=self._giver,
+                issuer=self._issuer,
                 started_at_seconds=self._started_at_seconds,
             ),
         )
@@ -233,7 +233,7 @@
             newest_versions=self._fleet.versions,
             loads_elsewhere=lambda: self._loads_on_other_engines(record.name),
             count_engines=lambda: self._engines,
-            issuer=self._giver,
+            issuer=self._issuer,
         )
         self._owned[record.name] = owned_engine.OwnedEngine(
             record=record,
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -323,7 +323,7 @@
             counters=self.counters,
             log=self.log,
             lease_seconds=settings.order_lease_seconds,
-            giver=fencing_numbers.giver_number(
+            issuer=fencing_numbers.issuer_number(
                 data_centres=settings.data_centres,
                 data_centre=settings.data_centre,
                 address=settings.peer_listen,
--- a/src/boragefold/entry/owned_engine.py
+++ b/src/boragefold/entry/owned_engine.py
@@ -127,7 +127,7 @@
         wants_order = self.schedule.needs_order()
         if wants_order and not self._stopped:
             self._lease.want()
-        self._turns.listen_since(self._lease.others_until_seconds())
+        self._turns.restart_if_before(self._lease.others_until_seconds())
         self.schedule.order_delay_seconds = self._lease.order_delay_seconds(
             now_seconds=now_seconds
         )
@@ -137,7 +137,7 @@
             and not self._stopped
             and not self.record.leaving
         )
-        confirmed = self._turns.confirmed(now_seconds=now_seconds)
+        confirmed = self._turns.is_confirmed(now_seconds=now_seconds)
         self.schedule.adapter_slots.may_order = may_order and confirmed
         self.schedule.adapter_slots.orders_in_seconds = max(
             self._turns.orders_in_seconds(now_seconds=now_seconds),
@@ -214,8 +214,8 @@
         age_seconds = now_seconds - self._asked_report_at_seconds
         self._reported_as_of_seconds = self._asked_report_at_seconds
         believed = self._turns.expected
-        in_doubt = self._turns.in_doubt_count
-        other_giver_seen = self._turns.reported(
+        in_doubt = self._turns.unanswered_count
+        other_giver_seen = self._turns.record_report(
             report.counted,
             busy=report.busy,
             age_seconds=age_seconds,
@@ -233,10 +233,10 @@
             coming=len(report.coming),
             busy=report.busy,
             other_giver=other_giver_seen,
-            certain=self._turns.certain,
+            certain=self._turns.count_known,
             in_doubt=in_doubt,
             explained_by=_describe_unanswered(
-                self._turns.explained, now_seconds
+                self._turns.settled_orders, now_seconds
             ),
         )
         if self._turns.expected < believed:
@@ -269,9 +269,9 @@
         turns = self._turns
         return (
             not turns.begun
-            or not turns.certain
+            or not turns.count_known
             or turns.busy
-            or turns.waits(now_seconds=now_seconds)
+            or turns.awaits_other_lease(now_seconds=now_seconds)
         )
 
     def _schedule_report(self, delay_seconds: float) -> None:
@@ -302,7 +302,7 @@
                 now_seconds=now_seconds
             ),
             report_age_seconds=now_seconds - self._reported_as_of_seconds,
-            in_doubt=self._turns.in_doubt_count,
+            in_doubt=self._turns.unanswered_count,
             leased=self._lease.held(now_seconds=now_seconds),
             order_sent_at_seconds=now_seconds,
         )
@@ -312,7 +312,7 @@
         # Checked again right before the first byte, on a clock that counts
         # suspension: a process that was frozen since must not order.
         call = call._replace(may_send=lambda: self._still_fresh(now_seconds))
-        self._turns.sending()
+        self._turns.record_sent()
         self._order_pending = True
         sink = whole_answer.WholeAnswerSink(
             done=lambda answer: self._on_order_response(sent, answer)
@@ -322,7 +322,7 @@
     def _still_fresh(self, asked_at_seconds: float) -> bool:
         now_seconds = self._timers.now_seconds()
         age_seconds = now_seconds - asked_at_seconds
-        fresh = age_seconds < order_turns.ORDER_FRESH_SECONDS
+        fresh = age_seconds < order_turns.MAX_SEND_DELAY_SECONDS
         allowed = self._has_order_permission(now_seconds)
         return not self._stopped and fresh and allowed
 
@@ -356,7 +356,7 @@
         done = outcome == dialects.OrderOutcome.DONE.value
         if done or outcome == dialects.OrderOutcome.ACCEPTED.value:
             unloading = isinstance(order, engine_decisions.Unload) and not done
-            self._turns.accepted(
+            self._turns.record_accepted(
                 busy=unloading,
                 age_seconds=now_seconds - sent.order_sent_at_seconds,
                 now_seconds=now_seconds,
@@ -379,15 +379,15 @@
         self, sent: SentOrder, outcome: str, now_seconds: float
     ) -> None:
         if outcome == UNKNOWN:
-            self._turns.in_doubt(
+            self._turns.record_unanswered(
                 order=_describe_order(sent.order),
                 age_seconds=now_seconds - sent.order_sent_at_seconds,
                 now_seconds=now_seconds,
             )
         elif outcome == "not_sent":
-            self._turns.unsent()
+            self._turns.record_unsent()
         else:
-            self._turns.refused(now_seconds=now_seconds)
+            self._turns.record_refused(now_seconds=now_seconds)
         self.schedule.adapter_slots.record_failed_order(
             now_seconds=now_seconds
         )
--- a/tests/coordination/fleet/test_order_turns.py
+++ b/tests/coordination/fleet/test_order_turns.py
@@ -34,22 +34,22 @@
         self.engine = engine
         self.number = number
         self.turns = order_turns.OrderTurns(
-            lease_seconds=LEASE_SECONDS, giver=number
+            lease_seconds=LEASE_SECONDS, issuer=number
         )
         self.turns.begin()
 
     def look(self, now):
-        return self.turns.reported(self.engine.counted(), now_seconds=now)
+        return self.turns.record_report(self.engine.counted(), now_seconds=now)
 
     def try_order(self, now):
         may_order = self.turns.may_order(now_seconds=now)
-        if not may_order or not self.turns.confirmed(now_seconds=now):
+        if not may_order or not self.turns.is_confirmed(now_seconds=now):
             return False
-        self.turns.sending()
+        self.turns.record_sent()
         if self.engine.take(self.turns.expected, self.number, now):
-            self.turns.accepted(now_seconds=now)
+            self.turns.record_accepted(now_seconds=now)
             return True
-        self.turns.refused(now_seconds=now)
+        self.turns.record_refused(now_seconds=now)
         return False
 
     def run(self, start, end, step=0.1):
@@ -91,13 +91,13 @@
     # After a restart of all instances none knows whether its predecessor just
     # sent an order. A constant count proves nothing, as nobody was running.
     turns = order_turns.OrderTurns(
-        lease_seconds=LEASE_SECONDS, giver=1, started_at_seconds=10.0
+        lease_seconds=LEASE_SECONDS, issuer=1, started_at_seconds=10.0
     )
     turns.begin()
     allowed = []
     for step in range(50):
         now = 10.5 + step / 10
-        turns.reported(engine.counted(), now_seconds=now)
+        turns.record_report(engine.counted(), now_seconds=now)
         if turns.may_order(now_seconds=now):
             allowed.append(now)
     assert min(allowed) >= 10.0 + LEASE_SECONDS
@@ -168,7 +168,7 @@
     for step in range(14, 18):
         now = step / 10
         allowed = issuer.turns.may_order(now_seconds=now)
-        assert not (allowed and issuer.turns.confirmed(now_seconds=now))
+        assert not (allowed and issuer.turns.is_confirmed(now_seconds=now))
     issuer.look(1.8)
     assert not issuer.turns.may_order(now_seconds=1.8)
 
@@ -180,19 +180,19 @@
     issuer.run(0.0, 1.0)
     seen = engine.counted()
     engine.take(engine.orders, 2, 1.2)
-    issuer.turns.reported(seen, age_seconds=0.8, now_seconds=1.8)
+    issuer.turns.record_report(seen, age_seconds=0.8, now_seconds=1.8)
     issuer.turns.may_order(now_seconds=1.8)
-    assert not issuer.turns.confirmed(now_seconds=1.8)
+    assert not issuer.turns.is_confirmed(now_seconds=1.8)
 
 
 def test_an_answer_that_was_read_late_confirms_nothing(engine) -> None:
     # After a pause the process reads the answer to an order sent before it.
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
-    issuer.turns.sending()
+    issuer.turns.record_sent()
     assert engine.take(issuer.turns.expected, 1, 1.0)
-    issuer.turns.accepted(age_seconds=0.5, now_seconds=1.5)
-    assert not issuer.turns.confirmed(now_seconds=1.5)
+    issuer.turns.record_accepted(age_seconds=0.5, now_seconds=1.5)
+    assert not issuer.turns.is_confirmed(now_seconds=1.5)
 
 
 def test_a_report_of_fewer_orders_confirms_nothing(engine) -> None:
@@ -212,8 +212,8 @@
     # An order of another instance that is younger than the quiet time need not
     # show in reports yet.
     oldest_seconds = (
-        order_turns.CONFIRMED_SECONDS
-        + order_turns.ORDER_FRESH_SECONDS
+        order_turns.MAX_COUNT_AGE_SECONDS
+        + order_turns.MAX_SEND_DELAY_SECONDS
         + order_turns.REPORT_LAG_SECONDS
     )
     assert oldest_seconds <= order_turns.QUIET_SECONDS
@@ -223,8 +223,8 @@
     # Both reports were requested at the same time; one was read after a pause.
     issuer = Issuer(engine, 1)
     seen = engine.counted()
-    issuer.turns.reported(seen, now_seconds=0.0)
-    issuer.turns.reported(seen, age_seconds=0.6, now_seconds=0.7)
+    issuer.turns.record_report(seen, now_seconds=0.0)
+    issuer.turns.record_report(seen, age_seconds=0.6, now_seconds=0.7)
     assert not issuer.turns.begun
 
 
@@ -272,9 +272,9 @@
     # count to that order instead of waiting for another instance's lease.
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
-    issuer.turns.sending()
+    issuer.turns.record_sent()
     assert engine.take(issuer.turns.expected, 1, 1.0)
-    issuer.turns.in_doubt(now_seconds=1.0)
+    issuer.turns.record_unanswered(now_seconds=1.0)
     assert not issuer.turns.may_order(now_seconds=1.1)
     assert issuer.look(1.6) is False
     assert issuer.try_order(1.6)
@@ -285,10 +285,10 @@
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
     old = engine.counted()
-    issuer.turns.sending()
+    issuer.turns.record_sent()
     assert engine.take(issuer.turns.expected, 1, 1.0)
-    issuer.turns.in_doubt(now_seconds=1.1)
-    issuer.turns.reported(old, now_seconds=1.12)
+    issuer.turns.record_unanswered(now_seconds=1.1)
+    issuer.turns.record_report(old, now_seconds=1.12)
     assert not issuer.turns.may_order(now_seconds=1.12)
     issuer.look(1.3)
     assert issuer.try_order(1.3)
@@ -300,10 +300,12 @@
     # sender would wait for a lease.
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
-    issuer.turns.sending()
+    issuer.turns.record_sent()
     assert engine.take(issuer.turns.expected, 1, 1.0)
-    issuer.turns.in_doubt(now_seconds=1.5)
-    issuer.turns.reported(engine.counted(), age_seconds=0.3, now_seconds=1.55)
+    issuer.turns.record_unanswered(now_seconds=1.5)
+    issuer.turns.record_report(
+        engine.counted(), age_seconds=0.3, now_seconds=1.55
+    )
     for now in (1.6, 2.2):
         issuer.turns.may_order(now_seconds=now)
     assert issuer.look(2.6) is False
@@ -315,8 +317,8 @@
     # arrives later, the engine answers "done" with an outdated fencing token.
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
-    issuer.turns.sending()
-    issuer.turns.in_doubt(now_seconds=1.0)
+    issuer.turns.record_sent()
+    issuer.turns.record_unanswered(now_seconds=1.0)
     for step in range(2, 10):
         issuer.look(1.0 + step / 10)
         assert not issuer.try_order(1.0 + step / 10)
@@ -333,8 +335,8 @@
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
     for at in (1.0, 1.1):
-        issuer.turns.sending()
-        issuer.turns.in_doubt(now_seconds=at)
+        issuer.turns.record_sent()
+        issuer.turns.record_unanswered(now_seconds=at)
         issuer.look(at + 0.05)
     issuer.look(2.5)
     assert engine.take(engine.orders, 2, 2.6)
@@ -348,8 +350,8 @@
     # taken for the lost one, the next order would come between that owner's.
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
-    issuer.turns.sending()
-    issuer.turns.in_doubt(now_seconds=1.5)
+    issuer.turns.record_sent()
+    issuer.turns.record_unanswered(now_seconds=1.5)
     assert engine.take(engine.orders, 2, 1.6)
     issuer.turns.begin()
     assert issuer.look(2.0) is True
@@ -365,10 +367,10 @@
     # The order times out after its sender has become the owner again.
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
-    issuer.turns.sending()
+    issuer.turns.record_sent()
     assert engine.take(engine.orders, 2, 1.3)
     issuer.turns.begin()
-    issuer.turns.in_doubt(now_seconds=1.5)
+    issuer.turns.record_unanswered(now_seconds=1.5)
     assert issuer.look(2.0) is True
     assert not issuer.try_order(2.6)
 
@@ -378,8 +380,8 @@
     # first copy may still arrive.
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
-    issuer.turns.sending()
-    issuer.turns.in_doubt(now_seconds=1.0)
+    issuer.turns.record_sent()
+    issuer.turns.record_unanswered(now_seconds=1.0)
     issuer.turns.begin()
     for step in range(1, 10):
         issuer.look(1.0 + step / 10)
@@ -400,7 +402,7 @@
     before = engine.counted()
     assert engine.take(engine.orders, 2, 1.14)
     assert not issuer.try_order(1.15)
-    issuer.turns.reported(before, now_seconds=1.15 + lag_seconds)
+    issuer.turns.record_report(before, now_seconds=1.15 + lag_seconds)
     assert not issuer.turns.may_order(now_seconds=1.15 + lag_seconds)
     assert issuer.look(1.6) is True
     issuer.run(1.7, 4.4)
@@ -412,8 +414,8 @@
     # same response as a wrong count.
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
-    issuer.turns.sending()
-    issuer.turns.refused(now_seconds=1.0)
+    issuer.turns.record_sent()
+    issuer.turns.record_refused(now_seconds=1.0)
     issuer.look(1.2)
     assert not issuer.try_order(1.2)
     issuer.look(1.45)
@@ -427,8 +429,8 @@
     # count is too high although no other instance sent an order.
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
-    issuer.turns.sending()
-    issuer.turns.accepted(now_seconds=1.0)
+    issuer.turns.record_sent()
+    issuer.turns.record_accepted(now_seconds=1.0)
     assert not issuer.try_order(1.1)
     issuer.look(1.55)
     assert issuer.try_order(1.55)
@@ -441,10 +443,10 @@
     # orders for good.
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
-    issuer.turns.sending()
+    issuer.turns.record_sent()
     issuer.look(1.05)
     assert engine.take(issuer.turns.expected, 1, 1.1)
-    issuer.turns.accepted(now_seconds=1.1)
+    issuer.turns.record_accepted(now_seconds=1.1)
     assert issuer.try_order(1.15)
 
 
@@ -453,8 +455,8 @@
     # count it. Otherwise it refuses all later orders for their count.
     issuer = Issuer(engine, 1)
     issuer.run(0.0, 1.0)
-    issuer.turns.sending()
-    issuer.turns.accepted(now_seconds=1.0)
+    issuer.turns.record_sent()
+    issuer.turns.record_accepted(now_seconds=1.0)
     assert not issuer.try_order(1.1)
     issuer.look(1.2)
     assert issuer.turns.expected != engine.orders
@@ -480,7 +482,7 @@
         for orders in range(5):
             engine.orders = orders
             for issuer in (one, two):
-                issuer.turns.reported(
+                issuer.turns.record_report(
                     engine.counted(), now_seconds=10.0 * life + orders
                 )
                 seen.append(issuer.turns.fence())
@@ -497,14 +499,14 @@
     orders_in_100_milliseconds = 20
     last = fencing_numbers.OrderCount(born, orders_in_100_milliseconds)
     first = fencing_numbers.OrderCount(born + 100, 0)
-    former = fencing_numbers.fence(last, giver=7)
-    assert former < fencing_numbers.fence(first, giver=1)
+    former = fencing_numbers.fence(last, issuer=7)
+    assert former < fencing_numbers.fence(first, issuer=1)
 
 
 def test_each_instance_has_a_number_of_its_own() -> None:
     centres = [f"dc-{number:02}" for number in range(29)]
     numbers = {
-        fencing_numbers.giver_number(
+        fencing_numbers.issuer_number(
             data_centres=centres,
             data_centre=centre,
             address=f"10.{place}.0.{host}:8000",
@@ -513,4 +515,4 @@
         for host in range(1, 32)
     }
     assert len(numbers) == 29 * 31
-    assert max(numbers) < 2**fencing_numbers.GIVER_BITS
+    assert max(numbers) < 2**fencing_numbers.ISSUER_BITS
--- a/tests/entry/test_engine_owner.py
+++ b/tests/entry/test_engine_owner.py
@@ -51,7 +51,7 @@
         counters=counters.Counters(),
         log=log or types.SimpleNamespace(write=lambda event, **fields: None),
         lease_seconds=3.0,
-        giver=1,
+        issuer=1,
         leases=leases.alone(node),
         loads_elsewhere=lambda: 0,
         owner_change=owner_change,
--- a/tests/entry/test_owned_engine.py
+++ b/tests/entry/test_owned_engine.py
@@ -128,7 +128,7 @@
             engine=engine_loads.ENGINE, adapter_slots=adapter_slots
         ),
         turns=order_turns.OrderTurns(
-            lease_seconds=model_engine.LEASE_SECONDS, giver=giver
+            lease_seconds=model_engine.LEASE_SECONDS, issuer=giver
         ),
         lease=leases.Held(),
         dialect=engine.dialect,
--- a/tests/fakes/engine_wire.py
+++ b/tests/fakes/engine_wire.py
@@ -137,7 +137,7 @@
             schedule=engine_schedule.EngineSchedule(
                 engine=engine_loads.ENGINE, adapter_slots=adapter_slots
             ),
-            turns=order_turns.OrderTurns(lease_seconds=3.0, giver=GIVER),
+            turns=order_turns.OrderTurns(lease_seconds=3.0, issuer=GIVER),
             lease=leases.Held(),
             dialect=self._dialect,
             client=self,
--- a/tests/fakes/fleet_walk.py
+++ b/tests/fakes/fleet_walk.py
@@ -128,7 +128,7 @@
             counters=counters.Counters(),
             log=log,
             lease_seconds=model_engine.LEASE_SECONDS,
-            giver=fencing_numbers.giver_number(
+            issuer=fencing_numbers.issuer_number(
                 data_centres=walk.centres,
                 data_centre=centre,
                 address=address,
--- a/tests/fakes/order_walk.py
+++ b/tests/fakes/order_walk.py
@@ -83,7 +83,7 @@
             counters=counters.Counters(),
             log=log,
             lease_seconds=model_engine.LEASE_SECONDS,
-            giver=fencing_numbers.giver_number(
+            issuer=fencing_numbers.issuer_number(
                 data_centres=[CENTRE], data_centre=CENTRE, address=address
             ),
             leases=leases.voted(
