--- a/src/boragefold/bench/baselines.py
+++ b/src/boragefold/bench/baselines.py
@@ -81,7 +81,7 @@
         }
 
     def _choose(self, instance: int, arrival: traffic.Arrival) -> str:
-        return next(self._turns[instance, arrival.work.needs.model])
+        return next(self._turns[instance, arrival.work.adapter_version.model])
 
 
 class LeastLoaded(Baseline):
@@ -128,7 +128,7 @@
         self._loads[instance, report.endpoint] = load
 
     def _choose(self, instance: int, arrival: traffic.Arrival) -> str:
-        model = arrival.work.needs.model
+        model = arrival.work.adapter_version.model
         name = min(
             (
                 engine.size.name
--- a/src/boragefold/bench/decision_cost.py
+++ b/src/boragefold/bench/decision_cost.py
@@ -143,11 +143,11 @@
         return works.Work(
             request_id=f"q{next(self._serials)}",
             workspace=f"w{self._rng.randrange(WORKSPACES)}",
-            needs=adapter,
+            adapter_version=adapter,
             prompt_tokens=500,
             max_tokens=440,
             arrived_at_seconds=self._now,
-            give_up_at_seconds=self._now + 10,
+            deadline_seconds=self._now + 10,
         )
 
     def periodic(self) -> None:
--- a/src/boragefold/bench/engine.py
+++ b/src/boragefold/bench/engine.py
@@ -78,7 +78,7 @@
         :param arrival: the request
         """
         work = arrival.work
-        adapter = work.needs.adapter
+        adapter = work.adapter_version.adapter
         if not self._has(adapter) and self.loads_itself is None:
             self._events.missing(work.request_id, self.size.name)
             return
@@ -128,7 +128,7 @@
             self._startable.update(
                 (request_id, None)
                 for request_id, arrival in self.waiting.items()
-                if arrival.work.needs.adapter == adapter
+                if arrival.work.adapter_version.adapter == adapter
             )
             self._fill()
 
@@ -187,12 +187,12 @@
     def _stop_waiting(self, request_id: str) -> traffic.Arrival:
         arrival = self.waiting.pop(request_id)
         self._startable.pop(request_id, None)
-        self.wanted[arrival.work.needs.adapter] -= 1
+        self.wanted[arrival.work.adapter_version.adapter] -= 1
         return arrival
 
     def _start(self, arrival: traffic.Arrival) -> None:
         work = arrival.work
-        adapter = work.needs.adapter
+        adapter = work.adapter_version.adapter
         self.running[work.request_id] = arrival
         self.in_use[adapter] += 1
         if adapter:
@@ -219,7 +219,7 @@
         return seconds * (1 - deployments.PREFIX_SAVING * cached)
 
     def _release(self, request_id: str) -> None:
-        adapter = self.running.pop(request_id).work.needs.adapter
+        adapter = self.running.pop(request_id).work.adapter_version.adapter
         del self._serials[request_id]
         self.in_use[adapter] -= 1
         if not self.in_use[adapter]:
@@ -255,7 +255,9 @@
         if is_last:
             arrival = self.running[request_id]
             self.generated_tokens += arrival.answer_tokens
-            self.wrong_adapter += not self._has(arrival.work.needs.adapter)
+            self.wrong_adapter += not self._has(
+                arrival.work.adapter_version.adapter
+            )
             self._release(request_id)
             self._events.finished(request_id, self.size.name)
         else:
--- a/src/boragefold/bench/fleet.py
+++ b/src/boragefold/bench/fleet.py
@@ -225,7 +225,7 @@
         self.ledger.arrive(record)
         work = arrival.work
         self._later(
-            work.give_up_at_seconds - arrival.at_seconds,
+            work.deadline_seconds - arrival.at_seconds,
             lambda: self._give_up(record),
         )
         self.system.arrive(instance, arrival)
@@ -243,7 +243,7 @@
         if record.over or record.endpoint != endpoint:
             return
         engine = self.engines[endpoint]
-        adapter = record.arrival.work.needs.adapter
+        adapter = record.arrival.work.adapter_version.adapter
         if adapter and adapter not in engine.ready:
             self.ledger.begin_stall(record, self.now_seconds())
         engine.accept(record.arrival)
--- a/src/boragefold/bench/ledger.py
+++ b/src/boragefold/bench/ledger.py
@@ -113,9 +113,9 @@
         work = record.arrival.work
         self.records[work.request_id] = record
         self.open += 1
-        if work.needs.adapter:
-            self._unstarted[work.needs.adapter].add(work.request_id)
-            if self._copies[work.needs.adapter] <= 0:
+        if work.adapter_version.adapter:
+            self._unstarted[work.adapter_version.adapter].add(work.request_id)
+            if self._copies[work.adapter_version.adapter] <= 0:
                 record.stalled_since_seconds = work.arrived_at_seconds
 
     def begin_stall(self, record: Record, now_seconds: float) -> None:
@@ -136,8 +136,10 @@
         """
         self._end_stall(record, now_seconds)
         work = record.arrival.work
-        if work.needs.adapter:
-            self._unstarted[work.needs.adapter].discard(work.request_id)
+        if work.adapter_version.adapter:
+            self._unstarted[work.adapter_version.adapter].discard(
+                work.request_id
+            )
 
     def close(self, record: Record, now_seconds: float) -> None:
         """Note the last word to a caller.
--- a/src/boragefold/bench/traffic.py
+++ b/src/boragefold/bench/traffic.py
@@ -149,10 +149,10 @@
             answer, limit = int(rng.uniform(1000, 2000)), LONG_ANSWER_TOKENS
         prompt = max(16, int(rng.gammavariate(4.0, 125.0)))
         if desk:
-            needs = works.AdapterVersion(deployments.DESK_MODEL, "", "")
+            adapter = works.AdapterVersion(deployments.DESK_MODEL, "", "")
             prompt, answer, limit = prompt // 4, answer // 4 + 1, 512
         else:
-            needs = works.AdapterVersion(
+            adapter = works.AdapterVersion(
                 deployments.MODEL, f"adapter-{picker.pick(rng, now)}", VERSION
             )
         # Callers state a limit with some air, not always the largest.
@@ -166,14 +166,14 @@
         work = works.Work(
             request_id=f"{size.name}-{serial}",
             workspace=size.name,
-            needs=needs,
+            adapter_version=adapter,
             prompt_tokens=prompt,
             max_tokens=limit,
             arrived_at_seconds=now,
-            give_up_at_seconds=now + patience,
+            deadline_seconds=now + patience,
             late_sensitive=desk or deployment.late_sensitive,
             prefix=(
-                f"{needs.adapter}/{rng.randrange(PREFIXES_PER_ADAPTER)}"
+                f"{adapter.adapter}/{rng.randrange(PREFIXES_PER_ADAPTER)}"
                 if not desk
                 else ""
             ),
--- a/src/boragefold/entry/active_chat.py
+++ b/src/boragefold/entry/active_chat.py
@@ -105,7 +105,7 @@
         self.endpoint = endpoint
         self.attempts += 1
         self._answer = engine_answer.EngineAnswer(
-            adapter=self.work.needs,
+            adapter=self.work.adapter_version,
             next_token=self.generated_tokens,
             observer=self,
         )
--- a/src/boragefold/entry/chat_handler.py
+++ b/src/boragefold/entry/chat_handler.py
@@ -78,11 +78,11 @@
             )
             self._refuse(exchange, refusal, request_id)
             return
-        needs = self._resolve(caller, parsed["model"])
-        if isinstance(needs, outcomes.NotRun):
-            self._refuse(exchange, needs, request_id)
+        adapter_version = self._resolve(caller, parsed["model"])
+        if isinstance(adapter_version, outcomes.NotRun):
+            self._refuse(exchange, adapter_version, request_id)
             return
-        work = self._work(request_id, request, parsed, caller, needs)
+        work = self._work(request_id, request, parsed, caller, adapter_version)
         chat = active_chat.ActiveChat(
             work=work,
             request=parsed,
@@ -123,7 +123,7 @@
         request: http_server.Request,
         parsed: chat_messages.ChatRequest,
         caller: identity.Caller,
-        needs: works.AdapterVersion,
+        adapter_version: works.AdapterVersion,
     ) -> works.Work:
         settings = caller.settings
         now_seconds = self._timers.now_seconds()
@@ -132,11 +132,11 @@
         return works.Work(
             request_id=request_id,
             workspace=settings.workspace,
-            needs=needs,
+            adapter_version=adapter_version,
             prompt_tokens=chat_messages.estimate_tokens(parsed),
             max_tokens=min(wanted, settings.max_tokens),
             arrived_at_seconds=now_seconds,
-            give_up_at_seconds=now_seconds + deadline,
+            deadline_seconds=now_seconds + deadline,
             late_sensitive=settings.late_sensitive,
             prefix=parsed["messages"][0]["content"][:64],
         )
--- a/src/boragefold/entry/chat_sender.py
+++ b/src/boragefold/entry/chat_sender.py
@@ -38,7 +38,7 @@
         :param chat: the chat request
         :param endpoint: name of the endpoint
         """
-        needs = chat.work.needs
+        needs = chat.work.adapter_version
         address = self._address_of(endpoint)
         if address is None:
             # The endpoint was removed after the scheduler had chosen it.
@@ -111,9 +111,9 @@
     work = chat.work
     return msgspec.json.encode(
         {
-            "model": work.needs.model,
-            "adapter": work.needs.adapter,
-            "version": work.needs.version,
+            "model": work.adapter_version.model,
+            "adapter": work.adapter_version.adapter,
+            "version": work.adapter_version.version,
             "messages": chat.request["messages"],
             "max_tokens": work.max_tokens,
             "stream": True,
--- a/src/boragefold/policy/attempts.py
+++ b/src/boragefold/policy/attempts.py
@@ -131,7 +131,7 @@
         """
         endpoint = request.endpoint
         self._endpoints.stop_using(
-            endpoint, request.work.needs, now_seconds=now_seconds
+            endpoint, request.work.adapter_version, now_seconds=now_seconds
         )
         self.end(request, used_tokens=0.0, now_seconds=now_seconds)
         if request.attempts <= MAX_ADAPTER_MISSING:
@@ -163,7 +163,7 @@
             request.work.request_id, frozenset()
         ):
             self._endpoints.stop_using(
-                endpoint, request.work.needs, now_seconds=now_seconds
+                endpoint, request.work.adapter_version, now_seconds=now_seconds
             )
 
     def _retry(
@@ -176,9 +176,9 @@
             # Restarts the timeout: counted from the arrival, a long answer
             # could never be resumed.
             work = request.work
-            timeout_seconds = work.give_up_at_seconds - work.arrived_at_seconds
+            timeout_seconds = work.deadline_seconds - work.arrived_at_seconds
             request.work = work._replace(
-                give_up_at_seconds=now_seconds + timeout_seconds
+                deadline_seconds=now_seconds + timeout_seconds
             )
         self._requests.exclude(request, endpoint)
         self._matcher.requeue(request.work, now_seconds=now_seconds)
--- a/src/boragefold/policy/digest.py
+++ b/src/boragefold/policy/digest.py
@@ -137,8 +137,8 @@
 
         :param work: the request
         """
-        if work.needs.adapter:
-            self._counts[work.needs, work.workspace] += 1
+        if work.adapter_version.adapter:
+            self._counts[work.adapter_version, work.workspace] += 1
 
     def take(self) -> tuple[Arrived, ...]:
         """Return the counts and reset them.
--- a/src/boragefold/policy/endpoint_choice.py
+++ b/src/boragefold/policy/endpoint_choice.py
@@ -97,7 +97,7 @@
             weren't sent now; a far data centre is used only to save more
         :return: the endpoint, or why there is none
         """
-        holders = self._endpoints.holders(work.needs)
+        holders = self._endpoints.holders(work.adapter_version)
         if not holders:
             return NoHolder()
         near, far = _split(holders)
@@ -140,7 +140,7 @@
         if cached is not None and self._accepts(cached, excluded):
             self._counters.add("requests_chosen", "prefix")
             return cached
-        if not work.needs.adapter:
+        if not work.adapter_version.adapter:
             return None
         return next(
             (
@@ -156,7 +156,7 @@
     ) -> fleet.EndpointState | None:
         name = self._prefixes.get(work)
         state = self._endpoints.get(name) if name is not None else None
-        if state is None or not state.serves(work.needs):
+        if state is None or not state.serves(work.adapter_version):
             return None
         distance_seconds = near[0].spec.distance_seconds
         return (
--- a/src/boragefold/policy/endpoint_state.py
+++ b/src/boragefold/policy/endpoint_state.py
@@ -181,11 +181,11 @@
         :param now_seconds: reading of the process clock
         """
         sent = endpoint_requests.Sent(
-            work.needs, work.prompt_tokens, now_seconds
+            work.adapter_version, work.prompt_tokens, now_seconds
         )
         self.in_flight[work.request_id] = sent
         self.unanswered[work.request_id] = sent
-        self.in_use[work.needs] += 1
+        self.in_use[work.adapter_version] += 1
         self.sent_since_report += now_seconds > self.measured_at_seconds
 
     def answer(self, request_id: str, *, now_seconds: float) -> None:
--- a/src/boragefold/policy/fair_queue.py
+++ b/src/boragefold/policy/fair_queue.py
@@ -77,7 +77,7 @@
             throughput_tokens_per_second=throughput_tokens_per_second,
             adapter_tokens_per_second=adapter_tokens_per_second,
         )
-        timeout_seconds = work.give_up_at_seconds - now_seconds
+        timeout_seconds = work.deadline_seconds - now_seconds
         bound_seconds = START_TIMEOUT_SHARE * timeout_seconds
         if start_in_seconds > bound_seconds:
             return self._refuse(start_in_seconds - bound_seconds)
@@ -93,9 +93,9 @@
         if work.request_id in self._works:
             raise ValueError(f"{work.request_id} is already queued")
         self._works[work.request_id] = work
-        self._expiry.push(work.request_id, work.give_up_at_seconds)
+        self._expiry.push(work.request_id, work.deadline_seconds)
         self._class_of(work).push(work)
-        self._demand.setdefault(work.needs, Demand()).add(work)
+        self._demand.setdefault(work.adapter_version, Demand()).add(work)
 
     def pop(
         self,
@@ -150,8 +150,8 @@
         """
         expired = []
         while (first := self._expiry.first()) is not None:
-            give_up_at_seconds, request_id = first
-            if give_up_at_seconds > now_seconds:
+            deadline_seconds, request_id = first
+            if deadline_seconds > now_seconds:
                 break
             work = self._works[request_id]
             self._remove(work)
@@ -201,7 +201,7 @@
             _divide(self._ahead_tokens(work), throughput_tokens_per_second),
             self._class_of(work).backlog_seconds(work),
         )
-        demand = self._demand.get(work.needs)
+        demand = self._demand.get(work.adapter_version)
         if demand is None or adapter_tokens_per_second is None:
             return seconds
         adapter_seconds = _divide(
@@ -237,10 +237,10 @@
         del self._works[work.request_id]
         self._expiry.remove(work.request_id)
         self._class_of(work).remove(work)
-        demand = self._demand[work.needs]
+        demand = self._demand[work.adapter_version]
         demand.subtract(work)
         if not demand.requests:
-            del self._demand[work.needs]
+            del self._demand[work.adapter_version]
         if not self._ordinary.tokens:
             self._ordinary_credit_tokens = 0.0
 
--- a/src/boragefold/policy/fleet_events.py
+++ b/src/boragefold/policy/fleet_events.py
@@ -143,7 +143,7 @@
         :param now_seconds: reading of the process clock
         """
         self._placement.count_arrival(work, now_seconds=now_seconds)
-        if self._placement.is_cold(work.needs):
+        if self._placement.is_cold(work.adapter_version):
             self.advance_tick(now_seconds=now_seconds)
             self._digests_at_seconds = now_seconds
 
--- a/src/boragefold/policy/matcher.py
+++ b/src/boragefold/policy/matcher.py
@@ -79,7 +79,7 @@
         shed = self._overload.check(
             work,
             above_share=above_share,
-            cold=not self._endpoints.holders(work.needs),
+            cold=not self._endpoints.holders(work.adapter_version),
         )
         if shed is not None:
             return shed
@@ -88,7 +88,7 @@
             now_seconds=now_seconds,
             throughput_tokens_per_second=rate,
         )
-        self._changed_adapters.add(work.needs)
+        self._changed_adapters.add(work.adapter_version)
         return outcome if isinstance(outcome, refusal.Refused) else None
 
     def requeue(self, work: works.Work, *, now_seconds: float) -> None:
@@ -98,7 +98,7 @@
         :param now_seconds: reading of the process clock
         """
         self._queue.push(work, now_seconds=now_seconds)
-        self._changed_adapters.add(work.needs)
+        self._changed_adapters.add(work.adapter_version)
 
     def recheck_adapter(self, adapter: works.AdapterVersion) -> None:
         """Mark an adapter whose requests may be servable now.
@@ -156,20 +156,22 @@
                 # Not sent after all: its charge is returned.
                 self._queue.settle(work, used_tokens=0.0)
                 self._queue.push(work, now_seconds=now_seconds)
-                ready.discard(work.needs)
+                ready.discard(work.adapter_version)
                 continue
             self._service.taken(
                 works.charged_tokens(work), now_seconds=now_seconds
             )
             yield Match(work, endpoint)
-            adapter = work.needs
+            adapter = work.adapter_version
             if adapter not in self._demand() or not self._has_room(adapter):
                 ready.discard(adapter)
 
     def _starts_at_once(self, work: works.Work) -> bool:
         # The queue's delay is that of adapters whose holders are full;
         # requests for other adapters must not be refused because of it.
-        return work.needs not in self._demand() and self._has_room(work.needs)
+        return work.adapter_version not in self._demand() and self._has_room(
+            work.adapter_version
+        )
 
     def _servable_adapters(self) -> set[works.AdapterVersion]:
         demand = self._demand()
--- a/src/boragefold/policy/placement.py
+++ b/src/boragefold/policy/placement.py
@@ -90,7 +90,7 @@
         :param now_seconds: reading of the process clock
         """
         self.count_remote_arrivals(
-            work.needs,
+            work.adapter_version,
             workspace=work.workspace,
             requests=1,
             now_seconds=now_seconds,
--- a/src/boragefold/policy/prefix_affinity.py
+++ b/src/boragefold/policy/prefix_affinity.py
@@ -41,7 +41,9 @@
         """
         if not work.prefix:
             return None
-        return self._endpoints.get(PrefixKey(work.needs, work.prefix))
+        return self._endpoints.get(
+            PrefixKey(work.adapter_version, work.prefix)
+        )
 
     def record(self, work: works.Work, endpoint: str) -> None:
         """Remember the endpoint that a request is sent to.
@@ -51,7 +53,7 @@
         """
         if not work.prefix:
             return
-        key = PrefixKey(work.needs, work.prefix)
+        key = PrefixKey(work.adapter_version, work.prefix)
         self._endpoints[key] = endpoint
         self._endpoints.move_to_end(key)
         if len(self._endpoints) > MAX_PREFIXES:
--- a/src/boragefold/policy/queue_class.py
+++ b/src/boragefold/policy/queue_class.py
@@ -75,7 +75,9 @@
         backlog.requests += 1
         backlog.tokens += works.charged_tokens(work)
         self.tokens += works.charged_tokens(work)
-        adapter_queue = self._by_adapter.setdefault(work.needs, AdapterQueue())
+        adapter_queue = self._by_adapter.setdefault(
+            work.adapter_version, AdapterQueue()
+        )
         queue = adapter_queue.queues.get(workspace)
         if queue is None:
             queue = removable_heap.RemovableHeap()
@@ -89,14 +91,14 @@
         :param work: a request of this class
         """
         workspace = work.workspace
-        adapter_queue = self._by_adapter[work.needs]
+        adapter_queue = self._by_adapter[work.adapter_version]
         queue = adapter_queue.queues[workspace]
         queue.remove(work.request_id)
         if not queue:
             del adapter_queue.queues[workspace]
             adapter_queue.order.remove(workspace)
         if not adapter_queue.queues:
-            del self._by_adapter[work.needs]
+            del self._by_adapter[work.adapter_version]
         self.tokens -= works.charged_tokens(work)
         backlog = self._backlogs[workspace]
         backlog.tokens -= works.charged_tokens(work)
@@ -203,7 +205,7 @@
 
 
 def _rank_seconds(work: works.Work) -> float:
-    timeout_seconds = work.give_up_at_seconds - work.arrived_at_seconds
+    timeout_seconds = work.deadline_seconds - work.arrived_at_seconds
     penalty_seconds = min(
         PENALTY_SECONDS_PER_TOKEN * works.charged_tokens(work),
         MAX_PENALTY_TIMEOUT_SHARE * timeout_seconds,
--- a/src/boragefold/policy/work.py
+++ b/src/boragefold/policy/work.py
@@ -16,18 +16,18 @@
 class Work(NamedTuple):
     """A request, as far as scheduling decisions need it.
 
-    Times are readings of the process clock. ``give_up_at_seconds`` is when
+    Times are readings of the process clock. ``deadline_seconds`` is when
     the caller stops waiting. ``prefix`` names the prompt's beginning, so that
     requests that share it can share a prompt cache; empty when unknown.
     """
 
     request_id: str
     workspace: str
-    needs: AdapterVersion
+    adapter_version: AdapterVersion
     prompt_tokens: int
     max_tokens: int
     arrived_at_seconds: float
-    give_up_at_seconds: float
+    deadline_seconds: float
     late_sensitive: bool = False
     prefix: str = ""
 
--- a/tests/fakes/workloads.py
+++ b/tests/fakes/workloads.py
@@ -41,11 +41,11 @@
     return works.Work(
         request_id=f"r{next(NUMBERS)}",
         workspace=workspace,
-        needs=adapter(needs),
+        adapter_version=adapter(needs),
         prompt_tokens=0,
         max_tokens=tokens,
         arrived_at_seconds=at,
-        give_up_at_seconds=at + patience,
+        deadline_seconds=at + patience,
         late_sensitive=late_sensitive,
         prefix=prefix,
     )
@@ -253,7 +253,7 @@
         if isinstance(refused, refusal.Refused):
             self._end(each, refused=refused)
             return
-        self._serve([each.needs])
+        self._serve([each.adapter_version])
 
     def _serve(self, candidates: list[works.AdapterVersion]) -> None:
         while any(self.choice.has_room(each) for each in candidates):
--- a/tests/policy/test_dispatcher.py
+++ b/tests/policy/test_dispatcher.py
@@ -109,7 +109,7 @@
     done = offer(system, cold, warm)
     assert sends(done) == [(warm.request_id, "a", 1)]
     (order,) = [each for each in done if isinstance(each, actions.OrderLoad)]
-    assert order.load.adapter == cold.needs
+    assert order.load.adapter == cold.adapter_version
     system.fleet.load_succeeded(order.load, now_seconds=0.25)
     assert sends(system.next_actions(now_seconds=0.25)) == [
         (cold.request_id, "a", 1)
@@ -263,7 +263,7 @@
     request = workloads.work(needs="x")
     ((_, used, _),) = sends(offer(system, request))
     idle = ({"a", "b"} - {used}).pop()
-    adapter = request.needs
+    adapter = request.adapter_version
     assert system.fleet.stop_using(used, adapter, now_seconds=0.1)
     assert not system.fleet.stop_using(idle, adapter, now_seconds=0.1)
     system.fleet.loaded(idle, adapter, now_seconds=0.2)
--- a/tests/policy/test_fair_queue.py
+++ b/tests/policy/test_fair_queue.py
@@ -259,7 +259,7 @@
             wanted = [
                 each
                 for each in expected.values()
-                if each.needs.adapter == needs
+                if each.adapter_version.adapter == needs
             ]
             assert (one is None) == (not wanted)
             taken = [one] if one is not None else []
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -90,7 +90,7 @@
         waiting = [
             each
             for each in (*tail, *few)
-            if each.needs not in placer.state().resident
+            if each.adapter_version not in placer.state().resident
         ]
         loads = placer.load(*waiting, at=step * 0.25)
         order += [load.workspace for load in loads]
@@ -352,10 +352,10 @@
         now += pause
         if kind == "wait":
             waiting += wait_for(names[number])
-            placer.use(waiting[-1].needs, now)
+            placer.use(waiting[-1].adapter_version, now)
         elif kind == "start":
             for request in list(waiting):
-                if placer.state(endpoint).serves(request.needs):
+                if placer.state(endpoint).serves(request.adapter_version):
                     waiting.remove(request)
                     placer.endpoints.sent(endpoint, request, now_seconds=now)
                     running.append((endpoint, request))
@@ -378,8 +378,10 @@
                 )
             )
             running = [each for each in running if each[0] != endpoint]
-        pinned = {(where, request.needs) for where, request in running}
-        wanted = {request.needs for request in waiting}
+        pinned = {
+            (where, request.adapter_version) for where, request in running
+        }
+        wanted = {request.adapter_version for request in waiting}
         before = set(placer.state("e").resident | placer.state("f").resident)
         for order in placer.decide(*waiting, at=now):
             if isinstance(order, placement.Drain):
--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -119,23 +119,25 @@
         for _ in range(size.waiting):
             self.queue.push(self.request(next(self.held)), now_seconds=0.0)
 
-    def request(self, needs: works.AdapterVersion) -> works.Work:
+    def request(self, adapter_version: works.AdapterVersion) -> works.Work:
         number = next(self.numbers)
         return works.Work(
             request_id=f"request-{number}",
-            workspace=self.workspace_of(needs, number),
-            needs=needs,
+            workspace=self.workspace_of(adapter_version, number),
+            adapter_version=adapter_version,
             prompt_tokens=500,
             max_tokens=300,
             arrived_at_seconds=self.now,
-            give_up_at_seconds=self.now + 30,
+            deadline_seconds=self.now + 30,
             late_sensitive=number % 4 == 0,
             prefix=f"prefix-{number % 500}",
         )
 
-    def workspace_of(self, needs: works.AdapterVersion, number: int) -> str:
+    def workspace_of(
+        self, adapter_version: works.AdapterVersion, number: int
+    ) -> str:
         # Nine of ten requests are of the workspace that has the adapter.
-        own = hash(needs) if number % 10 else number
+        own = hash(adapter_version) if number % 10 else number
         return f"workspace-{own % WORKSPACES}"
 
     def _holders(self, adapter: works.AdapterVersion) -> int:
@@ -183,12 +185,14 @@
         self.queue.offer(
             request, now_seconds=self.now, throughput_tokens_per_second=1e6
         )
-        self.queue.pop(candidates=[request.needs], now_seconds=self.now)
+        self.queue.pop(
+            candidates=[request.adapter_version], now_seconds=self.now
+        )
 
     def pop_of_endpoint(self) -> None:
         request = self.request(next(self.held))
         self.queue.push(request, now_seconds=self.now)
-        state = self.endpoints.holders(request.needs)[0]
+        state = self.endpoints.holders(request.adapter_version)[0]
         self.queue.pop(candidates=state.resident, now_seconds=self.now)
 
     def choose(self) -> None:
@@ -197,8 +201,8 @@
     def choose_bare(self) -> None:
         self._choose(works.AdapterVersion("m", "", ""))
 
-    def _choose(self, needs: works.AdapterVersion) -> None:
-        request = self.request(needs)
+    def _choose(self, adapter_version: works.AdapterVersion) -> None:
+        request = self.request(adapter_version)
         chosen = self.choice.choose(request)
         if not isinstance(chosen, endpoint_choice.Chosen):
             return
@@ -222,7 +226,7 @@
         self.queue.offer(
             request, now_seconds=self.now, throughput_tokens_per_second=1e6
         )
-        state = self.endpoints.holders(request.needs)[0]
+        state = self.endpoints.holders(request.adapter_version)[0]
         popped = self.queue.pop(
             candidates=state.resident, now_seconds=self.now
         )
