--- a/src/boragefold/coordination/bootstrap.py
+++ b/src/boragefold/coordination/bootstrap.py
@@ -15,7 +15,7 @@
 from boragefold.telemetry import counters as telemetry
 
 # The promises of all members have to overlap in time.
-HOLD_SECONDS = 1.0
+BOOTSTRAP_PROMISE_SECONDS = 1.0
 RESEND_SECONDS = 0.25
 
 
@@ -44,14 +44,16 @@
         peer_status: peer_statuses.PeerStatus,
         counters: telemetry.Counters,
         new_epoch: Callable[[], int],
-        on_founded: Callable[[rights.View, dict[ids.InstanceId, float]], None],
+        on_bootstrapped: Callable[
+            [rights.View, dict[ids.InstanceId, float]], None
+        ],
     ) -> None:
         self._link = peer_link
         self._state = state
         self._peer_status = peer_status
         self._counters = counters
         self._new_epoch = new_epoch
-        self._on_founded = on_founded
+        self._on_bootstrapped = on_bootstrapped
         self._proposal: Proposal | None = None
 
     def tick(self) -> None:
@@ -86,7 +88,7 @@
             self._counters.add("view_foundations", "refused")
             return
         ballot = messages.Ballot(1, sender.incarnation)
-        state.promise(ballot, HOLD_SECONDS)
+        state.promise(ballot, BOOTSTRAP_PROMISE_SECONDS)
         self._link.send(
             to=sender,
             body=messages.FoundationAck(epoch, foundation.sent_seconds),
@@ -104,7 +106,7 @@
         if proposal is None or proposal.view.epoch != ack.epoch:
             return
         proposal.ends[sender] = ack.echo_seconds + quorum.shortened_seconds(
-            HOLD_SECONDS
+            BOOTSTRAP_PROMISE_SECONDS
         )
         self._install_if_agreed()
 
@@ -113,10 +115,10 @@
         now_seconds = state.now_seconds()
         # By then all leases of an earlier process at this address, and of this
         # process before a pause, have expired.
-        uncovered_seconds = now_seconds - state.uncovered_since_seconds
+        no_lease_seconds = now_seconds - state.no_lease_since_seconds
         if not state.is_outdated():
             return None
-        if uncovered_seconds < quorum.PROMISE_SECONDS:
+        if no_lease_seconds < quorum.PROMISE_SECONDS:
             return None
         if not state.may_promise(state.self_id.incarnation):
             return None
@@ -140,7 +142,7 @@
             view=rights.View(
                 self._state.self_id.data_centre,
                 epoch,
-                quorum.FOUNDED_NUMBER,
+                quorum.BOOTSTRAP_NUMBER,
                 members,
             ),
             sent_seconds=0.0,
@@ -151,9 +153,9 @@
         state = self._state
         now_seconds = state.now_seconds()
         ballot = messages.Ballot(1, state.self_id.incarnation)
-        state.promise(ballot, HOLD_SECONDS)
+        state.promise(ballot, BOOTSTRAP_PROMISE_SECONDS)
         proposal.sent_seconds = now_seconds
-        proposal.ends[state.self_id] = now_seconds + HOLD_SECONDS
+        proposal.ends[state.self_id] = now_seconds + BOOTSTRAP_PROMISE_SECONDS
         foundation = messages.Foundation(
             messages.ViewRecord(*proposal.view), now_seconds
         )
@@ -173,12 +175,12 @@
         self._counters.add("view_foundations", "founded")
         ballot = messages.Ballot(1, self._state.self_id.incarnation)
         self._state.install(proposal.view, ballot)
-        self._on_founded(proposal.view, proposal.ends)
+        self._on_bootstrapped(proposal.view, proposal.ends)
 
 
 __all__ = [
-    "HOLD_SECONDS",
-    "RESEND_SECONDS",
+    "BOOTSTRAP_PROMISE_SECONDS",
     "Bootstrap",
     "Proposal",
+    "RESEND_SECONDS",
 ]
--- a/src/boragefold/coordination/configuration/watching.py
+++ b/src/boragefold/coordination/configuration/watching.py
@@ -182,7 +182,7 @@
 
 
 __all__ = [
-    "NO_VIEW_GAP_SECONDS",
     "MIN_GAP_SECONDS",
+    "NO_VIEW_GAP_SECONDS",
     "TreeWatcher",
 ]
--- a/src/boragefold/coordination/directory.py
+++ b/src/boragefold/coordination/directory.py
@@ -17,15 +17,15 @@
 
 # Period of the exchanges with other data centres; a change has reached all of
 # them by then.
-FAR_SECONDS = 2.0
-NEAR_SECONDS = 5.0
+REMOTE_GOSSIP_SECONDS = 2.0
+LOCAL_GOSSIP_SECONDS = 5.0
 
 # Only the first members of a view, and its leader, send to other data centres;
 # the second continues when the first, usually the leader, is lost.
-SPEAKERS = 2
+REMOTE_GOSSIPERS = 2
 
 # Bounds the size of a message.
-MAX_NEWS_VIEWS = 2
+MAX_VIEWS_PER_MESSAGE = 2
 
 
 class Directory:
@@ -50,8 +50,8 @@
     def start(self) -> None:
         """Start the periodic exchanges."""
         for period_seconds, callback in (
-            (FAR_SECONDS, self._gossip_remote),
-            (NEAR_SECONDS, self._gossip_local),
+            (REMOTE_GOSSIP_SECONDS, self._gossip_remote),
+            (LOCAL_GOSSIP_SECONDS, self._gossip_local),
         ):
             self._timers.every(
                 period_seconds=period_seconds,
@@ -94,7 +94,7 @@
         ]
         self._random.shuffle(lacking)
         if lacking:
-            news = messages.News(tuple(lacking[:MAX_NEWS_VIEWS]))
+            news = messages.News(tuple(lacking[:MAX_VIEWS_PER_MESSAGE]))
             self._link.send(to=sender, body=news)
         if digest.answer and any(
             theirs_id > quorum.view_id(views.get(data_centre))
@@ -111,7 +111,7 @@
         for record in news.views:
             view = rights.View(*record)
             if view.data_centre == self._state.self_id.data_centre:
-                self._state.hear_of(quorum.view_id(view))
+                self._state.record_view_id(quorum.view_id(view))
                 continue
             before = self._others.get(view.data_centre)
             if quorum.view_id(view) > quorum.view_id(before):
@@ -136,10 +136,10 @@
 
     def _gossip_remote(self) -> None:
         view = self._state.view
-        others = self._instance_list.others()
+        others = self._instance_list.other_data_centres()
         if view is None or not others:
             return
-        senders = {*view.members[:SPEAKERS], self._state.leader}
+        senders = {*view.members[:REMOTE_GOSSIPERS], self._state.leader}
         if self._state.self_id not in senders:
             return
         data_centre = self._random.choice(sorted(others))
@@ -171,9 +171,9 @@
 
 
 __all__ = [
-    "FAR_SECONDS",
-    "MAX_NEWS_VIEWS",
-    "NEAR_SECONDS",
-    "SPEAKERS",
     "Directory",
+    "LOCAL_GOSSIP_SECONDS",
+    "MAX_VIEWS_PER_MESSAGE",
+    "REMOTE_GOSSIPERS",
+    "REMOTE_GOSSIP_SECONDS",
 ]
--- a/src/boragefold/coordination/election.py
+++ b/src/boragefold/coordination/election.py
@@ -18,7 +18,7 @@
 
 # Candidates start at different times, so that the first one wins without
 # competition.
-RANK_SECONDS = 0.15
+CANDIDATE_DELAY_SECONDS = 0.15
 RETRY_SECONDS = 0.4
 
 
@@ -67,10 +67,10 @@
             self.running = False
             return
         dead = self._peer_status.verified_dead()
-        voters = quorum.electorate(view, dead or ())
+        voters = quorum.voters_of(view, dead or ())
         if state.self_id not in voters or now_seconds < self._next_try_seconds:
             return
-        wait_seconds = voters.index(state.self_id) * RANK_SECONDS
+        wait_seconds = voters.index(state.self_id) * CANDIDATE_DELAY_SECONDS
         if now_seconds >= state.promise_until_seconds + wait_seconds:
             self.start()
 
@@ -98,7 +98,7 @@
         prepare = messages.Prepare(
             state.view_id(), self._ballot.round, now_seconds
         )
-        for voter in quorum.electorate(view, self._dead or ()):
+        for voter in quorum.voters_of(view, self._dead or ()):
             if voter != state.self_id:
                 self._link.send(to=voter, body=prepare)
         self._win_if_quorum()
@@ -126,7 +126,7 @@
             self._accepted.append((promise.accepted_ballot, successor))
         self._win_if_quorum()
 
-    def note_round(self, round_number: int) -> None:
+    def record_round(self, round_number: int) -> None:
         """Record a round that the next ballot has to exceed.
 
         :param round_number: the round
@@ -149,20 +149,22 @@
             **self._promise_ends,
             state.self_id: now_seconds + quorum.PREPARE_SECONDS,
         }
-        alone_until_seconds = state.alone_until_seconds
+        sole_leader_until_seconds = state.sole_leader_until_seconds
         if self._dead is not None:
-            alone_until_seconds = now_seconds + instance_lists.FRESH_SECONDS
+            sole_leader_until_seconds = (
+                now_seconds + instance_lists.FRESH_SECONDS
+            )
         led_until_seconds = quorum.led_until_seconds(
             view,
             leader=state.self_id,
             ends=ends,
-            alone_until_seconds=alone_until_seconds,
+            sole_leader_until_seconds=sole_leader_until_seconds,
             dead=self._dead or (),
         )
         if led_until_seconds <= now_seconds:
             return
         self.running = False
-        state.alone_until_seconds = alone_until_seconds
+        state.sole_leader_until_seconds = sole_leader_until_seconds
         state.promise(self._ballot, quorum.PREPARE_SECONDS)
         accepted = list(self._accepted)
         if state.accepted is not None:
@@ -177,8 +179,8 @@
 
 
 __all__ = [
-    "RANK_SECONDS",
-    "RETRY_SECONDS",
+    "CANDIDATE_DELAY_SECONDS",
     "Election",
     "ElectionResult",
+    "RETRY_SECONDS",
 ]
--- a/src/boragefold/coordination/instance_list.py
+++ b/src/boragefold/coordination/instance_list.py
@@ -16,7 +16,7 @@
 SKEW_SECONDS = 1.0
 
 # An instance that the list has lacked for this long no longer leads alone.
-MATURE_SECONDS = FRESH_SECONDS + SKEW_SECONDS
+SOLE_LEADER_END_SECONDS = FRESH_SECONDS + SKEW_SECONDS
 
 # Exceeds the lag between copies of the list.
 SETTLED_SECONDS = 10.0
@@ -53,7 +53,7 @@
         """
         has_gap = now_seconds > self.fresh_until_seconds()
         self.entries = tuple(sorted(entries))
-        if not self.shows(self._self_id.address):
+        if not self.contains(self._self_id.address):
             self._steady_since_seconds = float("inf")
         elif has_gap or self._steady_since_seconds == float("inf"):
             self._steady_since_seconds = now_seconds
@@ -86,7 +86,8 @@
         """
         return (
             now_seconds <= self.fresh_until_seconds()
-            and now_seconds - self._steady_since_seconds >= MATURE_SECONDS
+            and now_seconds - self._steady_since_seconds
+            >= SOLE_LEADER_END_SECONDS
         )
 
     def peers(self, now_seconds: float) -> tuple[str, ...]:
@@ -108,7 +109,7 @@
             )
         )
 
-    def others(self) -> dict[str, tuple[str, ...]]:
+    def other_data_centres(self) -> dict[str, tuple[str, ...]]:
         """List the addresses of the other data centres.
 
         :return: addresses by data centre
@@ -120,7 +121,7 @@
                 found[entry.data_centre] = (*before, entry.address)
         return found
 
-    def shows(self, address: str) -> bool:
+    def contains(self, address: str) -> bool:
         """Return whether the last list contains an address.
 
         :param address: the address
@@ -128,7 +129,7 @@
         """
         return any(entry.address == address for entry in self.entries)
 
-    def gone(
+    def is_removed(
         self, address: str, known_since_seconds: float, now_seconds: float
     ) -> bool:
         """Return whether the platform has removed an instance for good.
@@ -138,16 +139,16 @@
         :param now_seconds: the time
         :return: whether the list has lacked it for long enough
         """
-        if now_seconds > self.fresh_until_seconds() or self.shows(address):
+        if now_seconds > self.fresh_until_seconds() or self.contains(address):
             return False
         absent_seconds = now_seconds - self._missing_since_seconds.get(
             address, known_since_seconds
         )
-        if self.settled(address):
-            return absent_seconds >= MATURE_SECONDS
+        if self.is_settled(address):
+            return absent_seconds >= SOLE_LEADER_END_SECONDS
         return absent_seconds >= SETTLED_SECONDS
 
-    def settled(self, address: str) -> bool:
+    def is_settled(self, address: str) -> bool:
         """Return whether an address was listed for longer than copies lag.
 
         :param address: the address
@@ -163,7 +164,7 @@
 
     def _is_dropped(self, address: str, now_seconds: float) -> bool:
         absent_seconds = self._missing_since_seconds.get(address, float("inf"))
-        return now_seconds - absent_seconds >= MATURE_SECONDS
+        return now_seconds - absent_seconds >= SOLE_LEADER_END_SECONDS
 
     def _forget(self, now_seconds: float) -> None:
         forgotten = [
@@ -181,9 +182,9 @@
 __all__ = [
     "FORGET_SECONDS",
     "FRESH_SECONDS",
-    "MATURE_SECONDS",
+    "InstanceList",
+    "ListEntry",
     "SETTLED_SECONDS",
     "SKEW_SECONDS",
-    "ListEntry",
-    "InstanceList",
+    "SOLE_LEADER_END_SECONDS",
 ]
--- a/src/boragefold/coordination/leader_role.py
+++ b/src/boragefold/coordination/leader_role.py
@@ -18,7 +18,7 @@
 from boragefold.telemetry import counters as telemetry
 
 # Interval of requests to silent members, which may have missed the election.
-NUDGE_SECONDS = 0.2
+HEARTBEAT_REQUEST_SECONDS = 0.2
 
 
 class LeaderRole:
@@ -74,7 +74,7 @@
             self._requested_seconds = float("-inf")
             self._request_heartbeats(view)
 
-    def found(
+    def lead_bootstrapped(
         self, view: rights.View, ends: dict[ids.InstanceId, float]
     ) -> None:
         """Start to lead a view that this instance bootstrapped.
@@ -84,7 +84,7 @@
         """
         ballot = messages.Ballot(1, self._state.self_id.incarnation)
         self._state.promise(ballot, quorum.PROMISE_SECONDS)
-        self._state.alone_until_seconds = (
+        self._state.sole_leader_until_seconds = (
             self._state.now_seconds() + instance_lists.FRESH_SECONDS
         )
         self._leadership.begin(ballot, ends, frozenset())
@@ -100,16 +100,18 @@
     def tick(self) -> None:
         """Renew leases, contact silent members and change the view if due."""
         view = self._state.view
-        if view is None or not self._leadership.holds():
+        if view is None or not self._leadership.is_valid():
             return
         self._leadership.renew_own()
-        if self._changes.running:
+        if self._changes.in_progress:
             self._changes.tick()
             return
         self._request_heartbeats(view)
         self._change_if_due()
 
-    def on_beat(self, sender: ids.InstanceId, beat: messages.Beat) -> None:
+    def on_heartbeat(
+        self, sender: ids.InstanceId, beat: messages.Beat
+    ) -> None:
         """Answer a member's heartbeat with a lease.
 
         :param sender: the member
@@ -118,12 +120,12 @@
         view = self._state.view
         if view is None or sender not in view.members:
             return
-        self._member_tracker.hear(sender)
-        self._member_tracker.hear_by_relay(view, sender, beat.quiet)
+        self._member_tracker.record_heard(sender)
+        self._member_tracker.apply_relay_report(view, sender, beat.quiet)
         if beat.round == self._leadership.ballot.round:
             if beat.echo_seconds > 0:
-                self._leadership.count(sender, beat.echo_seconds)
-        if self._leadership.holds():
+                self._leadership.record_promise(sender, beat.echo_seconds)
+        if self._leadership.is_valid():
             self._leadership.renew_own()
             self._leadership.renew(sender, beat.sent_seconds)
 
@@ -136,16 +138,16 @@
         :param sender: the instance
         """
         view = self._state.view
-        if view is None or not self._leadership.holds():
+        if view is None or not self._leadership.is_valid():
             return
         if sender in view.members:
             self.send_view(sender)
-        elif not self._instance_list.shows(sender.address):
+        elif not self._instance_list.contains(sender.address):
             self._counters.add("view_joins_refused", "not_listed")
         else:
             self._member_tracker.join(sender)
             if any(one.address == sender.address for one in view.members):
-                self._peer_status.ask(sender.address)
+                self._peer_status.query(sender.address)
 
     def on_leave(self, sender: ids.InstanceId) -> None:
         """Record that a member, possibly this instance, asks to leave.
@@ -166,7 +168,7 @@
     def _request_heartbeats(self, view: rights.View) -> None:
         silent = self._member_tracker.silent(view)
         now_seconds = self._state.now_seconds()
-        if now_seconds - self._requested_seconds < NUDGE_SECONDS:
+        if now_seconds - self._requested_seconds < HEARTBEAT_REQUEST_SECONDS:
             return
         self._requested_seconds = now_seconds
         for member in silent:
@@ -174,12 +176,12 @@
 
     def _change_if_due(self) -> None:
         view = self._state.view
-        if view is None or self._changes.running:
+        if view is None or self._changes.in_progress:
             return
-        if not self._leadership.holds():
+        if not self._leadership.is_valid():
             return
-        members = self._member_tracker.members_after(view)
-        founded = view.number == quorum.FOUNDED_NUMBER
+        members = self._member_tracker.next_members(view)
+        founded = view.number == quorum.BOOTSTRAP_NUMBER
         if not members:
             self._end_view(view)
         elif members != view.members or founded:
@@ -196,18 +198,20 @@
         return rights.View(
             data_centre=view.data_centre,
             epoch=self._new_epoch(),
-            number=quorum.FOUNDED_NUMBER + 1,
+            number=quorum.BOOTSTRAP_NUMBER + 1,
             members=tuple(one for one in view.members if one not in dead),
         )
 
     def _end_view(self, view: rights.View) -> None:
         # The last member leaves; the next instance bootstraps a new view.
         self._state.lease_until_seconds = 0.0
-        self._state.hear_of(messages.ViewId(view.epoch, view.number + 1))
+        self._state.record_view_id(
+            messages.ViewId(view.epoch, view.number + 1)
+        )
         self.step_down()
 
 
 __all__ = [
-    "NUDGE_SECONDS",
+    "HEARTBEAT_REQUEST_SECONDS",
     "LeaderRole",
 ]
--- a/src/boragefold/coordination/leadership.py
+++ b/src/boragefold/coordination/leadership.py
@@ -71,11 +71,11 @@
             view,
             leader=self._state.self_id,
             ends=self._promise_ends,
-            alone_until_seconds=self._state.alone_until_seconds,
+            sole_leader_until_seconds=self._state.sole_leader_until_seconds,
             dead=self.dead,
         )
 
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Return whether this instance leads now; stop leading if not.
 
         After a pause or a partition the others may have another leader, and
@@ -96,7 +96,9 @@
         self.end()
         return False
 
-    def count(self, voter: ids.InstanceId, sent_seconds: float) -> None:
+    def record_promise(
+        self, voter: ids.InstanceId, sent_seconds: float
+    ) -> None:
         """Count a promise from the time of the message that it answers.
 
         :param voter: the voter that gave it
@@ -113,10 +115,10 @@
         """Renew the promise and the lease that this instance gives itself."""
         state = self._state
         state.promise(self.ballot, quorum.PROMISE_SECONDS)
-        self.count(state.self_id, state.now_seconds())
+        self.record_promise(state.self_id, state.now_seconds())
         if self.granting:
             lease_until_seconds = state.now_seconds() + quorum.LEASE_SECONDS
-            state.take_lease(
+            state.extend_lease(
                 min(self.led_until_seconds(), lease_until_seconds)
             )
 
@@ -150,7 +152,7 @@
             ),
         )
 
-    def has_ended(self, member: ids.InstanceId) -> bool:
+    def lease_has_expired(self, member: ids.InstanceId) -> bool:
         """Return whether the lease of a member has certainly expired.
 
         A lease is counted from the heartbeat that it answers, which was sent
@@ -165,7 +167,7 @@
             <= self._state.now_seconds()
         )
 
-    def note_relayed(
+    def record_relayed(
         self, member: ids.InstanceId, left_seconds: float
     ) -> None:
         """Record the remaining time of a lease from a stopped relay.
@@ -177,7 +179,7 @@
             self._state.now_seconds() + left_seconds
         )
 
-    def relayed_has_ended(
+    def relayed_lease_has_expired(
         self, member: ids.InstanceId, *, relay_stopped: bool
     ) -> bool:
         """Return whether the relayed lease of a member has certainly expired.
@@ -193,9 +195,9 @@
         if relay_stopped:
             now_seconds = self._state.now_seconds()
             return self._relayed_until_seconds.get(member, 0.0) <= now_seconds
-        return self.has_ended(relay)
+        return self.lease_has_expired(relay)
 
-    def forget_granted(self) -> None:
+    def clear_granted(self) -> None:
         """Discard the leases of a view that has ended everywhere."""
         self._granted_until_seconds.clear()
         self._relayed_until_seconds.clear()
--- a/src/boragefold/coordination/lease_relay.py
+++ b/src/boragefold/coordination/lease_relay.py
@@ -28,7 +28,9 @@
         self._heard_seconds: dict[ids.InstanceId, float] = {}
         self._granted_until_seconds: dict[ids.InstanceId, float] = {}
 
-    def on_beat(self, sender: ids.InstanceId, beat: messages.Beat) -> None:
+    def on_heartbeat(
+        self, sender: ids.InstanceId, beat: messages.Beat
+    ) -> None:
         """Answer the heartbeat of a member that this instance relays to.
 
         :param sender: the member
@@ -40,7 +42,7 @@
             return
         now_seconds = state.now_seconds()
         self._heard_seconds[sender] = now_seconds
-        if beat.round != state.promised.round or not state.covered():
+        if beat.round != state.promised.round or not state.has_lease():
             return
         lease_seconds = min(
             quorum.LEASE_SECONDS,
@@ -60,7 +62,7 @@
             ),
         )
 
-    def quiet(self) -> tuple[int, ...]:
+    def silent_positions(self) -> tuple[int, ...]:
         """Return which members of this relay have been silent for long.
 
         :return: their positions in the view
@@ -79,7 +81,7 @@
             <= suspect_before_seconds
         )
 
-    def left(self) -> tuple[tuple[int, float], ...]:
+    def remaining_leases(self) -> tuple[tuple[int, float], ...]:
         """Return the remaining times of the leases that this relay granted.
 
         :return: positions in the view, and seconds
--- a/src/boragefold/coordination/load_budget.py
+++ b/src/boragefold/coordination/load_budget.py
@@ -17,7 +17,7 @@
 IN_FLIGHT = "store-in-flight"
 
 # A load must be aborted by then: its slot is granted again.
-LONGEST_LOAD_SECONDS = 10.0
+MAX_LOAD_SECONDS = 10.0
 
 # Slots return when a load ends, so the refill rate must not limit them.
 REFILL_PER_SECOND = 1e6
@@ -27,7 +27,7 @@
 class Load:
     """The permission to load one set of weights; finished exactly once."""
 
-    place: token_balance.Reservation
+    slot: token_balance.Reservation
     finished: bool = False
 
 
@@ -35,17 +35,17 @@
     """Permits loads from the weight store."""
 
     @abc.abstractmethod
-    def try_take(self) -> Load | token_balance.Shortfall:
+    def try_acquire(self) -> Load | token_balance.Shortfall:
         """Start a load, or return when to retry.
 
         :return: the permission, or the shortfall
         """
 
     @abc.abstractmethod
-    def finished(self, load: Load) -> None:
+    def release(self, load: Load) -> None:
         """Release the slot of a finished, failed or aborted load.
 
-        :param load: from :meth:`try_take`; a second call has no effect
+        :param load: from :meth:`try_acquire`; a second call has no effect
         """
 
     @abc.abstractmethod
@@ -91,14 +91,14 @@
                 IN_FLIGHT: limits.Limit(
                     REFILL_PER_SECOND,
                     float(store["loads_in_flight"]),
-                    hold_seconds=LONGEST_LOAD_SECONDS,
+                    hold_seconds=MAX_LOAD_SECONDS,
                     fetch_ahead=False,
                     whole=True,
                 ),
             }
         )
 
-    def try_take(self) -> Load | token_balance.Shortfall:
+    def try_acquire(self) -> Load | token_balance.Shortfall:
         """Start a load, or return when to retry.
 
         :return: the permission, or the shortfall
@@ -107,23 +107,23 @@
         if isinstance(start, token_balance.Shortfall):
             self._counters.add("loads_refused", "rate")
             return start
-        place = self._stock.reserve(workspace=IN_FLIGHT, tokens=1.0)
-        if isinstance(place, token_balance.Shortfall):
+        slot = self._stock.reserve(workspace=IN_FLIGHT, tokens=1.0)
+        if isinstance(slot, token_balance.Shortfall):
             self._counters.add("loads_refused", "in_flight")
             self._stock.settle(start, used_tokens=0.0)
-            return place
+            return slot
         self._stock.settle(start, used_tokens=1.0)
-        return Load(place=place)
+        return Load(slot=slot)
 
-    def finished(self, load: Load) -> None:
+    def release(self, load: Load) -> None:
         """Release the slot of a finished, failed or aborted load.
 
-        :param load: from :meth:`try_take`; a second call has no effect
+        :param load: from :meth:`try_acquire`; a second call has no effect
         """
         if load.finished:
             return
         load.finished = True
-        self._stock.settle(load.place, used_tokens=0.0)
+        self._stock.settle(load.slot, used_tokens=0.0)
 
     def subscribe(self, callback: Callable[[], None]) -> None:
         """Register a callback for when a load may be possible again.
@@ -141,8 +141,8 @@
 __all__ = [
     "IN_FLIGHT",
     "LOADS",
-    "LONGEST_LOAD_SECONDS",
     "LeasedLoadBudget",
     "Load",
     "LoadBudget",
+    "MAX_LOAD_SECONDS",
 ]
--- a/src/boragefold/coordination/member_tracker.py
+++ b/src/boragefold/coordination/member_tracker.py
@@ -56,7 +56,7 @@
             member: heard_seconds for member in self._suspected
         }
 
-    def installed(self, view: rights.View) -> None:
+    def on_installed(self, view: rights.View) -> None:
         """Count every member of a new view as just heard.
 
         :param view: the view
@@ -70,7 +70,7 @@
         }
         self._leaving.intersection_update(view.members)
 
-    def hear(self, member: ids.InstanceId) -> None:
+    def record_heard(self, member: ids.InstanceId) -> None:
         """Record that a member has sent a message.
 
         :param member: the member
@@ -78,7 +78,7 @@
         self._heard_seconds[member] = self._state.now_seconds()
         self._suspected.discard(member)
 
-    def hear_by_relay(
+    def apply_relay_report(
         self, view: rights.View, relay: ids.InstanceId, quiet: Iterable[int]
     ) -> None:
         """Apply a relay's report on the members that send it heartbeats.
@@ -93,7 +93,7 @@
             if quorum.relay_of(view, member) != relay:
                 continue
             if position not in silent:
-                self.hear(member)
+                self.record_heard(member)
             elif self._heard_seconds.get(member, 0.0) > suspect_before_seconds:
                 self._heard_seconds[member] = suspect_before_seconds
 
@@ -136,7 +136,7 @@
             del self._joining[member.address]
         self._leaving.add(member)
 
-    def members_after(self, view: rights.View) -> tuple[ids.InstanceId, ...]:
+    def next_members(self, view: rights.View) -> tuple[ids.InstanceId, ...]:
         """Return the members of the next view.
 
         :param view: the current view
@@ -167,12 +167,12 @@
         )
         return (
             silent_seconds >= quorum.LEASE_SECONDS
-            and self._leadership.has_ended(member)
+            and self._leadership.lease_has_expired(member)
         )
 
 
 __all__ = [
     "GRACE_SECONDS",
-    "SUSPECT_SECONDS",
     "MemberTracker",
+    "SUSPECT_SECONDS",
 ]
--- a/src/boragefold/coordination/membership.py
+++ b/src/boragefold/coordination/membership.py
@@ -18,8 +18,8 @@
 from boragefold.telemetry import counters as telemetry
 
 # With this period a lease survives one lost heartbeat.
-BEAT_SECONDS = 0.5
-SLOW_BEAT_SECONDS = 1.0
+HEARTBEAT_SECONDS = 0.5
+SLOW_HEARTBEAT_SECONDS = 1.0
 UNANSWERED_SECONDS = 0.25
 
 JOIN_SECONDS = 0.25
@@ -95,7 +95,7 @@
             self._heartbeat_answered_seconds = state.now_seconds()
         if renewal.lease_seconds > 0:
             lease_seconds = quorum.shortened_seconds(renewal.lease_seconds)
-            state.take_lease(renewal.echo_seconds + lease_seconds)
+            state.extend_lease(renewal.echo_seconds + lease_seconds)
 
     def on_relayed(
         self, sender: ids.InstanceId, relayed: messages.Relayed
@@ -111,7 +111,7 @@
         if relayed.echo_seconds >= self._heartbeat_sent_seconds:
             self._heartbeat_answered_seconds = state.now_seconds()
         lease_seconds = quorum.shortened_seconds(relayed.lease_seconds)
-        state.take_lease(relayed.echo_seconds + lease_seconds)
+        state.extend_lease(relayed.echo_seconds + lease_seconds)
 
     def on_prepare(
         self, sender: ids.InstanceId, prepare: messages.Prepare
@@ -173,7 +173,7 @@
             state.view_id(),
             change.round,
             now_seconds,
-            self._lease_relay.left(),
+            self._lease_relay.remaining_leases(),
         )
         self._link.send(to=sender, body=ack)
 
@@ -190,7 +190,7 @@
         if state.self_id not in view.members:
             # This instance keeps its old view, which has ended, and asks to
             # join.
-            state.hear_of(quorum.view_id(view))
+            state.record_view_id(quorum.view_id(view))
             return
         if quorum.view_id(view) < state.view_id():
             return
@@ -210,7 +210,7 @@
         :param standing: its view and the latest view that it knows of
         """
         state = self._state
-        state.hear_of(standing.highest_id)
+        state.record_view_id(standing.highest_id)
         if not state.is_outdated():
             view = state.view
             if (
@@ -267,7 +267,7 @@
                 round=state.promised.round,
                 echo_seconds=self._echo_seconds,
                 sent_seconds=self._heartbeat_sent_seconds,
-                quiet=self._lease_relay.quiet(),
+                quiet=self._lease_relay.silent_positions(),
             ),
         )
 
@@ -281,9 +281,9 @@
 
     def _heartbeat_period_seconds(self) -> float:
         view = self._state.view
-        if view is None or self._state.self_id in quorum.electorate(view):
-            return BEAT_SECONDS
-        return SLOW_BEAT_SECONDS
+        if view is None or self._state.self_id in quorum.voters_of(view):
+            return HEARTBEAT_SECONDS
+        return SLOW_HEARTBEAT_SECONDS
 
     def _report_suspect(self, leader: ids.InstanceId) -> None:
         if not self._suspected:
@@ -293,9 +293,9 @@
 
 
 __all__ = [
-    "BEAT_SECONDS",
+    "HEARTBEAT_SECONDS",
     "JOIN_SECONDS",
-    "SLOW_BEAT_SECONDS",
-    "UNANSWERED_SECONDS",
     "Membership",
+    "SLOW_HEARTBEAT_SECONDS",
+    "UNANSWERED_SECONDS",
 ]
--- a/src/boragefold/coordination/once/tickets.py
+++ b/src/boragefold/coordination/once/tickets.py
@@ -146,9 +146,9 @@
 
 
 __all__ = [
+    "InvalidTicket",
     "TICKET_LIFETIME_SECONDS",
     "TicketIssuer",
-    "InvalidTicket",
     "decode",
     "encode",
 ]
--- a/src/boragefold/coordination/peer_status.py
+++ b/src/boragefold/coordination/peer_status.py
@@ -11,22 +11,24 @@
 from boragefold.protocol import view_messages as messages
 
 # One lost heartbeat leaves an instance without a lease for less than this.
-ASK_AFTER_SECONDS = 0.5
-ASK_PERIOD_SECONDS = 0.5
+QUERY_AFTER_SECONDS = 0.5
+QUERY_PERIOD_SECONDS = 0.5
 
 # Two queries in a row may be lost. An instance that answered that there is no
 # leader can't become the leader later because of a list without this instance.
-ANSWER_SECONDS = instance_lists.MATURE_SECONDS - instance_lists.SKEW_SECONDS
+ANSWER_SECONDS = (
+    instance_lists.SOLE_LEADER_END_SECONDS - instance_lists.SKEW_SECONDS
+)
 
 # After this time no message to an earlier incarnation is still in transit.
-HEARD_SECONDS = 5.0
+RECENT_SENDER_SECONDS = 5.0
 
 
 class Answer(NamedTuple):
     """The last answer from an address, and when its query was sent."""
 
     sender: ids.InstanceId
-    asked_seconds: float
+    queried_seconds: float
     standing: messages.Standing
 
 
@@ -51,17 +53,17 @@
     def tick(self) -> None:
         """Query all addresses if this instance has no lease and it is due."""
         now_seconds = self._state.now_seconds()
-        uncovered_seconds = now_seconds - self._state.uncovered_since_seconds
-        if uncovered_seconds < ASK_AFTER_SECONDS:
+        no_lease_seconds = now_seconds - self._state.no_lease_since_seconds
+        if no_lease_seconds < QUERY_AFTER_SECONDS:
             if self._state.view is not None:
                 return
-        if now_seconds - self._last_query_seconds < ASK_PERIOD_SECONDS:
+        if now_seconds - self._last_query_seconds < QUERY_PERIOD_SECONDS:
             return
         self._last_query_seconds = now_seconds
         for address in self.addresses():
-            self.ask(address)
+            self.query(address)
 
-    def ask(self, address: str) -> None:
+    def query(self, address: str) -> None:
         """Query whichever process listens at an address.
 
         :param address: the address
@@ -82,14 +84,14 @@
         heard = {
             address
             for address, heard_seconds in self._heard_seconds.items()
-            if now_seconds - heard_seconds < HEARD_SECONDS
-            and not self._instance_list.settled(address)
+            if now_seconds - heard_seconds < RECENT_SENDER_SECONDS
+            and not self._instance_list.is_settled(address)
         }
         return tuple(
             sorted(heard.union(self._instance_list.peers(now_seconds)))
         )
 
-    def note_heard(self, sender: ids.InstanceId) -> None:
+    def record_sender(self, sender: ids.InstanceId) -> None:
         """Record that an instance of this data centre has sent a message.
 
         :param sender: the instance
@@ -98,7 +100,7 @@
             return
         self._heard_seconds[sender.address] = self._state.now_seconds()
 
-    def note_answer(
+    def record_answer(
         self, sender: ids.InstanceId, standing: messages.Standing
     ) -> None:
         """Store the answer to a query.
@@ -112,15 +114,15 @@
         :param standing: its answer
         """
         before = self._answers.get(sender.address)
-        asked_seconds = standing.echo_seconds
-        if before is None or before.asked_seconds <= asked_seconds:
-            answer = Answer(sender, asked_seconds, standing)
+        queried_seconds = standing.echo_seconds
+        if before is None or before.queried_seconds <= queried_seconds:
+            answer = Answer(sender, queried_seconds, standing)
             self._answers[sender.address] = answer
         for member, since_seconds in self._state.known_since_seconds.items():
             if (
                 member.address == sender.address
                 and member.incarnation != sender.incarnation
-                and asked_seconds > since_seconds
+                and queried_seconds > since_seconds
             ):
                 self._replaced_since.setdefault(
                     member, self._state.now_seconds()
@@ -147,8 +149,9 @@
             member, now_seconds
         )
         return (
-            now_seconds - since_seconds >= instance_lists.MATURE_SECONDS
-            or self._instance_list.gone(
+            now_seconds - since_seconds
+            >= instance_lists.SOLE_LEADER_END_SECONDS
+            or self._instance_list.is_removed(
                 member.address, known_since_seconds, now_seconds
             )
         )
@@ -170,7 +173,7 @@
             answer
             for answer in found
             if answer is not None
-            and now_seconds - answer.asked_seconds <= ANSWER_SECONDS
+            and now_seconds - answer.queried_seconds <= ANSWER_SECONDS
         ]
         return tuple(recent) if len(recent) == len(found) else None
 
@@ -181,8 +184,8 @@
             sure that there is no other leader and no later view
         """
         state = self._state
-        uncovered_seconds = state.now_seconds() - state.uncovered_since_seconds
-        if uncovered_seconds < ASK_AFTER_SECONDS:
+        no_lease_seconds = state.now_seconds() - state.no_lease_since_seconds
+        if no_lease_seconds < QUERY_AFTER_SECONDS:
             return None
         if state.view is None or state.is_outdated():
             return None
@@ -203,7 +206,10 @@
         if set(state.view.members) - answered - dead:
             return None
         # The last list may lack an instance that has started since.
-        if not dead and uncovered_seconds < instance_lists.MATURE_SECONDS:
+        if (
+            not dead
+            and no_lease_seconds < instance_lists.SOLE_LEADER_END_SECONDS
+        ):
             return None
         return dead
 
@@ -225,15 +231,15 @@
         self._heard_seconds = {
             address: heard_seconds
             for address, heard_seconds in self._heard_seconds.items()
-            if now_seconds - heard_seconds < HEARD_SECONDS
+            if now_seconds - heard_seconds < RECENT_SENDER_SECONDS
         }
 
 
 __all__ = [
     "ANSWER_SECONDS",
-    "ASK_AFTER_SECONDS",
-    "ASK_PERIOD_SECONDS",
-    "HEARD_SECONDS",
     "Answer",
     "PeerStatus",
+    "QUERY_AFTER_SECONDS",
+    "QUERY_PERIOD_SECONDS",
+    "RECENT_SENDER_SECONDS",
 ]
--- a/src/boragefold/coordination/quorum.py
+++ b/src/boragefold/coordination/quorum.py
@@ -29,7 +29,7 @@
 RELAYED_MEMBERS = 8
 
 # Number of a view that was bootstrapped and has not changed yet.
-FOUNDED_NUMBER = 1
+BOOTSTRAP_NUMBER = 1
 
 
 def shortened_seconds(duration_seconds: float) -> float:
@@ -52,7 +52,7 @@
     return messages.ViewId(view.epoch, view.number)
 
 
-def electorate(
+def voters_of(
     view: rights.View, dead: Collection[ids.InstanceId] = ()
 ) -> tuple[ids.InstanceId, ...]:
     """Return the voters of a view.
@@ -66,7 +66,7 @@
     """
     if dead:
         return tuple(one for one in view.members if one not in dead)
-    if view.number == FOUNDED_NUMBER:
+    if view.number == BOOTSTRAP_NUMBER:
         return view.members
     return view.members[:MAX_VOTERS]
 
@@ -88,7 +88,7 @@
     return view.members[1 + position % (MAX_VOTERS - 1)]
 
 
-def agreed(
+def is_decided(
     view: rights.View,
     votes: Collection[ids.InstanceId],
     dead: Collection[ids.InstanceId] = (),
@@ -103,9 +103,9 @@
     :param dead: members that the list or a new process shows as dead
     :return: whether the successor is decided
     """
-    voters = electorate(view, dead)
+    voters = voters_of(view, dead)
     count = sum(voter in votes for voter in voters)
-    if dead or view.number == FOUNDED_NUMBER:
+    if dead or view.number == BOOTSTRAP_NUMBER:
         return count == len(voters)
     if 2 * count == len(voters):
         return view.members[0] in votes
@@ -117,7 +117,7 @@
     *,
     leader: ids.InstanceId,
     ends: Mapping[ids.InstanceId, float],
-    alone_until_seconds: float,
+    sole_leader_until_seconds: float,
     dead: Collection[ids.InstanceId] = (),
 ) -> float:
     """Return until when the promises given to a leader let it lead.
@@ -129,38 +129,38 @@
     :param view: the view
     :param leader: the leader
     :param ends: when each voter's promise ends, on the leader's clock
-    :param alone_until_seconds: until when the leader may lead alone
+    :param sole_leader_until_seconds: until when the leader may lead alone
     :param dead: members that the list or a new process shows as dead
     :return: a reading of the leader's clock; in the past if it can't lead
     """
-    voters = electorate(view, dead)
+    voters = voters_of(view, dead)
     sorted_ends = sorted((ends.get(one, 0.0) for one in voters), reverse=True)
     if len(voters) == 1:
-        return min(sorted_ends[0], alone_until_seconds)
-    if dead or view.number == FOUNDED_NUMBER:
+        return min(sorted_ends[0], sole_leader_until_seconds)
+    if dead or view.number == BOOTSTRAP_NUMBER:
         return sorted_ends[-1]
     half = len(voters) // 2
     majority_end = sorted_ends[half]
     if len(voters) % 2 or leader != view.members[0]:
         return majority_end
     tie_end = min(
-        sorted_ends[half - 1], ends.get(leader, 0.0), alone_until_seconds
+        sorted_ends[half - 1], ends.get(leader, 0.0), sole_leader_until_seconds
     )
     return max(majority_end, tie_end)
 
 
 __all__ = [
+    "BOOTSTRAP_NUMBER",
     "CLOCK_DRIFT",
-    "FOUNDED_NUMBER",
     "LEASE_SECONDS",
     "MAX_VOTERS",
     "PREPARE_SECONDS",
     "PROMISE_SECONDS",
     "RELAYED_MEMBERS",
-    "agreed",
-    "electorate",
+    "is_decided",
     "led_until_seconds",
     "relay_of",
     "shortened_seconds",
     "view_id",
+    "voters_of",
 ]
--- a/src/boragefold/coordination/rates/request_queue.py
+++ b/src/boragefold/coordination/rates/request_queue.py
@@ -72,6 +72,6 @@
 
 
 __all__ = [
-    "RequestQueue",
     "QueuedRequest",
+    "RequestQueue",
 ]
--- a/src/boragefold/coordination/rates/workspace_state.py
+++ b/src/boragefold/coordination/rates/workspace_state.py
@@ -53,6 +53,6 @@
 
 
 __all__ = [
-    "WorkspaceState",
     "ChargedReservation",
+    "WorkspaceState",
 ]
--- a/src/boragefold/coordination/view_changes.py
+++ b/src/boragefold/coordination/view_changes.py
@@ -53,7 +53,7 @@
         self._pending: Pending | None = None
 
     @property
-    def running(self) -> bool:
+    def in_progress(self) -> bool:
         """Return whether a successor is being decided.
 
         :return: whether one is
@@ -97,17 +97,17 @@
         pending = self._current_pending()
         view = self._state.view
         if (
-            not self._leadership.holds()
+            not self._leadership.is_valid()
             or pending is None
             or view is None
             or ack.round != self._leadership.ballot.round
         ):
             return
-        self._member_tracker.hear(sender)
+        self._member_tracker.record_heard(sender)
         if sender not in pending.accepted:
             for position, left_seconds in ack.relayed:
                 member = view.members[position]
-                self._leadership.note_relayed(member, left_seconds)
+                self._leadership.record_relayed(member, left_seconds)
         pending.accepted.add(sender)
         pending.echoes[sender] = ack.sent_seconds
         self._install_if_decided()
@@ -172,7 +172,7 @@
         if pending is None or view is None:
             return
         dead = self._leadership.dead
-        if not quorum.agreed(view, pending.accepted, dead):
+        if not quorum.is_decided(view, pending.accepted, dead):
             return
         if not all(self._has_stopped(one, view) for one in view.members):
             return
@@ -182,9 +182,9 @@
         accepted = self._pending.accepted if self._pending else set()
         if member in accepted or self._peer_status.is_replaced(member):
             return True
-        return self._leadership.has_ended(
+        return self._leadership.lease_has_expired(
             member
-        ) and self._leadership.relayed_has_ended(
+        ) and self._leadership.relayed_lease_has_expired(
             member, relay_stopped=quorum.relay_of(view, member) in accepted
         )
 
@@ -193,7 +193,7 @@
         successor = pending.successor
         stays = state.self_id in successor.members
         self._pending = None
-        self._leadership.forget_granted()
+        self._leadership.clear_granted()
         self._counters.add("view_changes", "installed")
         if stays:
             state.install(successor, self._leadership.ballot)
@@ -202,12 +202,12 @@
             self._leadership.renew_own()
         else:
             self._leadership.end()
-        self._member_tracker.installed(successor)
+        self._member_tracker.on_installed(successor)
         for member in dict.fromkeys((*view.members, *successor.members)):
             if member != state.self_id:
                 self._install_at(member, successor, pending)
         if not self._leadership.leading:
-            state.hear_of(quorum.view_id(successor))
+            state.record_view_id(quorum.view_id(successor))
             state.release(self._leadership.ballot)
 
     def _install_at(
@@ -221,7 +221,7 @@
 
 
 __all__ = [
-    "RESEND_SECONDS",
     "Pending",
+    "RESEND_SECONDS",
     "ViewChanges",
 ]
--- a/src/boragefold/coordination/view_router.py
+++ b/src/boragefold/coordination/view_router.py
@@ -107,7 +107,7 @@
             if sender.data_centre != self._state.self_id.data_centre:
                 self._counters.add("view_messages_dropped", "data_centre")
                 return
-            self._peer_status.note_heard(sender)
+            self._peer_status.record_sender(sender)
             handler(sender, body)
             self._on_handled()
 
@@ -119,7 +119,7 @@
         handler: Callable[[ids.InstanceId, OfView], None],
     ) -> None:
         def receive(sender: ids.InstanceId, body: OfView) -> None:
-            self._state.hear_of(body.view_id)
+            self._state.record_view_id(body.view_id)
             if (
                 body.view_id == self._state.view_id()
                 and not self._state.is_outdated()
@@ -146,7 +146,7 @@
                 echo_seconds=echo_seconds,
                 view_id=messages.NO_VIEW if outdated else state.view_id(),
                 highest_id=state.highest_id,
-                covered=state.covered(),
+                covered=state.has_lease(),
                 steward=None if outdated else state.leader,
             ),
         )
@@ -155,7 +155,7 @@
         self, sender: ids.InstanceId, standing: messages.Standing
     ) -> None:
         if standing.echo_seconds > 0:
-            self._peer_status.note_answer(sender, standing)
+            self._peer_status.record_answer(sender, standing)
         if not self._is_leaving() or not self._state.is_outdated():
             self._membership.on_standing(sender, standing)
 
@@ -168,14 +168,14 @@
 
     def _on_beat(self, sender: ids.InstanceId, beat: messages.Beat) -> None:
         if self._leader_role.leading:
-            self._leader_role.on_beat(sender, beat)
+            self._leader_role.on_heartbeat(sender, beat)
         else:
-            self._lease_relay.on_beat(sender, beat)
+            self._lease_relay.on_heartbeat(sender, beat)
 
     def _on_refusal(
         self, sender: ids.InstanceId, refusal: messages.Refusal
     ) -> None:
-        self._election.note_round(refusal.ballot.round)
+        self._election.record_round(refusal.ballot.round)
         if not self._leader_role.leading:
             return
         if refusal.ballot <= self._leadership.ballot:
--- a/src/boragefold/coordination/view_state.py
+++ b/src/boragefold/coordination/view_state.py
@@ -30,10 +30,10 @@
         self.promise_until_seconds = 0.0
         self.accepted_ballot = messages.NO_BALLOT
         self.accepted: rights.View | None = None
-        self.stopped = messages.NO_BALLOT
+        self.stopped_ballot = messages.NO_BALLOT
         self.lease_until_seconds = 0.0
-        self.alone_until_seconds = 0.0
-        self.uncovered_since_seconds = timer_service.now_seconds()
+        self.sole_leader_until_seconds = 0.0
+        self.no_lease_since_seconds = timer_service.now_seconds()
         self.known_since_seconds: dict[ids.InstanceId, float] = {}
 
     def now_seconds(self) -> float:
@@ -57,7 +57,7 @@
         """
         return self.view is None or self.highest_id > self.view_id()
 
-    def covered(self) -> bool:
+    def has_lease(self) -> bool:
         """Return whether this instance has a lease on the installed view.
 
         :return: whether it has one now
@@ -74,7 +74,7 @@
         """
         return max(0.0, self.lease_until_seconds - self.now_seconds())
 
-    def hear_of(self, view_id: messages.ViewId) -> None:
+    def record_view_id(self, view_id: messages.ViewId) -> None:
         """Record that a view of this data centre exists.
 
         :param view_id: its id
@@ -88,7 +88,7 @@
         :param ballot: the ballot that it was decided in, or a later one
         :return: whether it was later
         """
-        self.hear_of(quorum.view_id(view))
+        self.record_view_id(quorum.view_id(view))
         if quorum.view_id(view) <= self.view_id():
             return False
         before = self.view
@@ -96,7 +96,7 @@
         self.lease_until_seconds = 0.0
         self.accepted_ballot = messages.NO_BALLOT
         self.accepted = None
-        self.stopped = messages.NO_BALLOT
+        self.stopped_ballot = messages.NO_BALLOT
         # Under an older ballot two successors could each find a quorum.
         # Ballots of different epochs are not comparable.
         same_epoch = before is not None and before.epoch == view.epoch
@@ -162,10 +162,10 @@
         self.promise(ballot, quorum.PROMISE_SECONDS)
         self.accepted_ballot = ballot
         self.accepted = successor
-        self.stopped = ballot
+        self.stopped_ballot = ballot
         self.lease_until_seconds = 0.0
 
-    def take_lease(self, until_seconds: float) -> None:
+    def extend_lease(self, until_seconds: float) -> None:
         """Extend the lease on the installed view.
 
         A renewal that was delayed until after this instance stopped would
@@ -173,13 +173,13 @@
 
         :param until_seconds: when it expires, on the clock of this instance
         """
-        if self.is_outdated() or self.promised <= self.stopped:
+        if self.is_outdated() or self.promised <= self.stopped_ballot:
             return
-        if self.view is None or self.view.number <= quorum.FOUNDED_NUMBER:
+        if self.view is None or self.view.number <= quorum.BOOTSTRAP_NUMBER:
             return
         self.lease_until_seconds = max(self.lease_until_seconds, until_seconds)
 
-    def follow_time(self) -> None:
+    def update_lease_times(self) -> None:
         """Update since when there is no lease, and how long to lead alone.
 
         A leader that is on the list may lead alone, but only without a break
@@ -187,17 +187,19 @@
         and a list read before the pause may still show this instance.
         """
         now_seconds = self.now_seconds()
-        covered = self.covered()
-        if covered:
-            self.uncovered_since_seconds = now_seconds
-        if not covered and now_seconds >= self.alone_until_seconds:
+        has_lease = self.has_lease()
+        if has_lease:
+            self.no_lease_since_seconds = now_seconds
+        if not has_lease and now_seconds >= self.sole_leader_until_seconds:
             return
-        if not self._instance_list.shows(self.self_id.address):
+        if not self._instance_list.contains(self.self_id.address):
             return
         until_seconds = self._instance_list.fresh_until_seconds()
         if not self._instance_list.peers(now_seconds):
             until_seconds = now_seconds + quorum.PROMISE_SECONDS
-        self.alone_until_seconds = max(self.alone_until_seconds, until_seconds)
+        self.sole_leader_until_seconds = max(
+            self.sole_leader_until_seconds, until_seconds
+        )
 
 
 __all__ = [
--- a/src/boragefold/coordination/views.py
+++ b/src/boragefold/coordination/views.py
@@ -121,7 +121,7 @@
             peer_status=self._peer_status,
             counters=counters,
             new_epoch=self._new_epoch,
-            on_founded=self._leader_role.found,
+            on_bootstrapped=self._leader_role.lead_bootstrapped,
         )
         self._membership = memberships.Membership(
             peer_link=peer_link,
@@ -195,7 +195,7 @@
         :param entries: all instances of all data centres
         """
         self._instance_list.update(entries, self._timers.now_seconds())
-        self._state.follow_time()
+        self._state.update_lease_times()
 
     def leave(self) -> None:
         """Start to leave the view; :attr:`has_left` shows completion."""
@@ -235,7 +235,7 @@
         self._subscribers.append(callback)
 
     def _tick(self) -> None:
-        self._state.follow_time()
+        self._state.update_lease_times()
         self._leader_role.tick()
         self._membership.tick()
         self._peer_status.tick()
--- a/src/boragefold/entry/store_budget.py
+++ b/src/boragefold/entry/store_budget.py
@@ -23,7 +23,7 @@
         :param now_seconds: unused; the budget has the process clock
         :return: whether it was available
         """
-        reservation = self._budget.try_take()
+        reservation = self._budget.try_acquire()
         if not isinstance(reservation, load_budget.Load):
             return False
         self._running.append(reservation)
@@ -36,7 +36,7 @@
 
         :param now_seconds: unused
         """
-        self._budget.finished(self._running.popleft())
+        self._budget.release(self._running.popleft())
 
 
 __all__ = [
--- a/tests/coordination/test_listing.py
+++ b/tests/coordination/test_listing.py
@@ -17,7 +17,7 @@
     instance_list.update(entries("a-0", "a-1"), 0.0)
     for second in range(1, 6):
         instance_list.update(entries("a-0"), float(second))
-    assert not instance_list.gone("a-1", 0.0, 5.0)
+    assert not instance_list.is_removed("a-1", 0.0, 5.0)
 
 
 def test_an_instance_shown_for_long_is_gone_when_dropped() -> None:
@@ -26,7 +26,9 @@
         instance_list.update(entries("a-0", "a-1"), float(second))
     for second in range(12, 16):
         instance_list.update(entries("a-0"), float(second))
-        assert instance_list.gone("a-1", 0.0, float(second)) == (second >= 15)
+        assert instance_list.is_removed("a-1", 0.0, float(second)) == (
+            second >= 15
+        )
 
 
 def test_a_list_that_is_not_fresh_proves_nothing() -> None:
@@ -35,7 +37,7 @@
     for second in range(12):
         instance_list.update(entries("a-0", "a-1"), float(second))
     instance_list.update(entries("a-0"), 12.0)
-    assert not instance_list.gone("a-1", 0.0, 60.0)
+    assert not instance_list.is_removed("a-1", 0.0, 60.0)
 
 
 def test_one_dropped_a_moment_ago_is_still_asked() -> None:
@@ -45,7 +47,7 @@
     instance_list.update(entries("a-0", "b-0"), 1.0)
     assert instance_list.peers(1.5) == ("a-1",)
     assert instance_list.peers(4.0) == ()
-    assert instance_list.others() == {"b": ("b-0",)}
+    assert instance_list.other_data_centres() == {"b": ("b-0",)}
 
 
 def test_steady_means_shown_without_a_gap() -> None:
--- a/tests/coordination/test_load_budget.py
+++ b/tests/coordination/test_load_budget.py
@@ -39,8 +39,8 @@
         while (now := timers.clock.now_seconds()) < end:
             for ends_at, budget, load in list(loads):
                 if now >= ends_at:
-                    budget.finished(load)
-                    budget.finished(load)
+                    budget.release(load)
+                    budget.release(load)
                     loads.remove((ends_at, budget, load))
             for self_id, budget in self.budgets.items():
                 if (
@@ -48,7 +48,7 @@
                     and self_id.data_centre != loading_in
                 ):
                     continue
-                result = budget.try_take()
+                result = budget.try_acquire()
                 if isinstance(result, load_budget.Load):
                     self.load_starts.append(now)
                     loads.append((now + self.load_seconds, budget, result))
@@ -112,8 +112,8 @@
         rates=last.rates, counters=last.counters
     )
     fleet.run_for(6.0)
-    assert isinstance(budget.try_take(), token_balance.Shortfall)
-    fleet.run_for(load_budget.LONGEST_LOAD_SECONDS)
-    budget.try_take()
+    assert isinstance(budget.try_acquire(), token_balance.Shortfall)
+    fleet.run_for(load_budget.MAX_LOAD_SECONDS)
+    budget.try_acquire()
     fleet.run_for(0.5)
-    assert isinstance(budget.try_take(), load_budget.Load)
+    assert isinstance(budget.try_acquire(), load_budget.Load)
--- a/tests/coordination/test_quorum.py
+++ b/tests/coordination/test_quorum.py
@@ -19,12 +19,12 @@
 def test_two_quorums_always_share_a_voter(count: int) -> None:
     # Two leaders that both find a quorum would decide on two successors of
     # one view.
-    voters = quorum.electorate(view(count))
+    voters = quorum.voters_of(view(count))
     subsets = [
         set(chosen)
         for size in range(len(voters) + 1)
         for chosen in itertools.combinations(voters, size)
-        if quorum.agreed(view(count), chosen)
+        if quorum.is_decided(view(count), chosen)
     ]
     assert subsets
     assert all(
@@ -33,20 +33,20 @@
 
 
 def test_the_longest_standing_of_a_pair_is_enough() -> None:
-    assert quorum.agreed(view(2), {MEMBERS[0]})
-    assert not quorum.agreed(view(2), {MEMBERS[1]})
+    assert quorum.is_decided(view(2), {MEMBERS[0]})
+    assert not quorum.is_decided(view(2), {MEMBERS[1]})
 
 
 def test_a_founded_view_needs_everyone() -> None:
-    founded = view(3, quorum.FOUNDED_NUMBER)
-    assert not quorum.agreed(founded, MEMBERS[:2])
-    assert quorum.agreed(founded, MEMBERS[:3])
+    founded = view(3, quorum.BOOTSTRAP_NUMBER)
+    assert not quorum.is_decided(founded, MEMBERS[:2])
+    assert quorum.is_decided(founded, MEMBERS[:3])
 
 
 def test_without_the_dead_all_others_have_to_agree() -> None:
     dead = {MEMBERS[0]}
-    assert not quorum.agreed(view(5), MEMBERS[1:4], dead)
-    assert quorum.agreed(view(5), MEMBERS[1:5], dead)
+    assert not quorum.is_decided(view(5), MEMBERS[1:4], dead)
+    assert quorum.is_decided(view(5), MEMBERS[1:5], dead)
 
 
 @pytest.mark.parametrize(
@@ -68,7 +68,7 @@
             view(count),
             leader=MEMBERS[0],
             ends=dict(zip(MEMBERS, ends, strict=False)),
-            alone_until_seconds=7.0,
+            sole_leader_until_seconds=7.0,
         )
         == until_seconds
     )
@@ -78,7 +78,10 @@
     ends = {MEMBERS[0]: 5.0, MEMBERS[1]: 9.0}
     assert (
         quorum.led_until_seconds(
-            view(2), leader=MEMBERS[1], ends=ends, alone_until_seconds=20.0
+            view(2),
+            leader=MEMBERS[1],
+            ends=ends,
+            sole_leader_until_seconds=20.0,
         )
         == 5.0
     )
--- a/tests/coordination/test_view_changes.py
+++ b/tests/coordination/test_view_changes.py
@@ -81,7 +81,7 @@
     later = leader.view._replace(number=4)
     leader.state.install(later, messages.Ballot(3, "1"))
     leader.lead(5)
-    assert not leader.changes.running
+    assert not leader.changes.in_progress
     leader.changes.tick()
     assert leader.state.accepted is None
 
@@ -130,7 +130,7 @@
         100.5, messages.NO_VIEW, messages.NO_VIEW, False, None
     )
     restarted = MEMBERS[1]._replace(incarnation="new")
-    leader.peer_status.note_answer(restarted, standing)
+    leader.peer_status.record_answer(restarted, standing)
     leader.changes.propose(
         leader.view._replace(number=3, members=MEMBERS[:1] + MEMBERS[2:8]),
         recovered=False,
--- a/tests/coordination/test_view_state.py
+++ b/tests/coordination/test_view_state.py
@@ -59,20 +59,20 @@
     state, _ = new_state()
     state.follow(messages.Ballot(5, "y"))
     state.accept(messages.Ballot(5, "y"), view(1, 3))
-    state.take_lease(101.0)
-    assert not state.covered()
+    state.extend_lease(101.0)
+    assert not state.has_lease()
     state.follow(messages.Ballot(6, "z"))
-    state.take_lease(101.0)
-    assert state.covered()
+    state.extend_lease(101.0)
+    assert state.has_lease()
 
 
 def test_an_outdated_member_is_covered_by_nothing() -> None:
     # A later view exists, so the current one has ended, whatever renewal
     # arrives.
     state, _ = new_state()
-    state.hear_of(messages.ViewId(1, 3))
-    state.take_lease(101.0)
-    assert not state.covered()
+    state.record_view_id(messages.ViewId(1, 3))
+    state.extend_lease(101.0)
+    assert not state.has_lease()
 
 
 def test_a_new_epoch_begins_with_its_own_ballots() -> None:
