--- a/src/boragefold/coordination/fleet/lease_voter.py
+++ b/src/boragefold/coordination/fleet/lease_voter.py
@@ -62,7 +62,7 @@
 
     def vote(
         self,
-        asker: ids.InstanceId,
+        candidate: ids.InstanceId,
         engine: str,
         number: int,
         *,
@@ -70,9 +70,9 @@
     ) -> Vote:
         """Promise an engine, unless it is promised to another instance.
 
-        :param asker: the instance that asks for the promise
+        :param candidate: the instance that asks for the promise
         :param engine: the engine's name
-        :param number: the asker's number of the voting round
+        :param number: the candidate's number of the voting round
         :param now_seconds: reading of a clock that counts suspension
         :return: the vote
         """
@@ -80,7 +80,7 @@
             return Vote(self._refuses_until_seconds - now_seconds)
         former = self._promises.get(engine)
         others_until_seconds = -math.inf
-        if former is not None and former.holder == asker:
+        if former is not None and former.holder == candidate:
             number = max(number, former.number)
             others_until_seconds = former.others_until_seconds
         elif former is not None:
@@ -88,10 +88,10 @@
                 remaining_seconds = former.until_seconds - now_seconds
                 return Vote(remaining_seconds, -remaining_seconds)
             others_until_seconds = former.orders_until_seconds
-        self._forget_ended(now_seconds)
+        self._expire(now_seconds)
         until_seconds = now_seconds + PROMISE_SECONDS
         self._promises[engine] = Promise(
-            holder=asker,
+            holder=candidate,
             number=number,
             until_seconds=until_seconds,
             orders_until_seconds=until_seconds - ORDERS_END_MARGIN_SECONDS,
@@ -99,7 +99,7 @@
         )
         return Vote(0.0, now_seconds - others_until_seconds)
 
-    def end(
+    def release(
         self,
         holder: ids.InstanceId,
         engine: str,
@@ -126,7 +126,7 @@
                 ),
             )
 
-    def _forget_ended(self, now_seconds: float) -> None:
+    def _expire(self, now_seconds: float) -> None:
         if len(self._promises) < CLEANUP_THRESHOLD:
             return
         oldest_seconds = now_seconds - RETENTION_SECONDS
--- a/src/boragefold/coordination/fleet/order_lease.py
+++ b/src/boragefold/coordination/fleet/order_lease.py
@@ -9,11 +9,11 @@
     """The right of one instance to send orders to one engine."""
 
     @abc.abstractmethod
-    def want(self) -> None:
+    def request(self) -> None:
         """Request the lease, or its renewal, because orders are due."""
 
     @abc.abstractmethod
-    def held(self, *, now_seconds: float) -> bool:
+    def is_held(self, *, now_seconds: float) -> bool:
         """Return whether this instance holds the lease.
 
         :param now_seconds: reading of a clock that counts suspension
@@ -21,7 +21,7 @@
         """
 
     @abc.abstractmethod
-    def alone(self) -> bool:
+    def majority_lost(self) -> bool:
         """Return whether a majority of the voters seems to be gone.
 
         Orders may be sent without the lease then, after a delay: the voters
@@ -32,7 +32,7 @@
         """
 
     @abc.abstractmethod
-    def wait_seconds(self, *, now_seconds: float) -> float:
+    def unavailable_seconds(self, *, now_seconds: float) -> float:
         """Return for how long the lease is known to be unavailable.
 
         :param now_seconds: reading of a clock that counts suspension
@@ -48,7 +48,7 @@
         """
 
     @abc.abstractmethod
-    def others_until_seconds(self) -> float:
+    def foreign_lease_end_seconds(self) -> float:
         """Return when the last lease of another instance ended.
 
         :return: reading of the process clock; no order may be based on an
@@ -56,7 +56,7 @@
         """
 
     @abc.abstractmethod
-    def end(self) -> None:
+    def release(self) -> None:
         """Release the lease after the last order has been answered."""
 
 
--- a/src/boragefold/coordination/fleet/order_leases.py
+++ b/src/boragefold/coordination/fleet/order_leases.py
@@ -45,31 +45,31 @@
         link: links.PeerLink,
         timers: timing.TimerService,
         voters: Callable[[str], voter_sets.VoterSet],
-        majority_unheard_seconds: Callable[[voter_sets.VoterSet], float],
+        majority_lost_seconds: Callable[[voter_sets.VoterSet], float],
         rng: random.Random,
         log: decision_log.DecisionLog,
         started_at_seconds: float,
-        is_heard: Callable[[ids.InstanceId], bool] = lambda voter: True,
+        is_reachable: Callable[[ids.InstanceId], bool] = lambda voter: True,
     ) -> None:
         """Create it without leases and promises.
 
         :param link: sends messages to the other instances
         :param timers: the process clock
         :param voters: lists the voters for the engines of a data centre
-        :param majority_unheard_seconds: returns how long ago a majority of
+        :param majority_lost_seconds: returns how long ago a majority of
             the voters was reachable
         :param rng: randomizes the delay of retries
         :param log: decision log of this process
         :param started_at_seconds: when this process started
-        :param is_heard: returns whether an instance is reachable
+        :param is_reachable: returns whether an instance is reachable
         """
         self._link = link
         self._timers = timers
         self._voters = voters
-        self._majority_unheard_seconds = majority_unheard_seconds
+        self._majority_lost_seconds = majority_lost_seconds
         self._rng = rng
         self._log = log
-        self._is_heard = is_heard
+        self._is_reachable = is_reachable
         self._unresponsive: set[str] = set()
         self._voter = lease_voter.LeaseVoter(
             started_at_seconds=started_at_seconds
@@ -80,13 +80,13 @@
         link.subscribe(messages.LeaseEnd, self._handle_end)
 
     def lease(
-        self, engine: str, data_centre: str, *, changed: Callable[[], None]
+        self, engine: str, data_centre: str, *, on_obtained: Callable[[], None]
     ) -> order_lease.OrderLease:
         """Return the lease of an engine, creating it if there is none.
 
         :param engine: the engine's name
         :param data_centre: the engine's data centre
-        :param changed: called when votes gave this instance the lease
+        :param on_obtained: called when votes gave this instance the lease
         :return: the lease
         """
         lease = self._leases.get(engine)
@@ -98,11 +98,11 @@
                 data_centre=data_centre,
                 voter_client=self,
                 now_seconds=self._timers.now_seconds,
-                note=functools.partial(self._log_round, engine),
+                log_round=functools.partial(self._log_round, engine),
             )
             self._leases[engine] = lease
         lease.data_centre = data_centre
-        lease.changed = changed
+        lease.on_obtained = on_obtained
         return lease
 
     def ask(
@@ -111,25 +111,27 @@
         data_centre: str,
         number: int,
         *,
-        everybody: bool,
+        include_remote: bool,
     ) -> voted_lease.Round:
         """Ask the voters for an engine.
 
         :param engine: the engine's name
         :param data_centre: the engine's data centre
         :param number: number of the round, rising for each engine
-        :param everybody: whether to ask voters of other data centres also
+        :param include_remote: whether to ask voters of other data centres also
             when all local ones are reachable
         :return: the round, possibly decided by this instance's own vote
         """
         now_seconds = self._timers.now_seconds()
         voter_set = self._voters(data_centre)
-        everybody = everybody or not voter_set.near_heard
+        include_remote = include_remote or not voter_set.local_reachable
         round_ = voted_lease.Round(
             number=number,
             sent_at_seconds=now_seconds,
             voter_set=voter_set,
-            asked=tuple(self._other_voters(voter_set, everybody=everybody)),
+            asked=tuple(
+                self._other_voters(voter_set, include_remote=include_remote)
+            ),
         )
         # This instance's own promise binds it even if it is not a voter.
         self_id = self._link.self_id
@@ -142,17 +144,17 @@
             self._link.send_all(to=round_.asked, body=body)
         return round_
 
-    def missed(self, round_: voted_lease.Round) -> None:
+    def handle_failure(self, round_: voted_lease.Round) -> None:
         """Reconnect to the voters that did not answer a failed round.
 
         :param round_: the round
         """
         # Connections can look open long after a network partition broke them.
-        for voter in filter(self._is_heard, round_.unanswered()):
+        for voter in filter(self._is_reachable, round_.unanswered()):
             self._unresponsive.add(voter.address)
             self._link.reconnect(voter)
 
-    def free(self, engine: str, round_: voted_lease.Round) -> None:
+    def release(self, engine: str, round_: voted_lease.Round) -> None:
         """Release the promises that voters made to this instance.
 
         :param engine: the engine's name
@@ -162,15 +164,15 @@
         self._handle_end(self._link.self_id, body)
         self._link.send_all(to=round_.asked, body=body)
 
-    def majority_unheard_seconds(self, data_centre: str) -> float:
+    def majority_lost_seconds(self, data_centre: str) -> float:
         """Return how long ago a majority of the voters was reachable.
 
         :param data_centre: the engine's data centre
         :return: seconds; 0 while a majority is reachable
         """
-        return self._majority_unheard_seconds(self._voters(data_centre))
+        return self._majority_lost_seconds(self._voters(data_centre))
 
-    def place(self, data_centre: str) -> int:
+    def position(self, data_centre: str) -> int:
         """Return this instance's position among the voters for an engine.
 
         :param data_centre: the engine's data centre
@@ -180,7 +182,7 @@
         self_id = self._link.self_id
         return voters.index(self_id) if self_id in voters else len(voters)
 
-    def alone_after_seconds(self, data_centre: str) -> float:
+    def majority_timeout_seconds(self, data_centre: str) -> float:
         """Return how long without a majority orders require the lease.
 
         :param data_centre: the engine's data centre
@@ -188,7 +190,7 @@
         """
         if self._link.self_id not in self._voters(data_centre).voters:
             return math.inf
-        return NO_MAJORITY_SECONDS + NO_MAJORITY_STEP_SECONDS * self.place(
+        return NO_MAJORITY_SECONDS + NO_MAJORITY_STEP_SECONDS * self.position(
             data_centre
         )
 
@@ -200,10 +202,10 @@
         return self._rng.uniform(*RETRY_SECONDS)
 
     def _other_voters(
-        self, voter_set: voter_sets.VoterSet, *, everybody: bool
+        self, voter_set: voter_sets.VoterSet, *, include_remote: bool
     ) -> Iterator[ids.InstanceId]:
         # All voters of the engine's data centre together are a majority.
-        voters = voter_set.voters if everybody else voter_set.near
+        voters = voter_set.voters if include_remote else voter_set.local
         return (voter for voter in voters if voter != self._link.self_id)
 
     def _handle_ask(
@@ -231,7 +233,7 @@
     def _handle_end(
         self, sender: ids.InstanceId, body: messages.LeaseEnd
     ) -> None:
-        self._voter.end(
+        self._voter.release(
             sender,
             body.engine,
             body.number,
@@ -246,13 +248,13 @@
         unheard_seconds: float,
     ) -> None:
         now_seconds = self._timers.now_seconds()
-        others_seconds = now_seconds - round_.others_until_seconds
+        others_seconds = now_seconds - round_.foreign_lease_end_seconds
         self._log.write(
             "order_lease",
             engine=engine,
             number=round_.number,
-            near=[voter.address for voter in round_.voter_set.near],
-            far=[voter.address for voter in round_.voter_set.far],
+            near=[voter.address for voter in round_.voter_set.local],
+            far=[voter.address for voter in round_.voter_set.remote],
             asked=len(round_.asked),
             voted=sorted(voter.address for voter in round_.voted),
             others_seconds=(
--- a/src/boragefold/coordination/fleet/voter_sets.py
+++ b/src/boragefold/coordination/fleet/voter_sets.py
@@ -28,7 +28,7 @@
 # At most this many instances of a data centre vote; two may be lost at once.
 MAX_VOTERS = 5
 # Longer than most network partitions last.
-SILENT_VOTES_SECONDS = 60.0
+UNREACHABLE_VOTER_SECONDS = 60.0
 CACHE_SECONDS = 0.25
 HASH_CACHE_SIZE = 4_096
 
@@ -36,13 +36,13 @@
 class VoterSet(NamedTuple):
     """The voters for one engine.
 
-    ``near`` are those of the engine's data centre, ``far`` the others.
-    ``near_heard`` tells whether all near ones are reachable.
+    ``local`` are those of the engine's data centre, ``remote`` the others.
+    ``local_reachable`` tells whether all local ones are reachable.
     """
 
-    near: tuple[ids.InstanceId, ...]
-    far: tuple[ids.InstanceId, ...] = ()
-    near_heard: bool = True
+    local: tuple[ids.InstanceId, ...]
+    remote: tuple[ids.InstanceId, ...] = ()
+    local_reachable: bool = True
 
     @property
     def voters(self) -> tuple[ids.InstanceId, ...]:
@@ -50,9 +50,9 @@
 
         :return: those of the engine's data centre first
         """
-        return (*self.near, *self.far)
+        return (*self.local, *self.remote)
 
-    def decides(self, voted: Collection[ids.InstanceId]) -> bool:
+    def is_majority(self, voted: Collection[ids.InstanceId]) -> bool:
         """Return whether votes are a majority.
 
         :param voted: the voters that promised the engine
@@ -82,7 +82,7 @@
         self._cached: dict[str, VoterSet] = {}
         self._cache_key: tuple[object, ...] = ()
 
-    def of(self, data_centre: str) -> VoterSet:
+    def for_data_centre(self, data_centre: str) -> VoterSet:
         """List the voters for the engines of a data centre.
 
         :param data_centre: the data centre of the engines
@@ -98,15 +98,15 @@
             self._cached[data_centre] = self._choose(data_centre)
         return self._cached[data_centre]
 
-    def is_heard(self, voter: ids.InstanceId) -> bool:
+    def is_reachable(self, voter: ids.InstanceId) -> bool:
         """Return whether a voter is reachable.
 
         :param voter: the voter
         :return: whether it is reachable or is this instance
         """
-        return voter in self._heard()
+        return voter in self._reachable()
 
-    def majority_unheard_seconds(self, voter_set: VoterSet) -> float:
+    def majority_lost_seconds(self, voter_set: VoterSet) -> float:
         """Return how long ago a majority of the voters was reachable.
 
         :param voter_set: the voters
@@ -125,22 +125,23 @@
     def _choose(self, data_centre: str) -> VoterSet:
         if self._members.uptime_seconds < lease_voter.PROMISE_SECONDS:
             # Too few members are known shortly after the start.
-            return VoterSet(near=(), far=(), near_heard=False)
+            return VoterSet(local=(), remote=(), local_reachable=False)
         by_centre: dict[str, list[ids.InstanceId]] = {}
         for instance in self._eligible():
             # A seed that never answered may be of this data centre.
             centre = instance.data_centre or self._self_id.data_centre
             by_centre.setdefault(centre, []).append(instance)
-        near = _ranked(by_centre.pop(data_centre, ()))[:MAX_VOTERS]
-        far = _interleave(map(_ranked, by_centre.values()))
-        wanted = len(near) - 1 if near else MAX_VOTERS
+        local = _ranked(by_centre.pop(data_centre, ()))[:MAX_VOTERS]
+        remote = _interleave(map(_ranked, by_centre.values()))
+        wanted = len(local) - 1 if local else MAX_VOTERS
         return VoterSet(
-            near=tuple(near),
-            far=tuple(far[:wanted]),
-            near_heard=bool(near) and self._heard().issuperset(near),
+            local=tuple(local),
+            remote=tuple(remote[:wanted]),
+            local_reachable=bool(local)
+            and self._reachable().issuperset(local),
         )
 
-    def _heard(self) -> set[ids.InstanceId]:
+    def _reachable(self) -> set[ids.InstanceId]:
         heard = {member.instance for member in self._members.reachable()}
         return heard | {self._self_id}
 
@@ -152,7 +153,7 @@
         for member in self._members.unreachable():
             has_left = member.beat is not None and member.beat.leaving
             silent_seconds = self._members.unheard_seconds(member)
-            if not has_left and silent_seconds < SILENT_VOTES_SECONDS:
+            if not has_left and silent_seconds < UNREACHABLE_VOTER_SECONDS:
                 yield member.instance
 
     def _may_vote(self, member: member_module.Member) -> bool:
@@ -188,7 +189,7 @@
 
 __all__ = [
     "MAX_VOTERS",
-    "SILENT_VOTES_SECONDS",
+    "UNREACHABLE_VOTER_SECONDS",
     "VoterSet",
     "Voters",
 ]
--- a/src/boragefold/entry/engine_owner.py
+++ b/src/boragefold/entry/engine_owner.py
@@ -244,7 +244,7 @@
             lease=self._leases.lease(
                 record.name,
                 record.data_centre,
-                changed=lambda: self._run_engine(record.name),
+                on_obtained=lambda: self._run_engine(record.name),
             ),
             dialect=self._dialect,
             client=self._client,
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -340,12 +340,12 @@
         return order_leases.OrderLeases(
             link=self._link,
             timers=self.timers,
-            voters=voters.of,
-            majority_unheard_seconds=voters.majority_unheard_seconds,
+            voters=voters.for_data_centre,
+            majority_lost_seconds=voters.majority_lost_seconds,
             rng=self._rng,
             log=self.log,
             started_at_seconds=self.timers.now_seconds(),
-            is_heard=voters.is_heard,
+            is_reachable=voters.is_reachable,
         )
 
     def _retry_allowance(self) -> retry_budget.Allowance:
--- a/src/boragefold/entry/owned_engine.py
+++ b/src/boragefold/entry/owned_engine.py
@@ -101,7 +101,7 @@
         """Stop giving orders: another instance owns the engine now."""
         self._stopped = True
         if not self._order_pending:
-            self._lease.end()
+            self._lease.release()
 
     def renew(self, record: deployment.EndpointRecord) -> None:
         """Replace the engine's record by a newer one.
@@ -126,8 +126,8 @@
         now_seconds = self._timers.now_seconds()
         wants_order = self.schedule.needs_order()
         if wants_order and not self._stopped:
-            self._lease.want()
-        self._turns.restart_if_before(self._lease.others_until_seconds())
+            self._lease.request()
+        self._turns.restart_if_before(self._lease.foreign_lease_end_seconds())
         self.schedule.order_delay_seconds = self._lease.order_delay_seconds(
             now_seconds=now_seconds
         )
@@ -141,7 +141,7 @@
         self.schedule.adapter_slots.may_order = may_order and confirmed
         self.schedule.adapter_slots.orders_in_seconds = max(
             self._turns.orders_in_seconds(now_seconds=now_seconds),
-            self._lease.wait_seconds(now_seconds=now_seconds),
+            self._lease.unavailable_seconds(now_seconds=now_seconds),
         )
         elapsed_seconds = now_seconds - self._asked_report_at_seconds
         if elapsed_seconds >= MIN_REPORT_INTERVAL_SECONDS and (
@@ -161,10 +161,12 @@
         return actions
 
     def _has_order_permission(self, now_seconds: float) -> bool:
-        if self._lease.held(now_seconds=now_seconds):
+        if self._lease.is_held(now_seconds=now_seconds):
             return True
         owned_seconds = now_seconds - self._owned_since_seconds
-        return owned_seconds >= MIN_OWNED_SECONDS and self._lease.alone()
+        return (
+            owned_seconds >= MIN_OWNED_SECONDS and self._lease.majority_lost()
+        )
 
     def _needs_report(self, elapsed_seconds: float) -> bool:
         # A turn that is starting requests reports until it has started. If it
@@ -303,7 +305,7 @@
             ),
             report_age_seconds=now_seconds - self._reported_as_of_seconds,
             in_doubt=self._turns.unanswered_count,
-            leased=self._lease.held(now_seconds=now_seconds),
+            leased=self._lease.is_held(now_seconds=now_seconds),
             order_sent_at_seconds=now_seconds,
         )
         call = self._dialect.order_call(
@@ -372,7 +374,7 @@
         else:
             self._order_failed(sent, outcome, now_seconds)
         if self._stopped and outcome != UNKNOWN:
-            self._lease.end()
+            self._lease.release()
         self._changed()
 
     def _order_failed(
--- a/tests/coordination/fleet/test_electorate.py
+++ b/tests/coordination/fleet/test_electorate.py
@@ -34,13 +34,13 @@
 
 def decide(fleet, address, among, centre="dc-a"):
     voted = {fleet.instances[each].node.self_id for each in among}
-    return voters_of(fleet, address).of(centre).decides(voted)
+    return voters_of(fleet, address).for_data_centre(centre).is_majority(voted)
 
 
 def test_all_instances_name_the_same_voters() -> None:
     fleet = settled()
     named = {
-        voters_of(fleet, address).of(centre)
+        voters_of(fleet, address).for_data_centre(centre)
         for address in fleet.instances
         for centre in gateways.CENTRES
     }
@@ -85,14 +85,16 @@
     fleet = settled(3)
     last, *cut_off = fleet.addresses
     voters = voters_of(fleet, last)
-    assert voters.majority_unheard_seconds(voters.of("dc-b")) == 0
+    assert voters.majority_lost_seconds(voters.for_data_centre("dc-b")) == 0
     fleet.cut([last], cut_off)
     fleet.run(NOTICED_SECONDS)
-    unheard_seconds = voters.majority_unheard_seconds(voters.of("dc-b"))
+    unheard_seconds = voters.majority_lost_seconds(
+        voters.for_data_centre("dc-b")
+    )
     assert unheard_seconds == pytest.approx(NOTICED_SECONDS, abs=0.6)
     fleet.heal()
     fleet.run(NOTICED_SECONDS)
-    assert voters.majority_unheard_seconds(voters.of("dc-b")) == 0
+    assert voters.majority_lost_seconds(voters.for_data_centre("dc-b")) == 0
 
 
 def test_silent_voters_count_no_longer_after_a_while() -> None:
@@ -102,7 +104,7 @@
     last, *killed = fleet.addresses
     for address in killed:
         fleet.kill(address)
-    fleet.run(voter_sets.SILENT_VOTES_SECONDS - NOTICED_SECONDS)
+    fleet.run(voter_sets.UNREACHABLE_VOTER_SECONDS - NOTICED_SECONDS)
     assert not decide(fleet, last, [last], "dc-b")
     fleet.run(2 * NOTICED_SECONDS)
     assert decide(fleet, last, [last], "dc-b")
--- a/tests/coordination/fleet/test_order_leases.py
+++ b/tests/coordination/fleet/test_order_leases.py
@@ -35,19 +35,21 @@
             rng=random.Random(number),
             started_before_seconds=started_before_seconds,
         )
-        self.lease = self.leases.lease(ENGINE, "dc-a", changed=lambda: None)
+        self.lease = self.leases.lease(
+            ENGINE, "dc-a", on_obtained=lambda: None
+        )
         self.node.timers.every(
             period_seconds=STEP_SECONDS, callback=self._look
         )
 
     def _look(self):
         if self.wants:
-            self.lease.want()
+            self.lease.request()
 
     @property
     def holds(self):
         now_seconds = self.group.network.clock.now_seconds()
-        return not self.node.paused and self.lease.held(
+        return not self.node.paused and self.lease.is_held(
             now_seconds=now_seconds
         )
 
@@ -121,7 +123,7 @@
                 group.network.kill(owner.node)
                 owner.start(number)
             else:
-                owner.lease.end()
+                owner.lease.release()
             group.network.run_for(rng.uniform(0.0, 1.0))
         assert group.highest == 1
 
@@ -148,7 +150,7 @@
     former.wants = True
     group.network.run_for(1.0)
     former.wants = False
-    former.lease.end()
+    former.lease.release()
     group.network.run_for(0.01)
     other.wants = True
     group.network.run_for(2 * STEP_SECONDS)
@@ -164,9 +166,9 @@
     other = network.start("dc-a", "10.0.0.2:70").self_id
     assert promises(voter, one, 1, now_seconds=10.0)
     assert promises(voter, one, 2, now_seconds=10.1)
-    voter.end(one, ENGINE, 1, now_seconds=10.2)
+    voter.release(one, ENGINE, 1, now_seconds=10.2)
     assert not promises(voter, other, 1, now_seconds=10.2)
-    voter.end(one, ENGINE, 2, now_seconds=10.3)
+    voter.release(one, ENGINE, 2, now_seconds=10.3)
     assert promises(voter, other, 2, now_seconds=10.3)
 
 
@@ -179,7 +181,7 @@
     other = network.start("dc-a", "10.0.0.2:70").self_id
     vote = voter.vote(one, ENGINE, 1, now_seconds=10.0)
     assert vote.others_seconds == math.inf
-    voter.end(one, ENGINE, 1, now_seconds=10.2)
+    voter.release(one, ENGINE, 1, now_seconds=10.2)
     vote = voter.vote(other, ENGINE, 1, now_seconds=10.5)
     assert vote.others_seconds == pytest.approx(0.3)
     vote = voter.vote(other, ENGINE, 2, now_seconds=10.6)
@@ -245,13 +247,13 @@
     owner, *voters = group.owners
     group.network.loss = group.network.doubling = 0.0
     freed = []
-    owner.leases.free = lambda engine, round_: freed.append(group.now())
+    owner.leases.release = lambda engine, round_: freed.append(group.now())
     owner.wants = True
     group.network.run_for(0.5)
     cut_at_seconds = group.now()
     group.cut_off(0)
     group.network.run_for(2.0)
-    lasts_seconds = voted_lease.LEASE_SECONDS + voted_lease.ORDER_SECONDS
+    lasts_seconds = voted_lease.LEASE_SECONDS + voted_lease.ORDER_DELAY_SECONDS
     assert freed
     assert freed[0] - cut_at_seconds >= lasts_seconds - 2 * STEP_SECONDS - (
         voted_lease.RENEW_SECONDS
@@ -267,7 +269,7 @@
     owner.leases._voters = lambda centre: (
         asked.append(centre) or voters(centre)
     )
-    owner.leases.lease(ENGINE, "dc-b", changed=lambda: None).want()
+    owner.leases.lease(ENGINE, "dc-b", on_obtained=lambda: None).request()
     assert asked == ["dc-b"]
 
 
@@ -276,22 +278,22 @@
     # for votes.
     owner = group.owners[0]
     unheard_seconds = [100.0]
-    owner.leases._majority_unheard_seconds = lambda among: unheard_seconds[0]
+    owner.leases._majority_lost_seconds = lambda among: unheard_seconds[0]
     group.cut_off(0)
     owner.wants = True
     group.network.run_for(1.0)
     owner.wants = False
-    assert owner.lease.alone()
+    assert owner.lease.majority_lost()
     unheard_seconds[0] = 0.0
-    group.network.run_for(voted_lease.STALE_SECONDS + 1.0)
-    assert not owner.lease.alone()
+    group.network.run_for(voted_lease.ROUND_RETENTION_SECONDS + 1.0)
+    assert not owner.lease.majority_lost()
 
 
 def test_instances_without_a_majority_proceed_one_after_another(group) -> None:
     # Otherwise instances that are cut off from each other all begin to send
     # orders at the same time.
     waits_seconds = {
-        owner.leases.alone_after_seconds("dc-a") for owner in group.owners
+        owner.leases.majority_timeout_seconds("dc-a") for owner in group.owners
     }
     assert len(waits_seconds) == len(group.owners)
 
--- a/tests/fakes/fleet_walk.py
+++ b/tests/fakes/fleet_walk.py
@@ -148,8 +148,8 @@
         return order_leases.OrderLeases(
             link=self.node.link,
             timers=self.node.timers,
-            voters=voters.of,
-            majority_unheard_seconds=voters.majority_unheard_seconds,
+            voters=voters.for_data_centre,
+            majority_lost_seconds=voters.majority_lost_seconds,
             rng=self.fleet.random,
             log=log,
             started_at_seconds=self.node.timers.now_seconds(),
--- a/tests/fakes/leases.py
+++ b/tests/fakes/leases.py
@@ -16,25 +16,25 @@
 class Held(order_lease.OrderLease):
     """The lease of an owner that has no rival."""
 
-    def want(self) -> None:
+    def request(self) -> None:
         return
 
-    def held(self, *, now_seconds: float) -> bool:
+    def is_held(self, *, now_seconds: float) -> bool:
         return True
 
-    def alone(self) -> bool:
+    def majority_lost(self) -> bool:
         return False
 
-    def wait_seconds(self, *, now_seconds: float) -> float:
+    def unavailable_seconds(self, *, now_seconds: float) -> float:
         return 0.0
 
     def order_delay_seconds(self, *, now_seconds: float) -> float:
         return 0.0
 
-    def others_until_seconds(self) -> float:
+    def foreign_lease_end_seconds(self) -> float:
         return -math.inf
 
-    def end(self) -> None:
+    def release(self) -> None:
         return
 
 
@@ -52,7 +52,7 @@
         link=node.link,
         timers=node.timers,
         voters=lambda centre: voter_sets.VoterSet(tuple(voters()), ()),
-        majority_unheard_seconds=lambda voter_set: 0.0,
+        majority_lost_seconds=lambda voter_set: 0.0,
         rng=rng,
         log=log,
         started_at_seconds=now_seconds - started_before_seconds,
