--- a/src/boragefold/entry/chat_assembly.py
+++ b/src/boragefold/entry/chat_assembly.py
@@ -38,7 +38,7 @@
     def __init__(self, *, rights: rights_module.Rights) -> None:
         self._rights = rights
         self.orders: order_service.OrderService | None = None
-        self.reports: load_poller.LoadPoller | None = None
+        self.poller: load_poller.LoadPoller | None = None
 
     @property
     def incarnation(self) -> str:
@@ -53,9 +53,9 @@
 
         :return: names of the endpoints
         """
-        if self.reports is None:
+        if self.poller is None:
             return ()
-        return frozenset(filter(self._is_ready, self.reports.names()))
+        return frozenset(filter(self._is_ready, self.poller.local_endpoints()))
 
     def holder(self, endpoint: str) -> str | None:
         """Return the instance that sends orders to an endpoint.
@@ -63,7 +63,7 @@
         :param endpoint: name of the endpoint
         :return: incarnation of the instance, or None if it is unknown
         """
-        record = self.reports and self.reports.record(endpoint)
+        record = self.poller and self.poller.record(endpoint)
         if not record:
             return None
         view = self._rights.directory().get(record.data_centre)
@@ -110,15 +110,15 @@
             timers=timers,
             counters=counters,
             stories=stories,
-            send_digest=lambda tell: self.digests.tell(tell),
+            send_digest=lambda message: self.digests.send_digest(message),
             sender=chat_sender.ChatSender(
                 timers=timers,
                 counters=counters,
-                address_of=lambda name: self.reports.address_of(name),
+                address_of=lambda name: self.poller.address_of(name),
                 queue=self._use_queue,
             ),
         )
-        self.reports = load_poller.LoadPoller(
+        self.poller = load_poller.LoadPoller(
             catalogue=cluster.catalogue,
             data_centre=link.self_id.data_centre,
             endpoints=endpoints,
@@ -126,24 +126,24 @@
             client=client,
             timers=timers,
             counters=counters,
-            sampled=self._on_sample,
-            changed=self.controller.run,
+            on_sample=self._on_sample,
+            on_changed=self.controller.run,
         )
         self.digests = work_digests.WorkDigests(
             link=link,
-            others=cluster.others,
-            neighbours=cluster.view_members,
+            peers=cluster.others,
+            view_members=cluster.view_members,
             events=self._dispatcher.fleet,
             timers=timers,
-            changed=self.controller.run,
+            on_changed=self.controller.run,
         )
         executor = load_executor.LoadExecutor(
             orders=lambda: self.orders,
             events=self._dispatcher.fleet,
             timers=timers,
             counters=counters,
-            loaded=self.digests.tell_loaded,
-            changed=self.controller.run,
+            on_loaded=self.digests.announce_loaded,
+            on_changed=self.controller.run,
         )
         self.controller.order_executor = executor
         self.orders = order_service.OrderService(
@@ -152,17 +152,17 @@
             timers=timers,
             counters=counters,
             sender=order_client.HttpOrderSender(
-                client=client, address_of=self.reports.address_of
+                client=client, address_of=self.poller.address_of
             ),
             on_outcome=executor.on_order_finished,
         )
         rights.orders = self.orders
-        rights.reports = self.reports
+        rights.poller = self.poller
         self._subscribe()
 
     def start(self) -> None:
         """Start to poll the endpoints for load reports."""
-        self.reports.start()
+        self.poller.start()
 
     def _subscribe(self) -> None:
         cluster = self._cluster
@@ -180,8 +180,8 @@
             self._refresh()
 
     def _refresh(self) -> None:
-        self.reports.refresh()
-        self.orders.update_endpoints(self.reports.documents())
+        self.poller.apply_records()
+        self.orders.update_endpoints(self.poller.documents())
 
     def _on_sample(
         self,
--- a/src/boragefold/entry/engine_dialect.py
+++ b/src/boragefold/entry/engine_dialect.py
@@ -25,12 +25,12 @@
     """Outcome of an order.
 
     ``DONE`` and ``ACCEPTED`` increase the engine's order count;
-    ``HELD_ALREADY``, the response to a load that was not needed, does not.
+    ``ALREADY_LOADED``, the response to a load that was not needed, does not.
     """
 
     DONE = "done"
     ACCEPTED = "accepted"
-    HELD_ALREADY = "held_already"
+    ALREADY_LOADED = "held_already"
     COUNT_DIFFERS = "count_differs"
     REFUSED = "refused"
 
--- a/src/boragefold/entry/engine_forwarding.py
+++ b/src/boragefold/entry/engine_forwarding.py
@@ -42,15 +42,15 @@
         admitted: request_context.AdmittedRequest,
         exchange: http_server.Exchange,
         shared: request_context.RequestContext,
-        asker: owner_client.OwnerClient,
+        client: owner_client.OwnerClient,
         owner: engine_owner.EngineOwner,
-        needs: deployment.AdapterKey,
+        adapter: deployment.AdapterKey,
         self_id: ids.InstanceId,
     ) -> None:
         super().__init__(admitted=admitted, exchange=exchange, shared=shared)
-        self._asker = asker
+        self._owner_client = client
         self._owner = owner
-        self._needs = needs
+        self._adapter = adapter
         self._self_id = self_id
         self._tried: list[str] = []
         self._queue_seconds: dict[str, float] = {}
@@ -96,7 +96,7 @@
         route = self.admitted.route
         return len(set(self._sent_to)) < route.max_attempts
 
-    def granted(
+    def on_granted(
         self, engine: str, version: int, waits: engine_decisions.QueueTimes
     ) -> None:
         """Send the request, unless the engine is being removed by now.
@@ -117,7 +117,7 @@
             self._queue_seconds.clear()
             self.send(record, version)
 
-    def turned_away(
+    def on_refused(
         self,
         engine: str,
         reason: str,
@@ -167,7 +167,9 @@
 
     def on_answer_started(self) -> None:
         """Tell the engine's owner that the response has started."""
-        self._asker.started(self.admitted.request.request_id, self._engine)
+        self._owner_client.report_start(
+            self.admitted.request.request_id, self._engine
+        )
 
     def on_attempt_rejected(
         self, endpoint: str, facts: dialects.AnswerFacts
@@ -199,8 +201,8 @@
         may_fail_fast = len(self._queue_seconds) < MAX_FAIL_FAST_TRIES
         if not may_fail_fast or len(self._tried) >= MAX_TRIES:
             return None
-        ranked = self._asker.ranked(
-            self.admitted.service.name, self._needs, self._owner.statuses()
+        ranked = self._owner_client.rank(
+            self.admitted.service.name, self._adapter, self._owner.statuses()
         )
         return next(
             (
@@ -215,7 +217,7 @@
     def _request_engine(self, engine: str, *, eager: bool) -> None:
         self._engine = engine
         self._tried.append(engine)
-        self._asker.ask(self, self._make_request(eager), engine)
+        self._owner_client.request(self, self._make_request(eager), engine)
 
     def _start_deadline_seconds(self) -> float:
         admitted = self.admitted
@@ -235,7 +237,7 @@
         return engine_decisions.EngineRequest(
             request_id=admitted.request.request_id,
             sender=self._self_id,
-            adapter=self._needs,
+            adapter=self._adapter,
             prompt_tokens=admitted.request.prompt_tokens,
             output_tokens=admitted.request.output_tokens,
             priority=priority,
@@ -271,7 +273,7 @@
         if not self._engine:
             return
         engine, self._engine = self._engine, ""
-        self._asker.ended(
+        self._owner_client.report_end(
             self.admitted.request.request_id, engine, not_held=not_held
         )
 
--- a/src/boragefold/entry/engine_owner.py
+++ b/src/boragefold/entry/engine_owner.py
@@ -30,7 +30,7 @@
 # report requests.
 GIVE_UP_SECONDS = 2.0
 # An instance that gave up an engine leaves it to others for this time.
-AVOID_SECONDS = 8.0
+RELEASE_SECONDS = 8.0
 # Smaller differences change no choice but would be sent with each message.
 STATUS_STEP_SECONDS = 0.02
 
@@ -51,7 +51,7 @@
         lease_seconds: float,
         issuer: int,
         leases: order_leases.OrderLeases,
-        loads_elsewhere: Callable[[], int],
+        count_other_loads: Callable[[], int],
         owner_change: Callable[
             [deployment.EndpointRecord], owner_changes.OwnerChange
         ],
@@ -68,7 +68,7 @@
         :param lease_seconds: minimum time between orders of two instances
         :param issuer: this instance's own number in fencing numbers
         :param leases: required for giving orders
-        :param loads_elsewhere: number of loads under way on engines of other
+        :param count_other_loads: number of loads under way on engines of other
             owners
         :param owner_change: explains why this instance started or stopped
             owning an engine
@@ -84,28 +84,28 @@
         self._issuer = issuer
         self._leases = leases
         self._started_at_seconds = timers.now_seconds()
-        self._count_loads_elsewhere = loads_elsewhere
+        self._count_other_loads = count_other_loads
         self._owner_change = owner_change
-        # Both are updated once per call of hold: computing them for each
+        # Both are updated once per call of set_owned: computing them for each
         # decision costs more than the decision if there are many engines.
-        self._loads_elsewhere = 0
+        self._other_loads = 0
         self._engines = 0
         self._owned: dict[str, owned_engine.OwnedEngine] = {}
         # Kept after ownership ends: an instance that owns an engine again
         # must detect that others gave it orders in the meantime.
         self._turns: dict[str, order_turns.OrderTurns] = {}
-        self._avoided_until_seconds: dict[str, float] = {}
+        self._released_until_seconds: dict[str, float] = {}
         self._next_run: timing.Subscription | None = None
         link.subscribe(messages.EngineAsk, self._on_ask)
         link.subscribe(messages.RunStarted, self._on_started)
         link.subscribe(messages.RunEnded, self._on_ended)
 
-    def hold(self, records: Iterable[deployment.EndpointRecord]) -> None:
+    def set_owned(self, records: Iterable[deployment.EndpointRecord]) -> None:
         """Schedule exactly these engines from now on.
 
         :param records: the engines that this instance owns
         """
-        self._loads_elsewhere = self._count_loads_elsewhere()
+        self._other_loads = self._count_other_loads()
         self._engines = sum(1 for _ in self._fleet.engines())
         wanted = {record.name: record for record in records}
         for name in self._owned.keys() - wanted.keys():
@@ -117,10 +117,10 @@
             if owned is None:
                 self._start_owning(record)
             elif owned.record != record:
-                owned.renew(record)
+                owned.update_record(record)
         self.run()
 
-    def avoids(self, engine: str) -> bool:
+    def should_release(self, engine: str) -> bool:
         """Check whether an engine should have another owner.
 
         Only the owner may be cut off from an engine. As long as it stays the
@@ -132,17 +132,22 @@
         """
         now_seconds = self._timers.now_seconds()
         owned = self._owned.get(engine)
-        if owned is not None and owned.silent_seconds() > GIVE_UP_SECONDS:
-            until_seconds = now_seconds + AVOID_SECONDS
-            self._avoided_until_seconds[engine] = until_seconds
-        return self._avoided_until_seconds.get(engine, 0.0) > now_seconds
-
-    def avoided(self) -> tuple[str, ...]:
+        if (
+            owned is not None
+            and owned.seconds_without_report() > GIVE_UP_SECONDS
+        ):
+            until_seconds = now_seconds + RELEASE_SECONDS
+            self._released_until_seconds[engine] = until_seconds
+        return self._released_until_seconds.get(engine, 0.0) > now_seconds
+
+    def engines_to_release(self) -> tuple[str, ...]:
         """List the engines that should have another owner.
 
         :return: their names
         """
-        return tuple(filter(self.avoids, list(self._avoided_until_seconds)))
+        return tuple(
+            filter(self.should_release, list(self._released_until_seconds))
+        )
 
     def statuses(self) -> tuple[messages.EngineStatus, ...]:
         """Describe the owned engines for other instances.
@@ -152,12 +157,12 @@
         now_seconds = self._timers.now_seconds()
         return tuple(
             _status(name, engine.schedule, now_seconds)._replace(
-                answers=engine.answers
+                answers=engine.is_responsive
             )
             for name, engine in self._owned.items()
         )
 
-    def peer_gone(self, peer: ids.InstanceId) -> None:
+    def remove_peer(self, peer: ids.InstanceId) -> None:
         """Remove the requests of an incarnation that has ended.
 
         :param peer: the incarnation
@@ -251,7 +256,7 @@
             timers=self._timers,
             counters=self._counters,
             log=self._log,
-            changed=lambda: self._run_engine(record.name),
+            on_changed=lambda: self._run_engine(record.name),
         )
 
     def _loads_on_other_engines(self, name: str) -> int:
@@ -261,13 +266,13 @@
             for other, engine in self._owned.items()
             if other != name
         )
-        return own + self._loads_elsewhere
+        return own + self._other_loads
 
     def _on_ask(
         self, sender: ids.InstanceId, body: messages.EngineAsk
     ) -> None:
         ask = self._parse_ask(sender, body)
-        if body.unanswered == owner_client.RECONNECT_UNANSWERED:
+        if body.unanswered == owner_client.RECONNECT_AFTER_RETRIES:
             # The reply didn't arrive: the connection only looks open.
             self._link.reconnect(sender)
         owned = self._owned.get(body.engine)
@@ -312,7 +317,7 @@
             body.request_id, now_seconds=self._timers.now_seconds()
         )
         if body.not_held and granted is not None:
-            owned.refused(granted.request.adapter)
+            owned.record_missing(granted.request.adapter)
         self._run_engine(body.engine)
 
     def _reply(self, engine: str, action: engine_decisions.Action) -> None:
--- a/src/boragefold/entry/engine_views.py
+++ b/src/boragefold/entry/engine_views.py
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self._cached: dict[str, CachedView] = {}
 
-    def see(
+    def view_of(
         self,
         record: deployment.EndpointRecord,
         status: messages.EngineStatus | None,
--- a/src/boragefold/entry/gateway.py
+++ b/src/boragefold/entry/gateway.py
@@ -32,7 +32,7 @@
         *,
         shared: request_context.RequestContext,
         members: members_module.Members,
-        asker: owner_client.OwnerClient,
+        client: owner_client.OwnerClient,
         owner: engine_owner.EngineOwner,
         self_id: ids.InstanceId,
         rng: random.Random,
@@ -41,14 +41,14 @@
 
         :param shared: objects that all requests use
         :param members: the other instances
-        :param asker: asks the engines' owners for an engine
+        :param client: asks the engines' owners for an engine
         :param owner: manages the engines that this instance owns
         :param self_id: id of this instance
         :param rng: chooses among a route's services by weight
         """
         self._shared = shared
         self._members = members
-        self._asker = asker
+        self._owner_client = client
         self._owner = owner
         self._self_id = self_id
         self._rng = rng
@@ -132,8 +132,8 @@
         admitted: request_context.AdmittedRequest,
         exchange: http_server.Exchange,
     ) -> None:
-        needs = admitted.request.needs
-        if admitted.service.engine is None or needs is None:
+        adapter = admitted.request.needs
+        if admitted.service.engine is None or adapter is None:
             service_forwarding.ServiceForwarding(
                 admitted=admitted, exchange=exchange, shared=self._shared
             ).begin()
@@ -142,9 +142,9 @@
             admitted=admitted,
             exchange=exchange,
             shared=self._shared,
-            asker=self._asker,
+            client=self._owner_client,
             owner=self._owner,
-            needs=needs,
+            adapter=adapter,
             self_id=self._self_id,
         ).begin()
 
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -163,10 +163,10 @@
             self_id=self._link.self_id,
             members=self._members,
             leaving=lambda: self.shutdown.has_begun,
-            avoids=lambda engine: self._owner.avoids(engine),
+            avoids=lambda engine: self._owner.should_release(engine),
         )
         self._owner = self._make_owner(engines)
-        self._asker = owner_client.OwnerClient(
+        self._owner_client = owner_client.OwnerClient(
             link=self._link,
             members=self._members,
             ownership=self._ownership,
@@ -219,7 +219,7 @@
         self._reloading.start()
         self._members.subscribe(
             on_beat=self._relay.on_beat,
-            on_gone=self._owner.peer_gone,
+            on_gone=self._owner.remove_peer,
             on_silent=self._fleet_log.record_silence,
         )
         self._fleet.subscribe(self._fleet_log.log_changes)
@@ -261,7 +261,7 @@
             leaving=self.shutdown.has_begun,
             told=dict(self._items.told),
             engines=self._owner.statuses(),
-            avoids=self._owner.avoided(),
+            avoids=self._owner.engines_to_release(),
             link_megabits=self.settings.link_megabits,
             store_sound=self._followers.is_store_sound(),
             store_lost=self._followers.any_lost(),
@@ -276,9 +276,9 @@
         self._ownership.refresh(engines.values())
         self._fleet_log.log_silence()
         claimed = self._ownership.claimed
-        self._owner.hold(engines[name] for name in claimed)
+        self._owner.set_owned(engines[name] for name in claimed)
         self._heartbeats.refresh()
-        self._asker.look_after()
+        self._owner_client.retry_pending()
 
     def _limits(self) -> deployment.CallerLimits | None:
         current = self._fleet.deployment
@@ -329,7 +329,7 @@
                 address=settings.peer_listen,
             ),
             leases=self._make_leases(),
-            loads_elsewhere=self._loads_elsewhere,
+            count_other_loads=self._count_other_loads,
             owner_change=self._ownership.change,
         )
 
@@ -353,7 +353,7 @@
             self.settings.retry_limit, 1 + len(self._members.instances())
         )
 
-    def _loads_elsewhere(self) -> int:
+    def _count_other_loads(self) -> int:
         return sum(
             engine.loading
             for beat in self._members.beats()
@@ -378,7 +378,7 @@
         return gateway.Gateway(
             shared=shared,
             members=self._members,
-            asker=self._asker,
+            client=self._owner_client,
             owner=self._owner,
             self_id=self._link.self_id,
             rng=self._rng,
--- a/src/boragefold/entry/load_executor.py
+++ b/src/boragefold/entry/load_executor.py
@@ -29,15 +29,15 @@
         events: fleet_events.FleetEvents,
         timers: timing.TimerService,
         counters: telemetry.Counters,
-        loaded: Callable[[str, works.AdapterVersion], None],
-        changed: Callable[[], None],
+        on_loaded: Callable[[str, works.AdapterVersion], None],
+        on_changed: Callable[[], None],
     ) -> None:
         self._orders = orders
         self._events = events
         self._timers = timers
         self._counters = counters
-        self._loaded = loaded
-        self._changed = changed
+        self._on_loaded = on_loaded
+        self._on_changed = on_changed
         self._evicting: dict[tuple[str, works.AdapterVersion], loads.Load] = {}
         self._loading: dict[tuple[str, works.AdapterVersion], loads.Load] = {}
 
@@ -145,8 +145,8 @@
         self._events.load_succeeded(
             load, now_seconds=self._timers.now_seconds()
         )
-        self._loaded(load.endpoint, load.adapter)
-        self._changed()
+        self._on_loaded(load.endpoint, load.adapter)
+        self._on_changed()
 
     def _schedule_failure(self, load: loads.Load, reason: str) -> None:
         # Deferred: the caller may be in the middle of giving orders.
@@ -157,7 +157,7 @@
 
     def _report_failure(self, load: loads.Load) -> None:
         self._events.load_failed(load, now_seconds=self._timers.now_seconds())
-        self._changed()
+        self._on_changed()
 
 
 __all__ = [
--- a/src/boragefold/entry/load_poller.py
+++ b/src/boragefold/entry/load_poller.py
@@ -64,8 +64,8 @@
         client: http_client.HttpClient,
         timers: timing.TimerService,
         counters: telemetry.Counters,
-        sampled: SampleCallback,
-        changed: Callable[[], None],
+        on_sample: SampleCallback,
+        on_changed: Callable[[], None],
     ) -> None:
         self._catalogue = catalogue
         self._data_centre = data_centre
@@ -74,8 +74,8 @@
         self._client = client
         self._timers = timers
         self._counters = counters
-        self._sampled = sampled
-        self._changed = changed
+        self._on_sample = on_sample
+        self._on_changed = on_changed
         self._records: dict[str, published.EndpointRecord] = {}
         self._specs: dict[str, endpoint_spec.EndpointSpec] = {}
         self._unpolled: list[str] = []
@@ -101,7 +101,7 @@
         """
         return self._records.get(endpoint)
 
-    def names(self) -> list[str]:
+    def local_endpoints(self) -> list[str]:
         """List the endpoints of this instance's data centre.
 
         :return: their names
@@ -132,10 +132,12 @@
             )
         return listed
 
-    def refresh(self) -> None:
+    def apply_records(self) -> None:
         """Apply the published records of all endpoints."""
         self._records = {
-            qualified(record): record._replace(name=qualified(record))
+            qualified_name(record): record._replace(
+                name=qualified_name(record)
+            )
             for record in self._catalogue.endpoints
         }
         old_specs = self._specs
@@ -147,7 +149,7 @@
         for name, spec in self._specs.items():
             if old_specs.get(name) != spec:
                 self._endpoints.put(spec)
-        self._changed()
+        self._on_changed()
 
     def _spec(
         self, record: published.EndpointRecord
@@ -223,7 +225,7 @@
             works.AdapterVersion(record.model, adapter, version): count
             for adapter, version, count in report.resident
         }
-        self._sampled(record.name, report, running, polled_at_seconds)
+        self._on_sample(record.name, report, running, polled_at_seconds)
         self._events.report(
             endpoint_spec.LoadReport(
                 endpoint=record.name,
@@ -236,10 +238,10 @@
                 resident=tuple(running),
             )
         )
-        self._changed()
+        self._on_changed()
 
 
-def qualified(record: published.EndpointRecord) -> str:
+def qualified_name(record: published.EndpointRecord) -> str:
     """Build the name of an endpoint that is unique among all endpoints.
 
     :param record: as published
@@ -252,5 +254,5 @@
 
 __all__ = [
     "LoadPoller",
-    "qualified",
+    "qualified_name",
 ]
--- a/src/boragefold/entry/owned_engine.py
+++ b/src/boragefold/entry/owned_engine.py
@@ -60,7 +60,7 @@
         timers: timing.TimerService,
         counters: telemetry.Counters,
         log: decision_log.DecisionLog,
-        changed: Callable[[], None],
+        on_changed: Callable[[], None],
     ) -> None:
         self.record = record
         self.schedule = schedule
@@ -72,7 +72,7 @@
         self._timers = timers
         self._counters = counters
         self._log = log
-        self._changed = changed
+        self._on_changed = on_changed
         self._report_pending = False
         self._asked_report_at_seconds = -math.inf
         # When the newest known report was requested.
@@ -82,18 +82,18 @@
         self._stopped = False
         # Whether the last request for a report succeeded. An owner that is
         # cut off believes that it owns engines which it can't reach.
-        self.answers = False
+        self.is_responsive = False
         self._owned_since_seconds = timers.now_seconds()
         self._unreachable_since_seconds = self._owned_since_seconds
         turns.begin()
-        self.ask_report()
+        self.request_report()
 
-    def silent_seconds(self) -> float:
+    def seconds_without_report(self) -> float:
         """Compute how long requests for a report have failed.
 
         :return: seconds; 0 if the last one succeeded
         """
-        if self.answers:
+        if self.is_responsive:
             return 0.0
         return self._timers.now_seconds() - self._unreachable_since_seconds
 
@@ -103,7 +103,7 @@
         if not self._order_pending:
             self._lease.release()
 
-    def renew(self, record: deployment.EndpointRecord) -> None:
+    def update_record(self, record: deployment.EndpointRecord) -> None:
         """Replace the engine's record by a newer one.
 
         :param record: the record
@@ -116,7 +116,7 @@
             self.schedule.adapter_slots.apply_report(
                 {}, {}, now_seconds=self._timers.now_seconds(), busy=True
             )
-            self.ask_report()
+            self.request_report()
 
     def advance(self) -> list[engine_decisions.Action]:
         """Decide what to do now, and give the order that is due.
@@ -151,7 +151,7 @@
             or (may_order and not confirmed and wants_order)
             or self._needs_report(elapsed_seconds)
         ):
-            self.ask_report()
+            self.request_report()
         actions = self.schedule.advance(now_seconds=now_seconds)
         for action in actions:
             if isinstance(
@@ -174,7 +174,7 @@
         intervals = elapsed_seconds / REPORT_INTERVAL_SECONDS
         return intervals >= 2 and not self._turns.begun
 
-    def refused(self, key: deployment.AdapterKey) -> None:
+    def record_missing(self, key: deployment.AdapterKey) -> None:
         """Record that the engine rejected a request for a missing adapter.
 
         :param key: the adapter or model
@@ -183,9 +183,9 @@
         self.schedule.adapter_slots.record_missing(
             key, now_seconds=now_seconds
         )
-        self.ask_report()
+        self.request_report()
 
-    def ask_report(self) -> None:
+    def request_report(self) -> None:
         """Request the engine's report of loaded adapters and order count."""
         self._cancel_next_report()
         if self._report_pending or self._stopped:
@@ -205,8 +205,8 @@
             if isinstance(answer, http_client.Failure)
             else self._dialect.read_report(answer.status, answer.body)
         )
-        self.answers = report is not None
-        if self.answers:
+        self.is_responsive = report is not None
+        if self.is_responsive:
             self._unreachable_since_seconds = self._timers.now_seconds()
         if report is None:
             self._counters.add("engine_reports", "failed")
@@ -247,7 +247,7 @@
             self._counters.add("engine_orders", "other_giver_seen")
         if self._needs_next_report(now_seconds):
             self._schedule_report(REPORT_INTERVAL_SECONDS)
-        self._changed()
+        self._on_changed()
 
     def _apply_report(
         self, report: dialects.AdapterReport, now_seconds: float
@@ -285,7 +285,7 @@
         self._cancel_next_report()
         self._next_report_at_seconds = at_seconds
         self._next_report = self._timers.once(
-            delay_seconds=delay_seconds, callback=self.ask_report
+            delay_seconds=delay_seconds, callback=self.request_report
         )
 
     def _cancel_next_report(self) -> None:
@@ -375,7 +375,7 @@
             self._order_failed(sent, outcome, now_seconds)
         if self._stopped and outcome != UNKNOWN:
             self._lease.release()
-        self._changed()
+        self._on_changed()
 
     def _order_failed(
         self, sent: SentOrder, outcome: str, now_seconds: float
--- a/src/boragefold/entry/owner_client.py
+++ b/src/boragefold/entry/owner_client.py
@@ -28,14 +28,14 @@
 RETRY_SECONDS = 0.5
 # A connection that looks open may be dead; both sides reconnect after this
 # many repetitions without a reply.
-RECONNECT_UNANSWERED = 2
+RECONNECT_AFTER_RETRIES = 2
 
 
 class GrantReceiver(abc.ABC):
     """Receives the owner's reply for a request."""
 
     @abc.abstractmethod
-    def granted(
+    def on_granted(
         self, engine: str, version: int, waits: engine_decisions.QueueTimes
     ) -> None:
         """Run the request now.
@@ -46,7 +46,7 @@
         """
 
     @abc.abstractmethod
-    def turned_away(
+    def on_refused(
         self,
         engine: str,
         reason: str,
@@ -67,8 +67,8 @@
 class PendingRequest:
     """A request to an owner that has no reply yet."""
 
-    asker: GrantReceiver
-    ask: engine_decisions.EngineRequest
+    receiver: GrantReceiver
+    request: engine_decisions.EngineRequest
     engine: str
     owner: ids.InstanceId
     sent_at_seconds: float
@@ -110,31 +110,31 @@
         link.subscribe(messages.EngineRefusal, self._on_refusal)
         link.subscribe(messages.EngineWaits, self._on_waits)
 
-    def ranked(
+    def rank(
         self,
         service: str,
         key: deployment.AdapterKey,
-        own: tuple[messages.EngineStatus, ...],
+        owned: tuple[messages.EngineStatus, ...],
     ) -> list[engine_ranking.EngineView]:
         """Rank the engines of a service for a request.
 
         :param service: the service
         :param key: the adapter that the request needs
-        :param own: status of the engines that this instance owns
+        :param owned: status of the engines that this instance owns
         :return: the best first
         """
-        return engine_ranking.rank(key, self._views(service, own))
+        return engine_ranking.rank(key, self._views(service, owned))
 
-    def ask(
+    def request(
         self,
-        asker: GrantReceiver,
-        ask: engine_decisions.EngineRequest,
+        receiver: GrantReceiver,
+        request: engine_decisions.EngineRequest,
         engine: str,
     ) -> None:
         """Ask an engine's owner whether a request may run there.
 
-        :param asker: receives the reply, never inside this call
-        :param ask: the request
+        :param receiver: receives the reply, never inside this call
+        :param request: the request
         :param engine: where
         """
         owner = self._ownership.owner(engine)
@@ -142,22 +142,22 @@
             # Without an owner, loaded adapters can still be used.
             self._timers.once(
                 delay_seconds=0.0,
-                callback=lambda: asker.granted(
+                callback=lambda: receiver.on_granted(
                     engine, 0, engine_decisions.QueueTimes()
                 ),
             )
             return
         pending = PendingRequest(
-            asker=asker,
-            ask=ask,
+            receiver=receiver,
+            request=request,
             engine=engine,
             owner=owner,
             sent_at_seconds=self._timers.now_seconds(),
         )
-        self._pending[ask.request_id] = pending
+        self._pending[request.request_id] = pending
         self._send(pending)
 
-    def started(self, request_id: str, engine: str) -> None:
+    def report_start(self, request_id: str, engine: str) -> None:
         """Tell an engine's owner that a response has started.
 
         :param request_id: of the request
@@ -168,7 +168,7 @@
             body = messages.RunStarted(request_id, engine)
             self._link.send(to=owner, body=body)
 
-    def ended(
+    def report_end(
         self, request_id: str, engine: str, *, not_held: bool = False
     ) -> None:
         """Tell an engine's owner that a request has ended or was cancelled.
@@ -186,27 +186,27 @@
             body = messages.RunEnded(request_id, engine, not_held)
             self._link.send(to=owner, body=body)
 
-    def look_after(self) -> None:
+    def retry_pending(self) -> None:
         """Repeat unanswered requests, and refuse those of former owners."""
         now_seconds = self._timers.now_seconds()
         for request_id, pending in list(self._pending.items()):
             if self._ownership.owner(pending.engine) != pending.owner:
                 del self._pending[request_id]
-                pending.asker.turned_away(
+                pending.receiver.on_refused(
                     pending.engine, "owner_changed", 0.0, 0.0
                 )
             elif now_seconds - pending.sent_at_seconds > RETRY_SECONDS:
                 pending.sent_at_seconds = now_seconds
                 pending.unanswered += 1
-                if pending.unanswered == RECONNECT_UNANSWERED:
+                if pending.unanswered == RECONNECT_AFTER_RETRIES:
                     self._link.reconnect(pending.owner)
                 self._send(pending)
 
     def _views(
-        self, service: str, own: tuple[messages.EngineStatus, ...]
+        self, service: str, owned: tuple[messages.EngineStatus, ...]
     ) -> Iterator[engine_ranking.EngineView]:
         statuses = self._reported_statuses()
-        statuses.update((status.name, status) for status in own)
+        statuses.update((status.name, status) for status in owned)
         data_centre = self._link.self_id.data_centre
         for record in self._fleet.endpoints_of(service):
             is_local = record.data_centre == data_centre
@@ -214,7 +214,7 @@
             status = statuses.get(record.name)
             if status is not None and not status.answers:
                 continue
-            yield self._engine_views.see(
+            yield self._engine_views.view_of(
                 record, status, is_local=is_local, health=health
             )
 
@@ -229,21 +229,21 @@
 
     def _send(self, pending: PendingRequest) -> None:
         now_seconds = self._timers.now_seconds()
-        ask = pending.ask
+        request = pending.request
         body = messages.EngineAsk(
-            request_id=ask.request_id,
+            request_id=request.request_id,
             engine=pending.engine,
-            model=ask.adapter.model,
-            adapter=ask.adapter.adapter,
-            prompt_tokens=ask.prompt_tokens,
-            output_tokens=ask.output_tokens,
-            priority=ask.priority,
-            on_time_in_seconds=ask.start_deadline_seconds - now_seconds,
-            give_up_in_seconds=ask.queue_deadline_seconds - now_seconds,
-            ends_in_seconds=ask.end_deadline_seconds - now_seconds,
+            model=request.adapter.model,
+            adapter=request.adapter.adapter,
+            prompt_tokens=request.prompt_tokens,
+            output_tokens=request.output_tokens,
+            priority=request.priority,
+            on_time_in_seconds=request.start_deadline_seconds - now_seconds,
+            give_up_in_seconds=request.queue_deadline_seconds - now_seconds,
+            ends_in_seconds=request.end_deadline_seconds - now_seconds,
             unanswered=pending.unanswered,
-            eager=ask.eager,
-            event_gap_seconds=ask.event_gap_seconds,
+            eager=request.eager,
+            event_gap_seconds=request.event_gap_seconds,
         )
         self._link.send(to=pending.owner, body=body)
 
@@ -263,14 +263,14 @@
             load_seconds=body.load_wait_seconds,
             capacity_seconds=body.turn_wait_seconds,
         )
-        pending.asker.granted(body.engine, body.version, waits)
+        pending.receiver.on_granted(body.engine, body.version, waits)
 
     def _on_refusal(
         self, sender: ids.InstanceId, body: messages.EngineRefusal
     ) -> None:
         pending = self._pop_pending(sender, body.request_id, body.engine)
         if pending is not None:
-            pending.asker.turned_away(
+            pending.receiver.on_refused(
                 body.engine,
                 body.reason,
                 body.retry_after_seconds,
--- a/src/boragefold/entry/work_digests.py
+++ b/src/boragefold/entry/work_digests.py
@@ -20,32 +20,32 @@
         self,
         *,
         link: links.PeerLink,
-        others: Callable[[], list[ids.InstanceId]],
-        neighbours: Callable[[], list[ids.InstanceId]],
+        peers: Callable[[], list[ids.InstanceId]],
+        view_members: Callable[[], list[ids.InstanceId]],
         events: fleet_events.FleetEvents,
         timers: timing.TimerService,
-        changed: Callable[[], None],
+        on_changed: Callable[[], None],
     ) -> None:
         self._link = link
-        self._others = others
-        self._neighbours = neighbours
+        self._peers = peers
+        self._view_members = view_members
         self._events = events
         self._timers = timers
-        self._changed = changed
+        self._on_changed = on_changed
         link.subscribe(fleet_messages.WorkDigest, self._on_digest)
         link.subscribe(fleet_messages.AdapterLoaded, self._on_loaded)
 
-    def tell(self, tell: actions.SendDigest) -> None:
+    def send_digest(self, message: actions.SendDigest) -> None:
         """Send a digest to the instance that decides about its content.
 
-        :param tell: the receiver and the digest
+        :param message: the receiver and the digest
         """
-        body = fleet_messages.WorkDigest(tell.digest)
-        for peer in self._others():
-            if peer.incarnation == tell.peer:
+        body = fleet_messages.WorkDigest(message.digest)
+        for peer in self._peers():
+            if peer.incarnation == message.peer:
                 self._link.send(to=peer, body=body)
 
-    def tell_loaded(
+    def announce_loaded(
         self, endpoint: str, adapter: works.AdapterVersion
     ) -> None:
         """Tell this instance's data centre that an endpoint loaded an adapter.
@@ -56,7 +56,7 @@
         :param adapter: the adapter version
         """
         body = fleet_messages.AdapterLoaded(endpoint, adapter)
-        for peer in self._neighbours():
+        for peer in self._view_members():
             self._link.send(to=peer, body=body)
 
     def _on_digest(
@@ -67,7 +67,7 @@
             body.digest,
             now_seconds=self._timers.now_seconds(),
         )
-        self._changed()
+        self._on_changed()
 
     def _on_loaded(
         self, sender: ids.InstanceId, body: fleet_messages.AdapterLoaded
@@ -77,7 +77,7 @@
             body.adapter,
             now_seconds=self._timers.now_seconds(),
         )
-        self._changed()
+        self._on_changed()
 
 
 __all__ = [
--- a/tests/entry/test_engine_orders.py
+++ b/tests/entry/test_engine_orders.py
@@ -25,7 +25,7 @@
     wire.ask("f")
     wire.run_for(0.03)
     wire.report_travel = Travel(back_seconds=0.45)
-    wire.owned.ask_report()
+    wire.owned.request_report()
     wire.report_travel = Travel()
     wire.run_for(0.27)
     wire.ask("a")
--- a/tests/entry/test_engine_orders_walk.py
+++ b/tests/entry/test_engine_orders_walk.py
@@ -52,7 +52,7 @@
             run_seconds = draws.choice(RUN_SECONDS)
             wire.ask(draws.choice(adapters), run_seconds=run_seconds)
         elif kind == "report":
-            wire.owned.ask_report()
+            wire.owned.request_report()
         elif kind == "pause":
             wire.pause(draws.choice(PAUSE_SECONDS))
         elif kind == "restart":
--- a/tests/entry/test_engine_owner.py
+++ b/tests/entry/test_engine_owner.py
@@ -53,10 +53,10 @@
         lease_seconds=3.0,
         issuer=1,
         leases=leases.alone(node),
-        loads_elsewhere=lambda: 0,
+        count_other_loads=lambda: 0,
         owner_change=owner_change,
     )
-    owner.hold(gateways.ENGINES)
+    owner.set_owned(gateways.ENGINES)
     return owner
 
 
@@ -107,7 +107,7 @@
     )
     node = networks.Network(seed=1).start("dc-a", "10.1.0.1:70")
     owner = owner_of_all(node, log=log, owner_change=lambda record: change)
-    owner.hold([])
+    owner.set_owned([])
     engines = len(gateways.ENGINES)
     taken_up, given_up = lines[0], lines[-1]
     assert [event for event, _ in lines] == (
--- a/tests/entry/test_owned_engine.py
+++ b/tests/entry/test_owned_engine.py
@@ -137,7 +137,7 @@
         timers=node.timers,
         counters=counters.Counters(),
         log=log or types.SimpleNamespace(write=lambda event, **fields: None),
-        changed=lambda: None,
+        on_changed=lambda: None,
     )
 
 
@@ -204,7 +204,7 @@
     reports = engine.reports
     owned = start_owning(node, engine, 2)
     for _ in range(4):
-        owned.refused(engine_loads.key("b"))
+        owned.record_missing(engine_loads.key("b"))
         network.run_for(0.1)
     network.run_for(2.0)
     assert engine.reports - reports <= 14
--- a/tests/fakes/engine_wire.py
+++ b/tests/fakes/engine_wire.py
@@ -144,7 +144,7 @@
             timers=self.timers,
             counters=counters.Counters(),
             log=types.SimpleNamespace(write=lambda event, **fields: None),
-            changed=self.advance,
+            on_changed=self.advance,
         )
 
     def _arrive(
@@ -186,7 +186,7 @@
         run_seconds = float(ask.request_id.partition("/")[2])
         if not self.engine.run(ask.adapter, seconds=run_seconds):
             self._end(ask)
-            self.owned.refused(ask.adapter)
+            self.owned.record_missing(ask.adapter)
             return
         first_seconds = min(run_seconds, FIRST_EVENT_SECONDS)
         self._later(
--- a/tests/fakes/fleet_walk.py
+++ b/tests/fakes/fleet_walk.py
@@ -134,11 +134,11 @@
                 address=address,
             ),
             leases=self._leases(log) if walk.has_leases else AllHeld(),
-            loads_elsewhere=lambda: 0,
+            count_other_loads=lambda: 0,
             owner_change=self.ownership.change,
         )
         self.members.subscribe(
-            on_beat=self.relay.on_beat, on_gone=self.owner.peer_gone
+            on_beat=self.relay.on_beat, on_gone=self.owner.remove_peer
         )
 
     def _leases(self, log: engine_world.Log) -> order_leases.OrderLeases:
@@ -158,7 +158,7 @@
     def _refresh(self) -> None:
         self.ownership.refresh(self.fleet.engines)
         claimed = self.ownership.claimed
-        self.owner.hold(
+        self.owner.set_owned(
             record for record in self.fleet.engines if record.name in claimed
         )
         self.heartbeats.refresh()
--- a/tests/fakes/order_walk.py
+++ b/tests/fakes/order_walk.py
@@ -93,7 +93,7 @@
                 log=log,
                 started_before_seconds=started_before_seconds,
             ),
-            loads_elsewhere=lambda: 0,
+            count_other_loads=lambda: 0,
             owner_change=gateways.no_change,
         )
         self.owner._started_at_seconds -= started_before_seconds
@@ -104,7 +104,7 @@
         )
 
     def _look(self) -> None:
-        self.owner.hold([self.walk.record] if self.claims else [])
+        self.owner.set_owned([self.walk.record] if self.claims else [])
 
 
 class OrderWalk(engine_world.World):
--- a/tests/fakes/plain_dialect.py
+++ b/tests/fakes/plain_dialect.py
@@ -57,7 +57,7 @@
         ):
             return dialects.OrderOutcome.DONE
         return {
-            model_engine.OK: dialects.OrderOutcome.HELD_ALREADY,
+            model_engine.OK: dialects.OrderOutcome.ALREADY_LOADED,
             model_engine.ACCEPTED: dialects.OrderOutcome.ACCEPTED,
             model_engine.CONFLICT: dialects.OrderOutcome.COUNT_DIFFERS,
         }.get(status, dialects.OrderOutcome.REFUSED)
--- a/tests/platform/test_engines.py
+++ b/tests/platform/test_engines.py
@@ -64,7 +64,7 @@
     load, unload = engine_decisions.Load(key, 0), engine_decisions.Unload(key)
     answer = dialects.OrderOutcome
     assert spoken.read_order_answer(load, 202) is answer.ACCEPTED
-    assert spoken.read_order_answer(load, 200) is answer.HELD_ALREADY
+    assert spoken.read_order_answer(load, 200) is answer.ALREADY_LOADED
     assert spoken.read_order_answer(unload, 200) is answer.DONE
     assert spoken.read_order_answer(load, 409) is answer.COUNT_DIFFERS
     assert spoken.read_order_answer(load, 412) is answer.REFUSED
