--- a/src/boragefold/bench/capacity_rates.py
+++ b/src/boragefold/bench/capacity_rates.py
@@ -187,7 +187,7 @@
         revision=1, weights=dict.fromkeys(fleet.data_centres, 1.0)
     )
     own.update_workspaces(rates)
-    return own.stock
+    return own.token_balance
 
 
 def _unlimited_balance(
--- a/src/boragefold/bench/rates.py
+++ b/src/boragefold/bench/rates.py
@@ -172,7 +172,7 @@
         )
         rates.update_workspaces({WORKSPACE: LIMIT})
         slot.leave = rates.leave
-        return rates.stock
+        return rates.token_balance
 
     def _plan_calls(self) -> None:
         source = self.fleet.random
--- a/src/boragefold/coordination/load_budget.py
+++ b/src/boragefold/coordination/load_budget.py
@@ -68,10 +68,10 @@
         :param counters: counts refused loads
         """
         self._rates = rates
-        self._stock = rates.stock
+        self._token_balance = rates.token_balance
         self._counters = counters
         self._callbacks: list[Callable[[], None]] = []
-        self._stock.subscribe(self._on_refill)
+        self._token_balance.subscribe(self._on_refill)
 
     def update(self, store: documents.Store) -> None:
         """Apply the published limits.
@@ -103,16 +103,16 @@
 
         :return: the permission, or the shortfall
         """
-        start = self._stock.reserve(workspace=LOADS, tokens=1.0)
+        start = self._token_balance.reserve(workspace=LOADS, tokens=1.0)
         if isinstance(start, token_balance.Shortfall):
             self._counters.add("loads_refused", "rate")
             return start
-        slot = self._stock.reserve(workspace=IN_FLIGHT, tokens=1.0)
+        slot = self._token_balance.reserve(workspace=IN_FLIGHT, tokens=1.0)
         if isinstance(slot, token_balance.Shortfall):
             self._counters.add("loads_refused", "in_flight")
-            self._stock.settle(start, used_tokens=0.0)
+            self._token_balance.settle(start, used_tokens=0.0)
             return slot
-        self._stock.settle(start, used_tokens=1.0)
+        self._token_balance.settle(start, used_tokens=1.0)
         return Load(slot=slot)
 
     def release(self, load: Load) -> None:
@@ -123,7 +123,7 @@
         if load.finished:
             return
         load.finished = True
-        self._stock.settle(load.slot, used_tokens=0.0)
+        self._token_balance.settle(load.slot, used_tokens=0.0)
 
     def subscribe(self, callback: Callable[[], None]) -> None:
         """Register a callback for when a load may be possible again.
--- a/src/boragefold/coordination/rates/bucket.py
+++ b/src/boragefold/coordination/rates/bucket.py
@@ -12,7 +12,7 @@
 class Entry:
     """Tokens granted to one request."""
 
-    given_at_seconds: float
+    granted_at_seconds: float
     charged_tokens: float
     free_at_seconds: float
     final: bool = False
@@ -45,9 +45,9 @@
         if elapsed_seconds > 0:
             self.at_seconds = now_seconds
             self.level_tokens += elapsed_seconds * limit.rate_tokens_per_second
-        self.fit(limit)
+        self.clamp(limit)
 
-    def fit(self, limit: limits.Limit) -> None:
+    def clamp(self, limit: limits.Limit) -> None:
         """Limit the sum of level and occupied tokens to the burst.
 
         :param limit: rate and burst
--- a/src/boragefold/coordination/rates/grant_pool.py
+++ b/src/boragefold/coordination/rates/grant_pool.py
@@ -45,8 +45,8 @@
         self._asked_number = -1
         self.unanswered = 0
         self.ready_at_seconds = 0.0
-        self.given_tokens = 0.0
-        self.given_at_seconds: float | None = None
+        self.last_granted_tokens = 0.0
+        self.granted_at_seconds: float | None = None
 
     @property
     def in_flight(self) -> bool:
@@ -76,23 +76,23 @@
         """
         return not (self._grants or self._outbox)
 
-    def left_tokens(self, *, life_seconds: float = 0.0) -> float:
+    def available_tokens(self, *, min_valid_seconds: float = 0.0) -> float:
         """Count the tokens that can be charged now.
 
-        :param life_seconds: minimum remaining validity of the grants
+        :param min_valid_seconds: minimum remaining validity of the grants
         :return: tokens
         """
-        needed_seconds = self._now_seconds() + life_seconds
+        needed_seconds = self._now_seconds() + min_valid_seconds
         return sum(
-            grant.left_tokens
+            grant.available_tokens
             for grant in self._grants.values()
             if grant.ends_at_seconds > needed_seconds
         )
 
-    def life_seconds(self, charge: grants.Charge) -> float:
+    def remaining_seconds(self, charge: grants.Charge) -> float:
         """Return how long the grants of a charge remain valid.
 
-        :param charge: result of :meth:`take`
+        :param charge: result of :meth:`charge`
         :return: seconds until the first of them expires
         """
         ends = [
@@ -101,30 +101,31 @@
         left_seconds = min(ends, default=0.0) - self._now_seconds()
         return max(0.0, left_seconds)
 
-    def take(
+    def charge(
         self,
         tokens: float,
         *,
-        life_seconds: float = 0.0,
+        min_valid_seconds: float = 0.0,
         regranted: bool = False,
     ) -> grants.Charge:
         """Charge tokens, starting with the grants that expire first.
 
-        :param tokens: at most :meth:`left_tokens`
-        :param life_seconds: minimum remaining validity of the grants
+        :param tokens: at most :meth:`available_tokens`
+        :param min_valid_seconds: minimum remaining validity of the grants
         :param regranted: whether the tokens are granted on to another
             instance; see :meth:`finalize`
         :return: the charged grants
         """
-        needed_seconds = self._now_seconds() + life_seconds
+        needed_seconds = self._now_seconds() + min_valid_seconds
         usable = sorted(
             (grant.ends_at_seconds, number)
             for number, grant in self._grants.items()
-            if grant.ends_at_seconds > needed_seconds and grant.left_tokens
+            if grant.ends_at_seconds > needed_seconds
+            and grant.available_tokens
         )
         charge = grants.Charge(parts={}, regranted=regranted)
         for _end, number in usable:
-            part = min(tokens, self._grants[number].left_tokens)
+            part = min(tokens, self._grants[number].available_tokens)
             if part <= 0:
                 break
             tokens -= part
@@ -134,7 +135,7 @@
     def finalize(self, charge: grants.Charge, *, kept_tokens: float) -> None:
         """Record that the receiver of a regranted charge uses no more of it.
 
-        :param charge: result of :meth:`take`
+        :param charge: result of :meth:`charge`
         :param kept_tokens: charged tokens; settling may lower them
         """
         if charge.settled:
@@ -149,7 +150,7 @@
     def settle(self, charge: grants.Charge, *, used_tokens: float) -> None:
         """Return the unused tokens of a charge; a repeated call is ignored.
 
-        :param charge: result of :meth:`take`
+        :param charge: result of :meth:`charge`
         :param used_tokens: tokens that were used
         """
         if charge.settled:
@@ -162,7 +163,9 @@
                 number, tokens - used, regranted=charge.regranted, final=True
             )
 
-    def ask(self, *, needed_tokens: float, ahead_tokens: float) -> None:
+    def request_tokens(
+        self, *, needed_tokens: float, ahead_tokens: float
+    ) -> None:
         """Send a request to the holder.
 
         :param needed_tokens: tokens that are granted in full or not at all
@@ -174,26 +177,26 @@
         number = next(self._numbers)
         self._grants[number] = grants.Grant(
             sent_at_seconds=now_seconds,
-            ends_at_seconds=now_seconds + limits.GRANT_SECONDS,
+            ends_at_seconds=now_seconds + limits.GRANT_VALID_SECONDS,
         )
         self._asked_at_seconds = now_seconds
         self._asked_number = number
         self._send_request(number, needed_tokens, ahead_tokens)
 
-    def forget_request(self) -> None:
+    def cancel_request(self) -> None:
         """Stop waiting for a response because the holder has changed."""
         self._asked_at_seconds = None
         self.unanswered = 0
         self.ready_at_seconds = 0.0
 
-    def answer(self, given: rate_messages.TokensGiven) -> bool:
+    def receive(self, given: rate_messages.TokensGiven) -> bool:
         """Process a response; duplicate and late ones grant nothing.
 
         :param given: the response
         :return: whether more tokens are available now
         """
         now_seconds = self._now_seconds()
-        for number in self._outbox.arrived(given.number):
+        for number in self._outbox.acknowledge_request(given.number):
             self._drop(number)
         self.unanswered = 0
         if given.number == self._asked_number:
@@ -203,28 +206,31 @@
         if grant is None or grant.answered or given.queued or grant.closed:
             return False
         grant.answered = True
-        self.given_tokens = given.tokens
-        self.given_at_seconds = now_seconds
+        self.last_granted_tokens = given.tokens
+        self.granted_at_seconds = now_seconds
         grant.ends_at_seconds = grant.sent_at_seconds + given.life_seconds
         if given.tokens <= 0:
             del self._grants[given.number]
             return False
         if now_seconds >= grant.ends_at_seconds:
             return False
-        grant.left_tokens = given.tokens
+        grant.available_tokens = given.tokens
         return True
 
     def tick(self) -> None:
         """Close expired grants and drop those that are too old to settle."""
         now_seconds = self._now_seconds()
         for number, grant in list(self._grants.items()):
-            if not grant.ended and now_seconds >= grant.ends_at_seconds:
-                grant.ended = True
+            if not grant.expired and now_seconds >= grant.ends_at_seconds:
+                grant.expired = True
                 self._close(number, grant)
-            elif now_seconds > grant.sent_at_seconds + limits.REFUND_SECONDS:
+            elif (
+                now_seconds
+                > grant.sent_at_seconds + limits.SETTLE_TIMEOUT_SECONDS
+            ):
                 self._drop(number)
 
-    def due_usages(
+    def due_reports(
         self, *, after_seconds: float
     ) -> tuple[rate_messages.Usage, ...]:
         """Return the reports that no request has carried in time.
@@ -236,24 +242,24 @@
             after_seconds=after_seconds, now_seconds=self._now_seconds()
         )
 
-    def noted(self, usages: Iterable[rate_messages.Usage]) -> None:
+    def acknowledge(self, usages: Iterable[rate_messages.Usage]) -> None:
         """Stop repeating acknowledged reports.
 
         :param usages: the reports as they were sent
         """
-        for number in self._outbox.noted(usages):
+        for number in self._outbox.acknowledge(usages):
             self._drop(number)
 
     def _charge(
         self, charge: grants.Charge, number: int, tokens: float
     ) -> None:
         grant = self._grants[number]
-        grant.left_tokens -= tokens
+        grant.available_tokens -= tokens
         grant.charged_tokens += tokens
         grant.unsettled_charges += 1
         grant.regranted_charges += charge.regranted
         charge.parts[number] = tokens
-        if grant.left_tokens <= limits.TINY_TOKENS:
+        if grant.available_tokens <= limits.EPSILON_TOKENS:
             self._close(number, grant)
 
     def _return_tokens(
@@ -273,17 +279,17 @@
         if grant.closed:
             self._report(number, grant)
         else:
-            grant.left_tokens += tokens
+            grant.available_tokens += tokens
 
     def _close(self, number: int, grant: grants.Grant) -> None:
         # A closed grant ignores a late response, so its remaining tokens
         # can't be spent after they were reported as unused.
         grant.closed = True
-        grant.left_tokens = 0.0
+        grant.available_tokens = 0.0
         self._report(number, grant)
 
     def _report(self, number: int, grant: grants.Grant) -> None:
-        if grant.regranted_charges and not grant.ended:
+        if grant.regranted_charges and not grant.expired:
             return
         usage = rate_messages.Usage(
             number, grant.charged_tokens, grant.unsettled_charges == 0
@@ -291,7 +297,7 @@
         self._outbox.put(usage, now_seconds=self._now_seconds())
 
     def _send_request(self, number: int, needed: float, ahead: float) -> None:
-        usages = self._outbox.carry(number, now_seconds=self._now_seconds())
+        usages = self._outbox.attach(number, now_seconds=self._now_seconds())
         self._send(
             rate_messages.TokensAsked(
                 self._workspace, number, needed, ahead, usages
--- a/src/boragefold/coordination/rates/granted_tokens.py
+++ b/src/boragefold/coordination/rates/granted_tokens.py
@@ -73,18 +73,18 @@
         limit = self._limit_of(workspace)
         if limit is None:
             return self._create_shortfall("no_such_workspace", None)
-        if tokens > limit.burst_tokens + limits.TINY_TOKENS:
+        if tokens > limit.burst_tokens + limits.EPSILON_TOKENS:
             return self._create_shortfall("larger_than_burst", None)
         state = self._state(workspace)
         now_seconds = self._timers.now_seconds()
-        if not state.covers(tokens):
+        if not state.has_tokens(tokens):
             self._record_demand(workspace, state, tokens)
-        if not state.covers(tokens):
+        if not state.has_tokens(tokens):
             return self._shortfall(workspace, state)
-        charge = state.grant_pool.take(tokens)
+        charge = state.grant_pool.charge(tokens)
         if state.fetch_ahead:
             state.use.add(tokens, now_seconds)
-        state.wanted_tokens = 0.0
+        state.demand_tokens = 0.0
         self._fetch_ahead(state, tokens)
         return workspace_states.ChargedReservation(
             workspace=workspace, tokens=tokens, charge=charge
@@ -108,12 +108,14 @@
         if excess_tokens > 0:
             # Charging the excess prevents it from being granted again.
             self._counters.add("rate_overruns", "", excess_tokens)
-            left_tokens = state.grant_pool.left_tokens()
-            extra = state.grant_pool.take(min(excess_tokens, left_tokens))
+            available_tokens = state.grant_pool.available_tokens()
+            extra = state.grant_pool.charge(
+                min(excess_tokens, available_tokens)
+            )
             state.grant_pool.settle(extra, used_tokens=excess_tokens)
-        before_tokens = state.grant_pool.left_tokens()
+        before_tokens = state.grant_pool.available_tokens()
         state.grant_pool.settle(reservation.charge, used_tokens=used_tokens)
-        if state.grant_pool.left_tokens() > before_tokens:
+        if state.grant_pool.available_tokens() > before_tokens:
             self._wake(reservation.workspace, state)
 
     def subscribe(self, callback: Callable[[str], None]) -> None:
@@ -123,7 +125,7 @@
         """
         self._callbacks.append(callback)
 
-    def answer(self, given: rate_messages.TokensGiven) -> None:
+    def receive(self, given: rate_messages.TokensGiven) -> None:
         """Process the holder's response.
 
         :param given: tokens, or a refusal
@@ -131,24 +133,24 @@
         state = self._states.get(given.workspace)
         if state is None:
             return
-        got_more = state.grant_pool.answer(given)
+        got_more = state.grant_pool.receive(given)
         if got_more:
             state.refused_tokens = 0.0
             self._wake(given.workspace, state)
         elif given.tokens > 0 or given.queued:
             return
         elif given.ready_in_seconds > 0:
-            state.refused_tokens = state.wanted_tokens
+            state.refused_tokens = state.demand_tokens
             self._retry_later(given.workspace, state, given.ready_in_seconds)
         else:
             # This refused a request that only fetched ahead; a waiting
             # request needs tokens now.
             self._retry_later(given.workspace, state, REPEAT_SECONDS)
 
-    def holder_changed(self) -> None:
+    def reset_requests(self) -> None:
         """Repeat requests that were sent to a previous holder."""
         for workspace, state in self._states.items():
-            state.grant_pool.forget_request()
+            state.grant_pool.cancel_request()
             state.refused_tokens = 0.0
             self._retry_later(workspace, state, 0.0)
 
@@ -157,9 +159,9 @@
         for workspace, state in list(self._states.items()):
             state.grant_pool.tick()
             if state.grant_pool.overdue:
-                self._ask_if_wanted(workspace, state)
+                self._request_if_needed(workspace, state)
             idle = state.grant_pool.idle and not state.grant_pool.in_flight
-            if idle and not state.is_wanted(self._timers.now_seconds()):
+            if idle and not state.has_demand(self._timers.now_seconds()):
                 del self._states[workspace]
 
     def items(self) -> Iterable[tuple[str, grant_pools.GrantPool]]:
@@ -219,10 +221,10 @@
         tokens: float,
     ) -> None:
         now_seconds = self._timers.now_seconds()
-        if not state.is_wanted(self._timers.now_seconds()):
-            state.wanted_tokens = 0.0
-        state.wanted_tokens = max(state.wanted_tokens, tokens)
-        state.wanted_at_seconds = now_seconds
+        if not state.has_demand(self._timers.now_seconds()):
+            state.demand_tokens = 0.0
+        state.demand_tokens = max(state.demand_tokens, tokens)
+        state.demand_at_seconds = now_seconds
         if state.grant_pool.in_flight:
             return
         refused = (
@@ -241,7 +243,7 @@
         if not self._has_holder(workspace):
             self._retry_later(workspace, state, limits.RETRY_SECONDS)
             return
-        needed_tokens = max(0.0, tokens - state.grant_pool.left_tokens())
+        needed_tokens = max(0.0, tokens - state.grant_pool.available_tokens())
         self._ask_without_waking(state, needed_tokens)
 
     def _ask_without_waking(
@@ -252,7 +254,7 @@
         use_tokens = state.use.tokens(self._timers.now_seconds())
         was_reserving, self._reserving = self._reserving, True
         try:
-            state.grant_pool.ask(
+            state.grant_pool.request_tokens(
                 needed_tokens=needed_tokens,
                 ahead_tokens=max(0.0, use_tokens - needed_tokens)
                 * AHEAD_SECONDS,
@@ -267,7 +269,7 @@
         use_tokens = state.use.tokens(now_seconds)
         if use_tokens < MIN_FETCH_REQUESTS * tokens:
             return
-        if state.grant_pool.left_tokens() >= use_tokens * LOW_SECONDS:
+        if state.grant_pool.available_tokens() >= use_tokens * LOW_SECONDS:
             return
         if state.grant_pool.in_flight:
             return
@@ -275,17 +277,17 @@
             return
         self._ask_without_waking(state, 0.0)
 
-    def _ask_if_wanted(
+    def _request_if_needed(
         self, workspace: str, state: workspace_states.WorkspaceState
     ) -> None:
         if (
-            not state.is_wanted(self._timers.now_seconds())
+            not state.has_demand(self._timers.now_seconds())
             or state.grant_pool.in_flight
         ):
             return
-        if not state.covers(state.wanted_tokens):
-            self._ask(workspace, state, state.wanted_tokens)
-        if state.covers(state.wanted_tokens):
+        if not state.has_tokens(state.demand_tokens):
+            self._ask(workspace, state, state.demand_tokens)
+        if state.has_tokens(state.demand_tokens):
             self._wake(workspace, state)
 
     def _retry_later(
@@ -298,7 +300,7 @@
             state.retry.cancel()
         state.retry = self._timers.once(
             delay_seconds=delay_seconds,
-            callback=lambda: self._ask_if_wanted(workspace, state),
+            callback=lambda: self._request_if_needed(workspace, state),
         )
 
     def _wake(
--- a/src/boragefold/coordination/rates/grants.py
+++ b/src/boragefold/coordination/rates/grants.py
@@ -11,13 +11,13 @@
 
     sent_at_seconds: float
     ends_at_seconds: float
-    left_tokens: float = 0.0
+    available_tokens: float = 0.0
     charged_tokens: float = 0.0
     unsettled_charges: int = 0
     regranted_charges: int = 0
     answered: bool = False
     closed: bool = False
-    ended: bool = False
+    expired: bool = False
 
 
 @dataclasses.dataclass(kw_only=True)
--- a/src/boragefold/coordination/rates/held_rates.py
+++ b/src/boragefold/coordination/rates/held_rates.py
@@ -85,12 +85,12 @@
         for workspace in self._held_rates.keys() - parts.keys():
             del self._held_rates[workspace]
         for workspace, held in self._held_rates.items():
-            held.rate_holder.ledger.change(
+            held.rate_holder.ledger.change_limit(
                 parts[workspace], now_seconds=self._now_seconds()
             )
-        self.review()
+        self.apply_view()
 
-    def review(self) -> None:
+    def apply_view(self) -> None:
         """Start and stop holding rates to match the valid view."""
         for workspace in self._parts:
             self.find(workspace)
@@ -107,7 +107,7 @@
             return None
         if workspace not in self._parts:
             return None
-        if not self._holder_lookup.ours(workspace):
+        if not self._holder_lookup.is_own(workspace):
             self._end_holding(workspace, view)
             return None
         held = self._held_rates.get(workspace)
@@ -116,7 +116,7 @@
         held.last_number = view.number
         return None if held.released else held.rate_holder
 
-    def give_up(self) -> None:
+    def hand_over_all(self) -> None:
         """Hand all buckets over before a planned stop."""
         view = self._rights.valid_view()
         for workspace, held in self._held_rates.items():
@@ -133,7 +133,7 @@
                 held.rate_holder.ledger.advance(self._now_seconds())
                 self._hand_over(workspace, held, view._replace(members=others))
 
-    def handed_over(
+    def receive_bucket(
         self, sender: ids.InstanceId, bucket: rate_messages.BucketHandedOver
     ) -> None:
         """Receive a bucket; it is kept until this instance is its holder.
@@ -165,8 +165,8 @@
         ledger = ledgers.Ledger(
             limit=part,
             now_seconds=self._now_seconds(),
-            wait_seconds=limits.GRANT_SECONDS
-            + limits.MARGIN_SECONDS
+            wait_seconds=limits.GRANT_VALID_SECONDS
+            + limits.CLOCK_DRIFT_SECONDS
             + part.hold_seconds,
         )
         held = _HeldRate(
--- a/src/boragefold/coordination/rates/holder_lookup.py
+++ b/src/boragefold/coordination/rates/holder_lookup.py
@@ -21,7 +21,7 @@
         self._rights = rights
         self._cache: dict[tuple[str, int, int, str], ids.InstanceId] = {}
 
-    def here(self, workspace: str) -> ids.InstanceId | None:
+    def find_local(self, workspace: str) -> ids.InstanceId | None:
         """Find the holder in this instance's data centre.
 
         An instance without a valid lease may still send requests: the holder
@@ -32,10 +32,10 @@
         """
         view = self._rights.valid_view()
         if view is not None:
-            return self.in_view(view, workspace)
-        return self.elsewhere(self._rights.self_id.data_centre, workspace)
+            return self.find_in_view(view, workspace)
+        return self.find_remote(self._rights.self_id.data_centre, workspace)
 
-    def elsewhere(
+    def find_remote(
         self, data_centre: str, workspace: str
     ) -> ids.InstanceId | None:
         """Find the holder in a data centre by its latest known view.
@@ -47,9 +47,9 @@
         view = self._rights.directory().get(data_centre)
         if view is None or not view.members:
             return None
-        return self.in_view(view, workspace)
+        return self.find_in_view(view, workspace)
 
-    def ours(self, workspace: str) -> bool:
+    def is_own(self, workspace: str) -> bool:
         """Return whether this instance holds a rate now.
 
         :param workspace: workspace of the rate
@@ -58,9 +58,11 @@
         view = self._rights.valid_view()
         if view is None:
             return False
-        return self.in_view(view, workspace) == self._rights.self_id
+        return self.find_in_view(view, workspace) == self._rights.self_id
 
-    def in_view(self, view: membership.View, workspace: str) -> ids.InstanceId:
+    def find_in_view(
+        self, view: membership.View, workspace: str
+    ) -> ids.InstanceId:
         """Find the holder in one view.
 
         :param view: view with at least one member
--- a/src/boragefold/coordination/rates/ledger.py
+++ b/src/boragefold/coordination/rates/ledger.py
@@ -83,7 +83,7 @@
         """
         return max(0.0, self._starts_at_seconds - now_seconds)
 
-    def change(self, limit: limits.Limit, *, now_seconds: float) -> None:
+    def change_limit(self, limit: limits.Limit, *, now_seconds: float) -> None:
         """Apply another rate and burst immediately.
 
         :param limit: the new rate and burst
@@ -92,14 +92,14 @@
         if limit == self._limit:
             return
         self.advance(now_seconds)
-        self.recount()
+        self.replay()
         # Entries of running requests are dropped, so their unused tokens are
         # not returned. Tokens that may still be charged stay occupied.
         self._open_entries.clear()
         self._fold_events(now_seconds)
         self._limit = limit
-        self._base.fit(limit)
-        self._current.fit(limit)
+        self._base.clamp(limit)
+        self._current.clamp(limit)
 
     def advance(self, now_seconds: float) -> None:
         """Refill the bucket and free the tokens of expired grants.
@@ -114,7 +114,7 @@
             self._applied += 1
         self._current.refill(self._limit, now_seconds)
 
-    def give(
+    def debit(
         self,
         *,
         asker: ids.InstanceId,
@@ -160,7 +160,7 @@
             self._free(entry, now_seconds)
         self.advance(now_seconds)
 
-    def recount(self) -> None:
+    def replay(self) -> None:
         """Replay the bucket with the reports since the last replay.
 
         Without the replay the level is too low, never too high.
@@ -173,12 +173,12 @@
         self._applied = 0
         self.advance(now_seconds)
 
-    def settle_old(self, now_seconds: float) -> None:
+    def finish_old(self, now_seconds: float) -> None:
         """Finish entries that are too old for their tokens to be returned.
 
         :param now_seconds: time of the last :meth:`advance`
         """
-        oldest_seconds = now_seconds - limits.REFUND_SECONDS
+        oldest_seconds = now_seconds - limits.SETTLE_TIMEOUT_SECONDS
         excess_events = len(self._events) - MAX_EVENTS
         if excess_events > 0:
             oldest_seconds = max(
@@ -187,12 +187,12 @@
         old = [
             key
             for key, entry in self._open_entries.items()
-            if entry.given_at_seconds < oldest_seconds
+            if entry.granted_at_seconds < oldest_seconds
             and entry.free_at_seconds <= now_seconds
         ]
         for key in old:
             self._finish(key, now_seconds)
-        self.recount()
+        self.replay()
         self._fold_events(now_seconds)
 
     def inherit(
@@ -213,16 +213,16 @@
         self._base = buckets.Bucket(
             at_seconds=now_seconds, level_tokens=whole_tokens
         )
-        self._base.fit(self._limit)
+        self._base.clamp(self._limit)
         self._current = dataclasses.replace(self._base)
         self._occupy(
             min(occupied_tokens, self._current.level_tokens), now_seconds
         )
 
     def _occupy(self, tokens: float, now_seconds: float) -> buckets.Entry:
-        life_seconds = limits.GRANT_SECONDS + limits.MARGIN_SECONDS
+        life_seconds = limits.GRANT_VALID_SECONDS + limits.CLOCK_DRIFT_SECONDS
         entry = buckets.Entry(
-            given_at_seconds=now_seconds,
+            granted_at_seconds=now_seconds,
             charged_tokens=tokens,
             free_at_seconds=now_seconds
             + life_seconds
@@ -255,7 +255,7 @@
         oldest = next(iter(self._open_entries.values()), None)
         until_seconds = now_seconds
         if oldest is not None:
-            until_seconds = min(until_seconds, oldest.given_at_seconds)
+            until_seconds = min(until_seconds, oldest.granted_at_seconds)
         count = 0
         for event in self._events[: self._applied]:
             if event.at_seconds >= until_seconds:
--- a/src/boragefold/coordination/rates/lenders.py
+++ b/src/boragefold/coordination/rates/lenders.py
@@ -16,7 +16,7 @@
 from boragefold.protocol import rate_messages
 
 # Borrowed tokens must still be valid when a grant of them arrives.
-MIN_LIFE_SECONDS = 0.3
+MIN_VALID_SECONDS = 0.3
 
 # The delay grows with the number of lenders to spread the requests to them.
 ASK_INTERVAL_SECONDS = 0.1
@@ -60,13 +60,13 @@
         self._grant_pools: dict[str, grant_pools.GrantPool] = {}
         self._next_ask_at_seconds: dict[str, float] = {}
 
-    def left_tokens(self) -> float:
+    def available_tokens(self) -> float:
         """Count the borrowed tokens that can be granted on.
 
         :return: tokens
         """
         return sum(
-            grant_pool.left_tokens(life_seconds=MIN_LIFE_SECONDS)
+            grant_pool.available_tokens(min_valid_seconds=MIN_VALID_SECONDS)
             for grant_pool in self._grant_pools.values()
         )
 
@@ -80,7 +80,7 @@
             for grant_pool in self._grant_pools.values()
         )
 
-    def rate(self, parts: dict[str, limits.Limit]) -> float:
+    def responsive_rate(self, parts: dict[str, limits.Limit]) -> float:
         """Sum the rates of the lenders that answer requests.
 
         :param parts: part of the limit by lender
@@ -96,7 +96,7 @@
             start=0.0,
         )
 
-    def ask(
+    def request_tokens(
         self,
         parts: dict[str, limits.Limit],
         *,
@@ -123,14 +123,14 @@
             ASK_INTERVAL_SECONDS + ASK_INTERVAL_PER_LENDER_SECONDS * len(parts)
         )
         for estimate_tokens, name in available:
-            if short_tokens <= limits.TINY_TOKENS:
+            if short_tokens <= limits.EPSILON_TOKENS:
                 return
             grant_pool = self._grant_pool(name)
             unreachable = grant_pool.unanswered >= UNREACHABLE_AFTER
             self._next_ask_at_seconds[name] = now_seconds + (
                 UNREACHABLE_INTERVAL_SECONDS if unreachable else wait_seconds
             )
-            grant_pool.ask(
+            grant_pool.request_tokens(
                 needed_tokens=min(short_tokens, parts[name].burst_tokens),
                 ahead_tokens=ahead_tokens,
             )
@@ -146,43 +146,47 @@
         times = self._next_ask_at_seconds.values()
         return min((at for at in times if at > now_seconds), default=math.inf)
 
-    def take(self, tokens: float) -> list[Loan]:
+    def charge(self, tokens: float) -> list[Loan]:
         """Charge borrowed tokens.
 
-        :param tokens: at most :meth:`left_tokens`
+        :param tokens: at most :meth:`available_tokens`
         :return: the charged tokens by lender
         """
         loans = []
         for name, grant_pool in self._grant_pools.items():
-            left_tokens = grant_pool.left_tokens(life_seconds=MIN_LIFE_SECONDS)
-            part = min(tokens, left_tokens)
+            available_tokens = grant_pool.available_tokens(
+                min_valid_seconds=MIN_VALID_SECONDS
+            )
+            part = min(tokens, available_tokens)
             if part <= 0:
                 continue
-            charge = grant_pool.take(
-                part, life_seconds=MIN_LIFE_SECONDS, regranted=True
+            charge = grant_pool.charge(
+                part, min_valid_seconds=MIN_VALID_SECONDS, regranted=True
             )
             loans.append(Loan(name, charge, part))
             tokens -= part
         return loans
 
-    def life_seconds(self, loans: list[Loan]) -> float:
+    def remaining_seconds(self, loans: list[Loan]) -> float:
         """Return how long loans remain valid.
 
-        :param loans: result of :meth:`take`
+        :param loans: result of :meth:`charge`
         :return: seconds, at most the validity of a grant
         """
         return min(
             (
-                self._grant_pools[loan.data_centre].life_seconds(loan.charge)
+                self._grant_pools[loan.data_centre].remaining_seconds(
+                    loan.charge
+                )
                 for loan in loans
             ),
-            default=limits.GRANT_SECONDS,
+            default=limits.GRANT_VALID_SECONDS,
         )
 
     def settle(self, loan: Loan, *, used_tokens: float) -> None:
         """Return the unused tokens of a loan.
 
-        :param loan: result of :meth:`take`
+        :param loan: result of :meth:`charge`
         :param used_tokens: tokens that were used
         """
         self._grant_pools[loan.data_centre].settle(
@@ -192,14 +196,14 @@
     def finalize(self, loan: Loan, *, kept_tokens: float) -> None:
         """Record that the receiver of a loan charges no more of it.
 
-        :param loan: result of :meth:`take`
+        :param loan: result of :meth:`charge`
         :param kept_tokens: tokens that were charged
         """
         self._grant_pools[loan.data_centre].finalize(
             loan.charge, kept_tokens=kept_tokens
         )
 
-    def answer(
+    def receive(
         self, data_centre: str, given: rate_messages.TokensGiven
     ) -> None:
         """Process a lender's response.
@@ -207,7 +211,7 @@
         :param data_centre: data centre of the lender
         :param given: the response
         """
-        self._grant_pool(data_centre).answer(given)
+        self._grant_pool(data_centre).receive(given)
 
     def tick(self) -> None:
         """Close expired grants."""
@@ -224,11 +228,13 @@
     def _estimate_tokens(self, name: str, part: limits.Limit) -> float:
         """Estimate a lender's level from its last grant and its refill."""
         grant_pool = self._grant_pool(name)
-        if grant_pool.given_at_seconds is None:
+        if grant_pool.granted_at_seconds is None:
             return part.burst_tokens
-        elapsed_seconds = self._now_seconds() - grant_pool.given_at_seconds
+        elapsed_seconds = self._now_seconds() - grant_pool.granted_at_seconds
         refill_tokens = elapsed_seconds * part.rate_tokens_per_second
-        return min(part.burst_tokens, grant_pool.given_tokens + refill_tokens)
+        return min(
+            part.burst_tokens, grant_pool.last_granted_tokens + refill_tokens
+        )
 
     def _tie_break(self, name: str) -> int:
         return xxhash.xxh3_64_intdigest(f"{self._workspace}\0{name}".encode())
@@ -247,5 +253,5 @@
 __all__ = [
     "Lenders",
     "Loan",
-    "MIN_LIFE_SECONDS",
+    "MIN_VALID_SECONDS",
 ]
--- a/src/boragefold/coordination/rates/limits.py
+++ b/src/boragefold/coordination/rates/limits.py
@@ -6,13 +6,13 @@
 from typing import NamedTuple
 
 # Bounds the tokens lost in a crash; exceeds a round trip to another region.
-GRANT_SECONDS = 2.0
+GRANT_VALID_SECONDS = 2.0
 
 # Allows for clock drift during the validity of a grant.
-MARGIN_SECONDS = 0.05
+CLOCK_DRIFT_SECONDS = 0.05
 
 # Half of a grant's validity, so that a grant can still be used after queueing.
-QUEUE_SECONDS = 1.0
+MAX_QUEUE_SECONDS = 1.0
 
 # Covers several round trips within a data centre.
 RETRY_SECONDS = 0.5
@@ -21,10 +21,10 @@
 IN_FLIGHT_SECONDS = 0.05
 
 # Exceeds the deadline of a long request.
-REFUND_SECONDS = 120.0
+SETTLE_TIMEOUT_SECONDS = 120.0
 
 # Exceeds the rounding errors of token sums.
-TINY_TOKENS = 1e-6
+EPSILON_TOKENS = 1e-6
 
 
 class Limit(NamedTuple):
@@ -91,14 +91,14 @@
 
 
 __all__ = [
-    "GRANT_SECONDS",
+    "CLOCK_DRIFT_SECONDS",
+    "EPSILON_TOKENS",
+    "GRANT_VALID_SECONDS",
     "IN_FLIGHT_SECONDS",
     "Limit",
-    "MARGIN_SECONDS",
-    "QUEUE_SECONDS",
-    "REFUND_SECONDS",
+    "MAX_QUEUE_SECONDS",
     "RETRY_SECONDS",
-    "TINY_TOKENS",
+    "SETTLE_TIMEOUT_SECONDS",
     "right_of",
     "split",
 ]
--- a/src/boragefold/coordination/rates/outbox.py
+++ b/src/boragefold/coordination/rates/outbox.py
@@ -44,19 +44,19 @@
         """
         self._usages.pop(number, None)
 
-    def carry(
-        self, carrier: int, *, now_seconds: float
+    def attach(
+        self, request_number: int, *, now_seconds: float
     ) -> tuple[rate_messages.Usage, ...]:
         """Return the reports to attach to a request.
 
-        :param carrier: number of the request
+        :param request_number: number of the request
         :param now_seconds: current time
         :return: reports
         """
         usages = tuple(itertools.islice(self._usages.values(), MAX_USAGES))
         if usages:
             self._waiting_since_seconds = now_seconds
-            self._carried[carrier] = usages
+            self._carried[request_number] = usages
             if len(self._carried) > MAX_CARRIERS:
                 del self._carried[next(iter(self._carried))]
         return usages
@@ -83,21 +83,21 @@
         final = (usage for usage in self._usages.values() if usage.final)
         return tuple(itertools.islice(final, MAX_USAGES))
 
-    def arrived(self, carrier: int) -> list[int]:
+    def acknowledge_request(self, request_number: int) -> list[int]:
         """Process the response to a request that may have carried reports.
 
-        :param carrier: number of the request
+        :param request_number: number of the request
         :return: numbers of the grants that need no more reports
         """
-        done = self.noted(self._carried.pop(carrier, ()))
+        done = self.acknowledge(self._carried.pop(request_number, ()))
         self._carried = {
             number: usages
             for number, usages in self._carried.items()
-            if number > carrier
+            if number > request_number
         }
         return done
 
-    def noted(self, usages: Iterable[rate_messages.Usage]) -> list[int]:
+    def acknowledge(self, usages: Iterable[rate_messages.Usage]) -> list[int]:
         """Stop repeating acknowledged reports.
 
         :param usages: reports as sent; one that changed since then is kept
--- a/src/boragefold/coordination/rates/rate_holder.py
+++ b/src/boragefold/coordination/rates/rate_holder.py
@@ -47,7 +47,7 @@
         self._latest_numbers: dict[ids.InstanceId, int] = {}
         self._relent_grants = relent_grants.RelentGrants(lenders=lenders)
 
-    def asked(
+    def receive_request(
         self, asker: ids.InstanceId, request: rate_messages.TokensAsked
     ) -> None:
         """Process the reports, then grant, lend, queue or refuse tokens.
@@ -56,7 +56,7 @@
         :param request: its message
         """
         now_seconds = self._now_seconds()
-        self.reported(asker, request.usages)
+        self.receive_reports(asker, request.usages)
         if request.number <= self._latest_numbers.get(asker, -1):
             # The asker ignores a second response, and the tokens in it would
             # be lost.
@@ -70,7 +70,7 @@
             number=request.number,
             needed_tokens=request.needed_tokens,
             ahead_tokens=request.ahead_tokens,
-            came_at_seconds=now_seconds,
+            received_at_seconds=now_seconds,
         )
         self._queue.put(queued)
         self.serve()
@@ -97,7 +97,7 @@
         ask_seconds = self.lenders.next_ask_seconds() - now_seconds
         return max(MIN_WAIT_SECONDS, min(ready_seconds, ask_seconds))
 
-    def answered(
+    def receive_loan(
         self, lender: ids.InstanceId, given: rate_messages.TokensGiven
     ) -> None:
         """Process a loan or its refusal.
@@ -105,9 +105,9 @@
         :param lender: holder in another data centre
         :param given: its response
         """
-        self.lenders.answer(lender.data_centre, given)
+        self.lenders.receive(lender.data_centre, given)
 
-    def reported(
+    def receive_reports(
         self, asker: ids.InstanceId, usages: Iterable[rate_messages.Usage]
     ) -> None:
         """Process reports on granted or lent tokens.
@@ -122,29 +122,31 @@
     def tick(self) -> None:
         """Drop entries that are too old for their tokens to be returned."""
         self.ledger.advance(self._now_seconds())
-        self.ledger.settle_old(self._now_seconds())
+        self.ledger.finish_old(self._now_seconds())
         self.lenders.tick()
-        self._relent_grants.forget_old(self._now_seconds())
+        self._relent_grants.expire(self._now_seconds())
 
     def _can_grant(self, tokens: float) -> bool:
         if self.ledger.level_tokens < tokens:
-            self.ledger.recount()
-        have_tokens = self.ledger.level_tokens + self.lenders.left_tokens()
-        return have_tokens + limits.TINY_TOKENS >= tokens
+            self.ledger.replay()
+        have_tokens = (
+            self.ledger.level_tokens + self.lenders.available_tokens()
+        )
+        return have_tokens + limits.EPSILON_TOKENS >= tokens
 
     def _grant(self, queued: request_queues.QueuedRequest) -> None:
         # Loans expire, so they are spent before the own bucket's tokens.
         level_tokens = self.ledger.level_tokens
-        have_tokens = level_tokens + self.lenders.left_tokens()
+        have_tokens = level_tokens + self.lenders.available_tokens()
         spare_tokens = max(0.0, have_tokens - queued.needed_tokens)
         wanted_tokens = queued.needed_tokens + min(
             queued.ahead_tokens, spare_tokens * AHEAD_FRACTION
         )
-        loans = self.lenders.take(wanted_tokens)
+        loans = self.lenders.charge(wanted_tokens)
         borrowed_tokens = sum(loan.tokens for loan in loans)
         own_tokens = max(0.0, wanted_tokens - borrowed_tokens)
         own_tokens = min(own_tokens, level_tokens)
-        life_seconds = self.lenders.life_seconds(loans)
+        life_seconds = self.lenders.remaining_seconds(loans)
         self._relent_grants.add(
             queued.asker,
             queued.number,
@@ -163,7 +165,7 @@
         self, asker: ids.InstanceId, request: rate_messages.TokensAsked
     ) -> None:
         # Requests of the own data centre take precedence over loans.
-        self.ledger.recount()
+        self.ledger.replay()
         spare_tokens = max(
             0.0, self.ledger.level_tokens - self._queue.needed_tokens
         )
@@ -174,7 +176,7 @@
             request.number,
             own_tokens=tokens,
             tokens=tokens,
-            life_seconds=limits.GRANT_SECONDS,
+            life_seconds=limits.GRANT_VALID_SECONDS,
         )
 
     def _debit_and_answer(
@@ -190,10 +192,10 @@
         # the check comes right before the debit.
         if not self._context.holds():
             return
-        if tokens <= limits.TINY_TOKENS:
+        if tokens <= limits.EPSILON_TOKENS:
             self._answer(asker, number)
             return
-        self.ledger.give(
+        self.ledger.debit(
             asker=asker,
             number=number,
             tokens=own_tokens,
@@ -236,9 +238,11 @@
         )
 
     def _borrow(self) -> None:
-        have_tokens = self.ledger.level_tokens + self.lenders.left_tokens()
+        have_tokens = (
+            self.ledger.level_tokens + self.lenders.available_tokens()
+        )
         # Borrows ahead of need instead of once for each request.
-        self.lenders.ask(
+        self.lenders.request_tokens(
             self._context.lender_parts(),
             short_tokens=self._queue.needed_tokens - have_tokens,
             ahead_tokens=self._queue.ahead_tokens,
@@ -256,9 +260,9 @@
         for queued in self._queue:
             before_tokens += queued.needed_tokens
             ready_seconds = self._ready_in_seconds(before_tokens)
-            waited_seconds = now_seconds - queued.came_at_seconds
+            waited_seconds = now_seconds - queued.received_at_seconds
             expected = limits.IN_FLIGHT_SECONDS if in_flight else ready_seconds
-            if waited_seconds + expected > limits.QUEUE_SECONDS:
+            if waited_seconds + expected > limits.MAX_QUEUE_SECONDS:
                 self._queue.remove(queued)
                 before_tokens -= queued.needed_tokens
                 self._answer(
@@ -269,8 +273,11 @@
                 continue
             if next_seconds is None:
                 next_seconds = ready_seconds
-            if not queued.told and expected > limits.RETRY_SECONDS / 2:
-                queued.told = True
+            if (
+                not queued.wait_announced
+                and expected > limits.RETRY_SECONDS / 2
+            ):
+                queued.wait_announced = True
                 self._answer(
                     queued.asker,
                     queued.number,
@@ -281,10 +288,12 @@
 
     def _ready_in_seconds(self, tokens: float) -> float:
         rate = self.ledger.limit.rate_tokens_per_second
-        rate += self.lenders.rate(self._context.lender_parts())
+        rate += self.lenders.responsive_rate(self._context.lender_parts())
         if rate <= 0:
-            return limits.REFUND_SECONDS
-        short = tokens - self.ledger.level_tokens - self.lenders.left_tokens()
+            return limits.SETTLE_TIMEOUT_SECONDS
+        short = (
+            tokens - self.ledger.level_tokens - self.lenders.available_tokens()
+        )
         wait_seconds = self.ledger.starts_in_seconds(self._now_seconds())
         return wait_seconds + max(0.001, short / rate)
 
--- a/src/boragefold/coordination/rates/relent_grants.py
+++ b/src/boragefold/coordination/rates/relent_grants.py
@@ -15,7 +15,7 @@
     """The loans contained in one grant."""
 
     loans: list[lending.Loan]
-    given_at_seconds: float
+    granted_at_seconds: float
 
 
 class RelentGrants:
@@ -48,7 +48,7 @@
         """
         if loans:
             self._relent_grants[asker, number] = _RelentGrant(
-                loans=loans, given_at_seconds=now_seconds
+                loans=loans, granted_at_seconds=now_seconds
             )
 
     def report(
@@ -77,16 +77,16 @@
             self._relent_grants.pop(key, None)
         return charged_tokens
 
-    def forget_old(self, now_seconds: float) -> None:
+    def expire(self, now_seconds: float) -> None:
         """Remove grants that are too old to be settled.
 
         :param now_seconds: current time
         """
-        oldest_seconds = now_seconds - limits.REFUND_SECONDS
+        oldest_seconds = now_seconds - limits.SETTLE_TIMEOUT_SECONDS
         self._relent_grants = {
             key: relent_grant
             for key, relent_grant in self._relent_grants.items()
-            if relent_grant.given_at_seconds > oldest_seconds
+            if relent_grant.granted_at_seconds > oldest_seconds
         }
 
 
--- a/src/boragefold/coordination/rates/reports.py
+++ b/src/boragefold/coordination/rates/reports.py
@@ -63,7 +63,7 @@
             list[tuple[ReportSource, tuple[rate_messages.Usage, ...]]],
         ] = {}
         for each in due:
-            usages = each.grant_pool.due_usages(after_seconds=after_seconds)
+            usages = each.grant_pool.due_reports(after_seconds=after_seconds)
             holder = each.find_holder() if usages else None
             if holder is not None:
                 by_holder.setdefault(holder, []).append((each, usages))
@@ -71,13 +71,13 @@
             for start in range(0, len(found), MAX_WORKSPACES):
                 self._send_batch(holder, found[start : start + MAX_WORKSPACES])
 
-    def noted(self, number: int) -> None:
+    def acknowledge(self, number: int) -> None:
         """Process an acknowledgement.
 
         :param number: number of the acknowledged message
         """
         for grant_pool, usages in self._unacknowledged.pop(number, ()):
-            grant_pool.noted(usages)
+            grant_pool.acknowledge(usages)
 
     def _send_batch(
         self,
--- a/src/boragefold/coordination/rates/request_queue.py
+++ b/src/boragefold/coordination/rates/request_queue.py
@@ -16,8 +16,8 @@
     number: int
     needed_tokens: float
     ahead_tokens: float
-    came_at_seconds: float
-    told: bool = False
+    received_at_seconds: float
+    wait_announced: bool = False
 
 
 class RequestQueue:
--- a/src/boragefold/coordination/rates/service.py
+++ b/src/boragefold/coordination/rates/service.py
@@ -75,13 +75,13 @@
             begin=self._create_rate_holder,
             send=self._send,
         )
-        self.stock = granted_tokens.GrantedTokens(
+        self.token_balance = granted_tokens.GrantedTokens(
             timers=timers,
             counters=counters,
             limit_of=lambda workspace: self._limits.get(workspace),
             open_grant_pool=self._open_grant_pool,
             has_holder=lambda workspace: (
-                self._holder_lookup.here(workspace) is not None
+                self._holder_lookup.find_local(workspace) is not None
             ),
         )
         self._reports = reporting.Reports(
@@ -92,7 +92,7 @@
             rate_messages.TokensGiven: self._receive_grant,
             rate_messages.UsagesReported: self._receive_reports,
             rate_messages.UsagesNoted: self._receive_acknowledgement,
-            rate_messages.BucketHandedOver: self._held_rates.handed_over,
+            rate_messages.BucketHandedOver: self._held_rates.receive_bucket,
         }
         for kind, handler in self._handlers.items():
             peers.subscribe(kind, handler)
@@ -127,7 +127,7 @@
 
     def leave(self) -> None:
         """Hand over all buckets at the start of a planned stop."""
-        self._held_rates.give_up()
+        self._held_rates.hand_over_all()
 
     def buckets(self, now_seconds: float) -> list[ledgers.Ledger]:
         """List the buckets that this instance holds now, for inspection.
@@ -142,7 +142,7 @@
         ]
         for ledger in held:
             ledger.advance(now_seconds)
-            ledger.recount()
+            ledger.replay()
         return held
 
     def _apply_limits(self) -> None:
@@ -155,28 +155,28 @@
         )
 
     def _view_changed(self, view: membership.View | None) -> None:
-        self._held_rates.review()
-        self.stock.holder_changed()
+        self._held_rates.apply_view()
+        self.token_balance.reset_requests()
 
     def _tick(self) -> None:
         for rate_holder in self._held_rates:
             rate_holder.tick()
-        self.stock.tick()
+        self.token_balance.tick()
         self._reports.flush(
             itertools.chain(self._granted_pools(), self._borrowed_pools()),
             after_seconds=REPORT_SECONDS,
         )
 
     def _granted_pools(self) -> Iterator[reporting.ReportSource]:
-        for workspace, grant_pool in self.stock.items():
-            find = functools.partial(self._holder_lookup.here, workspace)
+        for workspace, grant_pool in self.token_balance.items():
+            find = functools.partial(self._holder_lookup.find_local, workspace)
             yield reporting.ReportSource(find, workspace, grant_pool)
 
     def _borrowed_pools(self) -> Iterator[reporting.ReportSource]:
         for rate_holder in self._held_rates:
             for data_centre, grant_pool in rate_holder.lenders.items():
                 find = functools.partial(
-                    self._holder_lookup.elsewhere,
+                    self._holder_lookup.find_remote,
                     data_centre,
                     rate_holder.workspace,
                 )
@@ -199,7 +199,7 @@
                 workspace=workspace,
                 data_centre=self._link.self_id.data_centre,
                 send=self._send,
-                holds=lambda: self._holder_lookup.ours(workspace),
+                holds=lambda: self._holder_lookup.is_own(workspace),
                 lender_parts=lambda: self._lender_parts(workspace),
             ),
             now_seconds=self._timers.now_seconds,
@@ -227,14 +227,14 @@
         )
 
     def _ask_holder(self, asked: rate_messages.TokensAsked) -> None:
-        holder = self._holder_lookup.here(asked.workspace)
+        holder = self._holder_lookup.find_local(asked.workspace)
         if holder is not None:
             self._send(holder, asked)
 
     def _ask_lender(
         self, data_centre: str, asked: rate_messages.TokensAsked
     ) -> None:
-        lender = self._holder_lookup.elsewhere(data_centre, asked.workspace)
+        lender = self._holder_lookup.find_remote(data_centre, asked.workspace)
         if lender is not None:
             self._send(lender, asked)
 
@@ -250,31 +250,31 @@
         for report in reported.reports:
             rate_holder = self._held_rates.find(report.workspace)
             if rate_holder is not None:
-                rate_holder.reported(sender, report.usages)
+                rate_holder.receive_reports(sender, report.usages)
         self._send(sender, rate_messages.UsagesNoted(reported.number))
 
     def _receive_acknowledgement(
         self, sender: ids.InstanceId, noted: rate_messages.UsagesNoted
     ) -> None:
-        self._reports.noted(noted.number)
+        self._reports.acknowledge(noted.number)
 
     def _receive_request(
         self, sender: ids.InstanceId, asked: rate_messages.TokensAsked
     ) -> None:
         rate_holder = self._held_rates.find(asked.workspace)
         if rate_holder is not None:
-            rate_holder.asked(sender, asked)
+            rate_holder.receive_request(sender, asked)
             self._serve(asked.workspace, rate_holder)
 
     def _receive_grant(
         self, sender: ids.InstanceId, given: rate_messages.TokensGiven
     ) -> None:
         if sender.data_centre == self._link.self_id.data_centre:
-            self.stock.answer(given)
+            self.token_balance.receive(given)
             return
         rate_holder = self._held_rates.find(given.workspace)
         if rate_holder is not None:
-            rate_holder.answered(sender, given)
+            rate_holder.receive_loan(sender, given)
             self._serve(given.workspace, rate_holder)
 
     def _serve(
--- a/src/boragefold/coordination/rates/shares.py
+++ b/src/boragefold/coordination/rates/shares.py
@@ -294,7 +294,8 @@
         if self._raise_timer is not None:
             self._raise_timer.cancel()
         self._raise_timer = self._timers.once(
-            delay_seconds=limits.GRANT_SECONDS + limits.MARGIN_SECONDS,
+            delay_seconds=limits.GRANT_VALID_SECONDS
+            + limits.CLOCK_DRIFT_SECONDS,
             callback=self._apply_raise,
         )
 
--- a/src/boragefold/coordination/rates/workspace_state.py
+++ b/src/boragefold/coordination/rates/workspace_state.py
@@ -29,27 +29,30 @@
     grant_pool: grant_pools.GrantPool
     use: usage.RecentUse
     fetch_ahead: bool
-    wanted_tokens: float = 0.0
-    wanted_at_seconds: float = 0.0
+    demand_tokens: float = 0.0
+    demand_at_seconds: float = 0.0
     refused_tokens: float = 0.0
     retry: timing.Subscription | None = None
 
-    def covers(self, tokens: float) -> bool:
+    def has_tokens(self, tokens: float) -> bool:
         """Return whether enough tokens are available now.
 
         :param tokens: required tokens
         :return: whether they are available
         """
-        return self.grant_pool.left_tokens() + limits.TINY_TOKENS >= tokens
+        return (
+            self.grant_pool.available_tokens() + limits.EPSILON_TOKENS
+            >= tokens
+        )
 
-    def is_wanted(self, now_seconds: float) -> bool:
+    def has_demand(self, now_seconds: float) -> bool:
         """Return whether a request recently failed for lack of tokens.
 
         :param now_seconds: current time
         :return: whether the demand of that request is still current
         """
-        age_seconds = now_seconds - self.wanted_at_seconds
-        return self.wanted_tokens > 0 and age_seconds < DEMAND_SECONDS
+        age_seconds = now_seconds - self.demand_at_seconds
+        return self.demand_tokens > 0 and age_seconds < DEMAND_SECONDS
 
 
 __all__ = [
--- a/src/boragefold/entry/chat_assembly.py
+++ b/src/boragefold/entry/chat_assembly.py
@@ -95,7 +95,7 @@
         endpoints = fleet.Endpoints()
         self._dispatcher = assembly.assemble(
             endpoints=endpoints,
-            token_balance=cluster.rates.stock,
+            token_balance=cluster.rates.token_balance,
             load_budget=store_budget.StoreBudget(budget=cluster.load_budget),
             rights=rights,
             instances=lambda: 1 + len(cluster.others()),
@@ -169,7 +169,9 @@
         cluster.tree.subscribe(self._on_change)
         cluster.catalogue.subscribe_leaving(lambda record: self._refresh())
         cluster.catalogue.subscribe_withdrawn(self.controller.revoke_key)
-        cluster.rates.stock.subscribe(lambda workspace: self.controller.run())
+        cluster.rates.token_balance.subscribe(
+            lambda workspace: self.controller.run()
+        )
         cluster.load_budget.subscribe(self.controller.run)
         self.orders.leases.subscribe(self._use_queue.on_lease_granted)
 
--- a/tests/coordination/rates/test_faults.py
+++ b/tests/coordination/rates/test_faults.py
@@ -53,7 +53,9 @@
         name = process.node.self_id.incarnation
         if name not in self.subscribed:
             self.subscribed.add(name)
-            process.rates.stock.subscribe(lambda _: self.retry(process))
+            process.rates.token_balance.subscribe(
+                lambda _: self.retry(process)
+            )
         tokens = self.random.choice((5.0, 40.0, 100.0, 300.0, 900.0))
         self.waiting[name] = tokens
         self.retry(process)
@@ -235,4 +237,7 @@
 
 
 def test_longest_lives_fit_together() -> None:
-    assert limits.QUEUE_SECONDS + limits.RETRY_SECONDS < limits.GRANT_SECONDS
+    assert (
+        limits.MAX_QUEUE_SECONDS + limits.RETRY_SECONDS
+        < limits.GRANT_VALID_SECONDS
+    )
--- a/tests/coordination/rates/test_ledger.py
+++ b/tests/coordination/rates/test_ledger.py
@@ -20,7 +20,7 @@
 
 def give(ledger: ledgers.Ledger, number: int, tokens: float, at: float):
     ledger.advance(at)
-    ledger.give(asker=ASKER, number=number, tokens=tokens, now_seconds=at)
+    ledger.debit(asker=ASKER, number=number, tokens=tokens, now_seconds=at)
 
 
 def report(ledger, number: int, charged: float, at: float, final=True):
@@ -32,7 +32,7 @@
         final=final,
         now_seconds=at,
     )
-    ledger.recount()
+    ledger.replay()
 
 
 def test_a_late_remainder_can_not_exceed_the_burst() -> None:
@@ -90,7 +90,7 @@
 
 def test_a_lower_rate_holds_at_once() -> None:
     ledger = full()
-    ledger.change(limits.Limit(10.0, 30.0), now_seconds=10.0)
+    ledger.change_limit(limits.Limit(10.0, 30.0), now_seconds=10.0)
     assert ledger.level_tokens == 30.0
 
 
@@ -135,7 +135,7 @@
     # stopped occupying the bucket, the refill would be granted on top of them.
     ledger = full()
     give(ledger, 0, 250.0, 10.0)
-    ledger.change(limits.Limit(110.0, 300.0), now_seconds=10.5)
+    ledger.change_limit(limits.Limit(110.0, 300.0), now_seconds=10.5)
     ledger.advance(11.9)
     assert ledger.occupied_tokens == 250.0
     assert ledger.level_tokens <= 50.0 + TINY
--- a/tests/fakes/rates.py
+++ b/tests/fakes/rates.py
@@ -115,7 +115,7 @@
     def reserve(
         self, process: Process, tokens: float
     ) -> token_balance.Reservation | token_balance.Shortfall:
-        result = process.rates.stock.reserve(
+        result = process.rates.token_balance.reserve(
             workspace=WORKSPACE, tokens=tokens
         )
         if isinstance(result, token_balance.Reservation):
@@ -145,7 +145,9 @@
         used_tokens: float,
     ) -> None:
         self.used[id(reservation)] = used_tokens
-        process.rates.stock.settle(reservation, used_tokens=used_tokens)
+        process.rates.token_balance.settle(
+            reservation, used_tokens=used_tokens
+        )
 
     def run_for(self, duration_seconds: float) -> None:
         self.network.run_for(duration_seconds)
