--- a/src/boragefold/entry/chat_sender.py
+++ b/src/boragefold/entry/chat_sender.py
@@ -38,12 +38,12 @@
         :param chat: the chat request
         :param endpoint: name of the endpoint
         """
-        needs = chat.work.adapter_version
+        adapter_version = chat.work.adapter_version
         address = self._address_of(endpoint)
         if address is None:
             # The endpoint was removed after the scheduler had chosen it.
             self._fail_later(chat, "unlisted")
-        elif not needs.adapter:
+        elif not adapter_version.adapter:
             chat.send(
                 endpoint=endpoint,
                 address=address,
@@ -53,7 +53,7 @@
             chat.endpoint = endpoint
             self._queue.start(
                 endpoint=endpoint,
-                adapter=needs,
+                adapter=adapter_version,
                 on_granted=lambda use: self._send_with_lease(
                     chat, address, use
                 ),
--- a/src/boragefold/entry/dialect.py
+++ b/src/boragefold/entry/dialect.py
@@ -21,7 +21,7 @@
     """A caller's request after parsing.
 
     ``deadline_seconds`` is the caller's timeout, None if it states none.
-    ``needs`` is the adapter that the request must run on, None for a plain
+    ``adapter`` is the one that the request must run on, None for a plain
     service. ``usage_tokens`` is the amount charged to a rate limit in tokens,
     None if the request states no tokens. ``last_event_id`` is the event after
     which the caller resumes a stream.
@@ -32,7 +32,7 @@
     path: str
     key: str
     deadline_seconds: float | None
-    needs: deployment.AdapterKey | None
+    adapter: deployment.AdapterKey | None
     prompt_tokens: int
     output_tokens: int
     usage_tokens: float | None
--- a/src/boragefold/entry/gateway.py
+++ b/src/boragefold/entry/gateway.py
@@ -132,7 +132,7 @@
         admitted: request_context.AdmittedRequest,
         exchange: http_server.Exchange,
     ) -> None:
-        adapter = admitted.request.needs
+        adapter = admitted.request.adapter
         if admitted.service.engine is None or adapter is None:
             service_forwarding.ServiceForwarding(
                 admitted=admitted, exchange=exchange, shared=self._shared
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -69,10 +69,10 @@
         settings: gateway_settings.GatewaySettings,
         dialect: dialects.Dialect,
         engines: engine_dialect.EngineDialect,
-        store: store_follower.StoreDialect,
+        store_dialect: store_follower.StoreDialect,
         prefixes: tuple[str, ...],
-        matters: published_items.Matters,
-        make_reader: Callable[
+        must_relay: published_items.Matters,
+        make_subscriber: Callable[
             [fleets.Fleet, removal_grace.RemovalGrace],
             published_items.Subscriber,
         ],
@@ -83,11 +83,12 @@
         :param settings: validated settings
         :param dialect: encodes and decodes HTTP of callers and endpoints
         :param engines: encodes and decodes the calls that manage adapters
-        :param store: encodes and decodes the calls on the store
+        :param store_dialect: encodes and decodes the calls on the store
         :param prefixes: key prefixes that are read from the store
-        :param matters: tells which changes of published items must be relayed
-            to instances that don't read the store
-        :param make_reader: creates the subscriber that applies published items
+        :param must_relay: tells which changes of published items must be
+            relayed to instances that don't read the store
+        :param make_subscriber: creates the subscriber that applies published
+            items
         :param read_settings: reads the settings again, for a reload
         """
         self.settings = settings
@@ -104,7 +105,7 @@
         self._rng = random.Random()
         self._fleet = fleets.Fleet()
         self._items = published_items.PublishedItems(
-            matters=matters, prefixes=prefixes
+            matters=must_relay, prefixes=prefixes
         )
         self._fleet_log = fleet_log.FleetLog(
             fleet=self._fleet, items=self._items, log=self.log
@@ -114,7 +115,7 @@
             drop=self._fleet.drop_endpoint,
             store_was_up=self._store_was_up,
         )
-        self._items.subscribe(make_reader(self._fleet, self._grace))
+        self._items.subscribe(make_subscriber(self._fleet, self._grace))
         self._sockets = sockets.SocketSet(poller=self.loop.poller)
         self._sockets.register(self.loop)
         self._client = http_client.HttpClient(
@@ -124,14 +125,14 @@
         )
         self._followers = store_followers.StoreFollowers(
             prefixes=prefixes,
-            dialect=store,
+            dialect=store_dialect,
             client=self._client,
             items=self._items,
             timers=self.timers,
             counters=self.counters,
             log=self.log,
             rng=self._rng,
-            wanted=self._wants_to_read,
+            must_read=self._must_read,
             grace=self._grace,
         )
         self._link = self_link.SelfLink(
@@ -252,7 +253,7 @@
         self._heartbeats.add_seeds(settings.seeds)
         self._rate.tolerance = settings.rate_tolerance
 
-    def _wants_to_read(self) -> bool:
+    def _must_read(self) -> bool:
         return readers.reads(self._link.self_id, self._members.reachable())
 
     def _make_beat(self) -> messages.Beat:
@@ -263,8 +264,8 @@
             engines=self._owner.statuses(),
             avoids=self._owner.engines_to_release(),
             link_megabits=self.settings.link_megabits,
-            store_sound=self._followers.is_store_sound(),
-            store_lost=self._followers.any_lost(),
+            store_sound=self._followers.is_store_healthy(),
+            store_lost=self._followers.any_failing(),
             unheard=self._members.unheard(),
         )
 
--- a/src/boragefold/entry/store_follower.py
+++ b/src/boragefold/entry/store_follower.py
@@ -15,18 +15,18 @@
 from boragefold.transport import whole_answer
 
 # Long-poll time; also bounds how long a dead connection goes unnoticed.
-WAIT_SECONDS = 2.0
+LONG_POLL_SECONDS = 2.0
 # How long an answer may be late after the end of a long poll.
-SILENCE_SECONDS = 0.7
+ANSWER_MARGIN_SECONDS = 0.7
 # Changes that come in quick succession share one read.
 READ_PAUSE_SECONDS = 0.7
 FIRST_RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 1.0
 # How often an instance that doesn't read the store checks whether it has to.
-REST_SECONDS = 0.3
+IDLE_CHECK_SECONDS = 0.3
 # Endpoints renew their entries at least this often, so a watch on them is
 # answered within this time while the store works.
-SOUND_SECONDS = 1.0
+HEALTHY_SECONDS = 1.0
 # An answer this old no longer proves that the store works.
 STALE_SECONDS = 3.0
 
@@ -116,8 +116,8 @@
         counters: telemetry.Counters,
         log: decision_log.DecisionLog,
         rng: random.Random,
-        wanted: Callable[[], bool] = lambda: True,
-        returned: Callable[[], None] = lambda: None,
+        must_read: Callable[[], bool] = lambda: True,
+        on_recovery: Callable[[], None] = lambda: None,
     ) -> None:
         """Create a follower that has read nothing yet.
 
@@ -129,9 +129,9 @@
         :param counters: metrics of this process
         :param log: decision log of this process
         :param rng: adds jitter to the retries
-        :param wanted: tells whether this instance has to go on reading the
+        :param must_read: tells whether this instance has to go on reading the
             store after its first listing
-        :param returned: called when the store answers after a failure
+        :param on_recovery: called when the store answers after a failure
         """
         self._prefix = prefix
         self._dialect = dialect
@@ -141,8 +141,8 @@
         self._counters = counters
         self._log = log
         self._rng = rng
-        self._wanted = wanted
-        self._returned = returned
+        self._must_read = must_read
+        self._on_recovery = on_recovery
         self._paused = False
         self._listed: list[published_items.Item] = []
         self._listed_revision: int | None = None
@@ -166,7 +166,7 @@
         now_seconds = self._timers.now_seconds()
         return now_seconds - self._answered_at_seconds > STALE_SECONDS
 
-    def is_sound(self) -> bool:
+    def is_healthy(self) -> bool:
         """Tell whether the store has just answered this instance.
 
         :return: whether others can rely on the store being up
@@ -174,9 +174,9 @@
         if self._failing or self._paused or self._answered_at_seconds is None:
             return False
         age_seconds = self._timers.now_seconds() - self._answered_at_seconds
-        return age_seconds < SOUND_SECONDS
+        return age_seconds < HEALTHY_SECONDS
 
-    def is_lost(self) -> bool:
+    def is_failing(self) -> bool:
         """Tell whether the last call on the store failed or is overdue.
 
         :return: whether others can't rely on this instance to read the store
@@ -218,13 +218,15 @@
         self._watch()
 
     def _watch(self) -> None:
-        self._paused = not self._wanted()
+        self._paused = not self._must_read()
         if self._paused:
             # Enough other instances of the data centre read the store.
-            self._timers.once(delay_seconds=REST_SECONDS, callback=self._watch)
+            self._timers.once(
+                delay_seconds=IDLE_CHECK_SECONDS, callback=self._watch
+            )
             return
         call = self._dialect.watch_call(
-            self._prefix, self._revision or 0, WAIT_SECONDS
+            self._prefix, self._revision or 0, LONG_POLL_SECONDS
         )
         self._send(call, self._handle_events)
 
@@ -267,7 +269,7 @@
         if self._failing:
             self._failing = False
             self._log.write("store_regained", prefix=self._prefix)
-            self._returned()
+            self._on_recovery()
 
     def _retry_later(self, reason: str, again: Callable[[], None]) -> None:
         self._counters.add("store_failures", reason)
--- a/src/boragefold/entry/store_followers.py
+++ b/src/boragefold/entry/store_followers.py
@@ -28,7 +28,7 @@
         counters: telemetry.Counters,
         log: decision_log.DecisionLog,
         rng: random.Random,
-        wanted: Callable[[], bool],
+        must_read: Callable[[], bool],
         grace: removal_grace.RemovalGrace,
     ) -> None:
         """Create the followers without starting them.
@@ -41,7 +41,7 @@
         :param counters: metrics of this process
         :param log: decision log of this process
         :param rng: adds jitter to the retries
-        :param wanted: tells whether this instance has to read the store
+        :param must_read: tells whether this instance has to read the store
         :param grace: is notified when the store is back
         """
         self._grace = grace
@@ -55,8 +55,8 @@
                 counters=counters,
                 log=log,
                 rng=rng,
-                wanted=wanted,
-                returned=grace.store_returned,
+                must_read=must_read,
+                on_recovery=grace.store_returned,
             )
             for prefix in prefixes
         ]
@@ -73,23 +73,23 @@
         """
         return any(follower.is_stale() for follower in self._followers)
 
-    def any_lost(self) -> bool:
+    def any_failing(self) -> bool:
         """Tell whether the store failed any follower.
 
         :return: whether a follower's last call failed or is overdue
         """
-        return any(follower.is_lost() for follower in self._followers)
+        return any(follower.is_failing() for follower in self._followers)
 
-    def is_store_sound(self) -> bool:
+    def is_store_healthy(self) -> bool:
         """Tell whether others can rely on the store being up.
 
         :return: whether it has just answered and hasn't failed recently
         """
-        if self._grace.settling_seconds() > 0 or self.any_lost():
+        if self._grace.settling_seconds() > 0 or self.any_failing():
             return False
         # A watch on a rarely changed prefix gets no answers for long, but
         # endpoints renew their entries all the time.
-        return any(follower.is_sound() for follower in self._followers)
+        return any(follower.is_healthy() for follower in self._followers)
 
 
 __all__ = [
--- a/tests/entry/conftest.py
+++ b/tests/entry/conftest.py
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture
-def sound(machines):
+def clear_faults(machines):
     yield
     for name in machines.endpoints:
         machines.faults(name)
--- a/tests/entry/test_gateway.py
+++ b/tests/entry/test_gateway.py
@@ -13,7 +13,7 @@
 # On a busy machine an adapter may load later than estimated several times.
 MAX_ATTEMPTS = 8
 
-pytestmark = pytest.mark.usefixtures("sound")
+pytestmark = pytest.mark.usefixtures("clear_faults")
 
 
 def _generate_with_retries(machines, adapter, *, number):
--- a/tests/entry/test_gateway_processes.py
+++ b/tests/entry/test_gateway_processes.py
@@ -11,7 +11,7 @@
 
 from tests.fakes import machines as machines_module
 
-pytestmark = pytest.mark.usefixtures("sound")
+pytestmark = pytest.mark.usefixtures("clear_faults")
 
 
 def test_a_killed_instance_is_replaced_and_served_again(machines) -> None:
--- a/tests/entry/test_operations.py
+++ b/tests/entry/test_operations.py
@@ -14,7 +14,7 @@
 PAGE = pathlib.Path("docs/OPERATIONS.md")
 GATEWAYS = 1
 
-pytestmark = pytest.mark.usefixtures("sound")
+pytestmark = pytest.mark.usefixtures("clear_faults")
 
 
 def read_story(machines, request_id):
--- a/tests/entry/test_store_follower.py
+++ b/tests/entry/test_store_follower.py
@@ -38,7 +38,7 @@
 class Harness:
     """A follower whose calls are recorded and answered by the test."""
 
-    def __init__(self, *, wanted=lambda: True):
+    def __init__(self, *, must_read=lambda: True):
         self.clock = clocks.VirtualClock()
         self.timers = timing.TimerService(clock=self.clock)
         self.items = published_items.PublishedItems()
@@ -53,7 +53,7 @@
             counters=telemetry.Counters(),
             log=self.log,
             rng=random.Random(1),
-            wanted=wanted,
+            must_read=must_read,
         )
         self.follower.start()
 
@@ -136,12 +136,12 @@
         harness.pass_time(0.25)
     assert 8 <= asked <= 20
     assert harness.log.events == ["store_lost"]
-    assert harness.follower.is_lost()
+    assert harness.follower.is_failing()
     while not harness.calls:
         harness.pass_time(0.1)
     harness.answer(store_follower.Events((), 5))
     assert harness.log.events == ["store_lost", "store_regained"]
-    assert not harness.follower.is_lost()
+    assert not harness.follower.is_failing()
 
 
 def test_a_silent_store_makes_what_is_known_stale() -> None:
@@ -154,11 +154,11 @@
 
 def test_an_instance_that_isnt_wanted_reads_once_and_rests() -> None:
     wanted = []
-    harness = Harness(wanted=lambda: bool(wanted))
+    harness = Harness(must_read=lambda: bool(wanted))
     answer_listing(harness)
     harness.pass_time(10.0)
     assert not harness.calls
     assert harness.follower.is_stale()
     wanted.append(True)
-    harness.pass_time(store_follower.REST_SECONDS)
+    harness.pass_time(store_follower.IDLE_CHECK_SECONDS)
     assert harness.take()[0] == ("watch", 5)
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -66,14 +66,14 @@
     assert request.path == "/notes/x"
     assert request.key == "secret"
     assert request.deadline_seconds == 4.0
-    assert request.needs == deployment.AdapterKey("base", "a7")
+    assert request.adapter == deployment.AdapterKey("base", "a7")
     assert (request.prompt_tokens, request.output_tokens) == (1460, 80)
     assert request.usage_tokens == 1540
 
 
 def test_a_request_without_the_optional_headers_is_understood(spoken) -> None:
     request = spoken.read_request(http({"host": "press.example"}))
-    assert request.needs is None
+    assert request.adapter is None
     assert request.deadline_seconds is None
     assert request.usage_tokens is None
 
