--- a/src/boragefold/entry/engine_forwarding.py
+++ b/src/boragefold/entry/engine_forwarding.py
@@ -142,7 +142,7 @@
             retry_after_seconds=round(retry_after_seconds, 3),
             wait_seconds=round(wait_seconds, 3),
         )
-        if reason == engine_schedule.BUSY:
+        if reason == engine_schedule.WOULD_BE_LATE:
             self._queue_seconds[engine] = wait_seconds
             self.begin()
             return
--- a/src/boragefold/entry/engine_owner.py
+++ b/src/boragefold/entry/engine_owner.py
@@ -333,7 +333,7 @@
             )
         elif isinstance(action, engine_decisions.Refusal):
             self._counters.add("engine_asks_refused", action.reason)
-            if action.reason != engine_schedule.BUSY:
+            if action.reason != engine_schedule.WOULD_BE_LATE:
                 # The requesting instance logs where the request went instead.
                 self._log_refusal(engine, action)
             self._link.send(
--- a/src/boragefold/policy/engine_schedule.py
+++ b/src/boragefold/policy/engine_schedule.py
@@ -42,7 +42,7 @@
 # A queue takes this long to change: earlier retries would be refused again.
 MIN_RETRY_AFTER_SECONDS = 0.2
 # Reason of the refusal of an eager request.
-BUSY = "busy"
+WOULD_BE_LATE = "busy"
 
 
 class EngineSchedule:
@@ -147,7 +147,7 @@
             wait_seconds = self._wait_seconds(waiting, now_seconds)
             return engine_decisions.Refusal(
                 request=request,
-                reason=BUSY,
+                reason=WOULD_BE_LATE,
                 retry_after_seconds=0.0,
                 wait_seconds=wait_seconds,
             )
@@ -542,6 +542,6 @@
 
 
 __all__ = [
-    "BUSY",
     "EngineSchedule",
+    "WOULD_BE_LATE",
 ]
--- a/tests/entry/test_engine_orders_walk.py
+++ b/tests/entry/test_engine_orders_walk.py
@@ -50,7 +50,7 @@
         wire.order_travel = draws.choice(ORDER_TRAVELS)
         if kind == "ask":
             run_seconds = draws.choice(RUN_SECONDS)
-            wire.ask(draws.choice(adapters), run_seconds=run_seconds)
+            wire.submit(draws.choice(adapters), run_seconds=run_seconds)
         elif kind == "report":
             wire.owned.request_report()
         elif kind == "pause":
--- a/tests/entry/test_owned_engine.py
+++ b/tests/entry/test_owned_engine.py
@@ -145,10 +145,10 @@
     """Queue requests for adapters that aren't loaded, and let time pass."""
     now_seconds = owned._timers.now_seconds()
     for step in range(round(seconds / 0.1)):
-        ask = engine_loads.ask(
+        request = engine_loads.make_request(
             f"r{now_seconds}-{step}", f"new-{step}", at=now_seconds
         )
-        owned.schedule.submit(ask, now_seconds=owned._timers.now_seconds())
+        owned.schedule.submit(request, now_seconds=owned._timers.now_seconds())
         owned.advance()
         network.run_for(0.1)
 
--- a/tests/fakes/chunked_engine.py
+++ b/tests/fakes/chunked_engine.py
@@ -22,7 +22,7 @@
 class Answer:
     """A request at the engine."""
 
-    ask: engine_decisions.EngineRequest
+    request: engine_decisions.EngineRequest
     unread: int
     read_at: float = 0.0
     tokens: int = 0
@@ -52,8 +52,10 @@
         ] = []
         self._order = itertools.count()
 
-    def submit(self, at: float, ask: engine_decisions.EngineRequest) -> None:
-        self._post(at, "ask", ask)
+    def submit(
+        self, at: float, request: engine_decisions.EngineRequest
+    ) -> None:
+        self._post(at, "ask", request)
 
     def run(self, until: float) -> None:
         now = 0.0
@@ -62,26 +64,26 @@
             now = self._step(now)
 
     def _post(
-        self, at: float, kind: str, ask: engine_decisions.EngineRequest
+        self, at: float, kind: str, request: engine_decisions.EngineRequest
     ) -> None:
-        heapq.heappush(self._messages, (at, next(self._order), kind, ask))
+        heapq.heappush(self._messages, (at, next(self._order), kind, request))
 
     def _deliver(self, now: float) -> None:
         while self._messages and self._messages[0][0] <= now:
-            at, _, kind, ask = heapq.heappop(self._messages)
+            at, _, kind, request = heapq.heappop(self._messages)
             if kind == "grant":
-                self.answers[ask.request_id] = Answer(
-                    ask=ask, unread=ask.prompt_tokens
+                self.answers[request.request_id] = Answer(
+                    request=request, unread=request.prompt_tokens
                 )
                 continue
             if kind == "ask":
-                refusal = self.schedule.submit(ask, now_seconds=at)
+                refusal = self.schedule.submit(request, now_seconds=at)
                 if refusal is not None:
-                    self.refused[ask.request_id] = refusal
+                    self.refused[request.request_id] = refusal
             elif kind == "started":
-                self.schedule.record_start(ask.request_id, now_seconds=at)
+                self.schedule.record_start(request.request_id, now_seconds=at)
             else:
-                self.schedule.remove(ask.request_id, now_seconds=at)
+                self.schedule.remove(request.request_id, now_seconds=at)
             for action in self.schedule.advance(now_seconds=at):
                 if isinstance(action, engine_decisions.Grant):
                     self._post(at + MESSAGE_SECONDS, "grant", action.request)
@@ -101,22 +103,22 @@
         return end
 
     def _answer(self, answer: Answer, now: float) -> None:
-        ask = answer.ask
-        if answer.unread or answer.tokens >= ask.output_tokens:
+        request = answer.request
+        if answer.unread or answer.tokens >= request.output_tokens:
             return
         answer.read_at = answer.read_at or now
         if now < answer.read_at + FIRST_EVENT_SECONDS:
             return
         answer.tokens += 1
         if answer.tokens == 1:
-            self._post(now + MESSAGE_SECONDS, "started", ask)
+            self._post(now + MESSAGE_SECONDS, "started", request)
             answer.event_at = now
         elif answer.tokens % self._event_tokens == 0:
             pause = now - answer.event_at
             answer.longest_pause = max(answer.longest_pause, pause)
             answer.event_at = now
-        if answer.tokens == ask.output_tokens:
-            self._post(now + MESSAGE_SECONDS, "ended", ask)
+        if answer.tokens == request.output_tokens:
+            self._post(now + MESSAGE_SECONDS, "ended", request)
 
 
 __all__ = [
--- a/tests/fakes/engine_loads.py
+++ b/tests/fakes/engine_loads.py
@@ -31,7 +31,7 @@
     return deployment.AdapterKey(MODEL, adapter)
 
 
-def ask(
+def make_request(
     request_id: str,
     adapter: str,
     *,
@@ -62,7 +62,7 @@
 
 
 class Bench:
-    """Feeds asks to a schedule and plays the engine's part."""
+    """Feeds requests to a schedule and plays the engine's part."""
 
     def __init__(
         self, *, newest: dict[deployment.AdapterKey, int] | None = None
@@ -168,6 +168,6 @@
     "ENGINE",
     "MODEL",
     "Outcome",
-    "ask",
     "key",
+    "make_request",
 ]
--- a/tests/fakes/engine_wire.py
+++ b/tests/fakes/engine_wire.py
@@ -78,20 +78,20 @@
             travel.there_seconds, lambda: self._arrive(call, sink, travel)
         )
 
-    def ask(self, adapter: str, *, run_seconds: float = 0.05) -> str:
-        """Let a request ask for an adapter.
+    def submit(self, adapter: str, *, run_seconds: float = 0.05) -> str:
+        """Submit a request for an adapter.
 
         :param adapter: its name
         :param run_seconds: how long its answer takes
         :return: the request
         """
         now_seconds = self.clock.now_seconds()
-        ask = engine_loads.ask(
+        request = engine_loads.make_request(
             f"{next(self._numbers)}/{run_seconds}", adapter, at=now_seconds
         )
-        self.owned.schedule.submit(ask, now_seconds=now_seconds)
+        self.owned.schedule.submit(request, now_seconds=now_seconds)
         self._in_process(self.advance)
-        return ask.request_id
+        return request.request_id
 
     def give_up(self, request_id: str) -> None:
         """Let the caller of a request leave.
@@ -182,28 +182,29 @@
             return None, b""
         return model_engine.OK, self._dialect.write_report(report)
 
-    def _run(self, ask: engine_decisions.EngineRequest) -> None:
-        run_seconds = float(ask.request_id.partition("/")[2])
-        if not self.engine.run(ask.adapter, seconds=run_seconds):
-            self._end(ask)
-            self.owned.record_missing(ask.adapter)
+    def _run(self, request: engine_decisions.EngineRequest) -> None:
+        run_seconds = float(request.request_id.partition("/")[2])
+        if not self.engine.run(request.adapter, seconds=run_seconds):
+            self._end(request)
+            self.owned.record_missing(request.adapter)
             return
         first_seconds = min(run_seconds, FIRST_EVENT_SECONDS)
         self._later(
-            first_seconds, lambda: self._in_process(lambda: self._start(ask))
+            first_seconds,
+            lambda: self._in_process(lambda: self._start(request)),
         )
         self._later(
-            run_seconds, lambda: self._in_process(lambda: self._end(ask))
+            run_seconds, lambda: self._in_process(lambda: self._end(request))
         )
 
-    def _start(self, ask: engine_decisions.EngineRequest) -> None:
+    def _start(self, request: engine_decisions.EngineRequest) -> None:
         self.owned.schedule.record_start(
-            ask.request_id, now_seconds=self.clock.now_seconds()
+            request.request_id, now_seconds=self.clock.now_seconds()
         )
 
-    def _end(self, ask: engine_decisions.EngineRequest) -> None:
+    def _end(self, request: engine_decisions.EngineRequest) -> None:
         self.owned.schedule.remove(
-            ask.request_id, now_seconds=self.clock.now_seconds()
+            request.request_id, now_seconds=self.clock.now_seconds()
         )
 
     def _later(self, seconds: float, callback: Callable[[], None]) -> None:
--- a/tests/policy/test_engine_places.py
+++ b/tests/policy/test_engine_places.py
@@ -18,7 +18,7 @@
 
 def unplaced(*keys):
     return [
-        engine_loads.ask(f"r{number}", each.adapter)
+        engine_loads.make_request(f"r{number}", each.adapter)
         for number, each in enumerate(keys)
     ]
 
--- a/tests/policy/test_engine_schedule.py
+++ b/tests/policy/test_engine_schedule.py
@@ -22,7 +22,9 @@
     # one load instead of causing ten.
     bench = engine_loads.Bench()
     for number in range(10):
-        bench.submit(0.001 * number, engine_loads.ask(f"r{number}", "a1"))
+        bench.submit(
+            0.001 * number, engine_loads.make_request(f"r{number}", "a1")
+        )
     bench.run(10.0)
     assert bench.loads("a1") == 1
     assert len(start_times(bench, "r")) == 10
@@ -34,9 +36,14 @@
     bench = engine_loads.Bench()
     for number in range(5):
         bench.submit(
-            0.0, engine_loads.ask(f"long{number}", f"a{number}", output=300)
+            0.0,
+            engine_loads.make_request(
+                f"long{number}", f"a{number}", output=300
+            ),
         )
-    bench.submit(0.9, engine_loads.ask("late", "a9", at=0.9, patience=8.0))
+    bench.submit(
+        0.9, engine_loads.make_request("late", "a9", at=0.9, patience=8.0)
+    )
     bench.run(1.5)
     unloads = [
         each
@@ -60,7 +67,9 @@
         popular = rng.random() < 0.5
         adapter = f"p{rng.randrange(3)}" if popular else f"cold{number}"
         kind = "popular" if popular else "cold"
-        bench.submit(at, engine_loads.ask(f"{kind}{number}", adapter, at=at))
+        bench.submit(
+            at, engine_loads.make_request(f"{kind}{number}", adapter, at=at)
+        )
     bench.run(60.0)
     popular_loads = sum(bench.loads(f"p{number}") for number in range(3))
     assert popular_loads <= 20
@@ -73,12 +82,16 @@
     # arrives behind it. Its first token must not wait for the burst.
     bench = engine_loads.Bench()
     for number in range(30):
-        bench.submit(0.5, engine_loads.ask(f"draft{number}", "a1", at=0.5))
+        bench.submit(
+            0.5, engine_loads.make_request(f"draft{number}", "a1", at=0.5)
+        )
     bench.submit(
         0.51,
-        engine_loads.ask("urgent", "a1", at=0.51, priority=0, prompt=1_100),
+        engine_loads.make_request(
+            "urgent", "a1", at=0.51, priority=0, prompt=1_100
+        ),
     )
-    bench.submit(0.0, engine_loads.ask("warm", "a1"))
+    bench.submit(0.0, engine_loads.make_request("warm", "a1"))
     bench.run(10.0)
     urgent_start = bench.outcomes["urgent"].started_seconds
     assert urgent_start is not None and urgent_start < 1.1
@@ -95,7 +108,7 @@
     for number in range(120):
         at = 1.0 + number / 30
         arrivals[f"r{number}"] = at
-        bench.submit(at, engine_loads.ask(f"r{number}", "a1", at=at))
+        bench.submit(at, engine_loads.make_request(f"r{number}", "a1", at=at))
     bench.run(30.0)
     refused = {
         request_id: outcome.refused_seconds - arrivals[request_id]
@@ -117,7 +130,7 @@
     # The message with the grant was lost and the sender repeats its request.
     # The schedule must not count the request twice.
     bench = engine_loads.Bench()
-    bench.submit(0.0, engine_loads.ask("r", "a1"))
+    bench.submit(0.0, engine_loads.make_request("r", "a1"))
     bench.run(0.3)
     granted = bench.schedule.find_grant("r")
     assert granted is not None and granted.request.request_id == "r"
@@ -128,7 +141,7 @@
     # The instance that sent a request was killed, and no end is ever reported.
     # The adapter slot and the memory of the request must not stay taken.
     bench = engine_loads.Bench()
-    one = engine_loads.ask("lost", "a1", patience=2.0)
+    one = engine_loads.make_request("lost", "a1", patience=2.0)
     bench.schedule.submit(one, now_seconds=0.0)
     for now in (0.0, 0.3):
         for action in bench.schedule.advance(now_seconds=now):
@@ -145,9 +158,11 @@
     # An instance restarts. Its earlier requests must not hold slots for
     # callers whose connections are gone.
     bench = engine_loads.Bench()
-    bench.schedule.submit(engine_loads.ask("r", "a1"), now_seconds=0.0)
+    bench.schedule.submit(
+        engine_loads.make_request("r", "a1"), now_seconds=0.0
+    )
     bench.schedule.remove_where(
-        lambda ask: ask.sender == engine_loads.SENDER, now_seconds=0.1
+        lambda request: request.sender == engine_loads.SENDER, now_seconds=0.1
     )
     assert bench.schedule.queued == 0
 
@@ -157,7 +172,7 @@
     # engine. It never has more than it prefills within the tolerated pause.
     bench = engine_loads.Bench()
     for number in range(20):
-        wanted = engine_loads.ask(f"r{number}", "a1")
+        wanted = engine_loads.make_request(f"r{number}", "a1")
         bench.submit(0.0, wanted._replace(event_gap_seconds=0.3))
     bench.run(0.4)
     unstarted = bench.schedule.summary()["unstarted_tokens"]
@@ -168,11 +183,15 @@
     # A long prompt waits while its adapter loads. Requests of a loaded adapter
     # must not wait behind it.
     bench = engine_loads.Bench()
-    bench.submit(0.0, engine_loads.ask("warm", "a1", output=200))
-    bench.submit(0.5, engine_loads.ask("here1", "a1", at=0.5, output=200))
-    long = engine_loads.ask("long", "a2", at=0.5, prompt=9_000, priority=0)
+    bench.submit(0.0, engine_loads.make_request("warm", "a1", output=200))
+    bench.submit(
+        0.5, engine_loads.make_request("here1", "a1", at=0.5, output=200)
+    )
+    long = engine_loads.make_request(
+        "long", "a2", at=0.5, prompt=9_000, priority=0
+    )
     bench.submit(0.5, long)
-    bench.submit(0.51, engine_loads.ask("here2", "a1", at=0.51))
+    bench.submit(0.51, engine_loads.make_request("here2", "a1", at=0.51))
     bench.run(5.0)
     assert bench.outcomes["here2"].started_seconds < 0.75
 
@@ -183,10 +202,10 @@
     # nor reset its arrival.
     bench = engine_loads.Bench()
     for number in range(9):
-        bench.submit(0.0, engine_loads.ask(f"r{number}", "a1"))
+        bench.submit(0.0, engine_loads.make_request(f"r{number}", "a1"))
     bench.run(0.01)
     assert bench.schedule.queued
-    repeated = engine_loads.ask("r8", "a1", prompt=90_000)
+    repeated = engine_loads.make_request("r8", "a1", prompt=90_000)
     assert bench.schedule.submit(repeated, now_seconds=0.02) is None
     bench.run(10.0)
     assert bench.outcomes["r8"].started_seconds is not None
@@ -199,11 +218,11 @@
     # up later is queued, and starts when its adapter is loaded.
     bench = engine_loads.Bench()
     bench.adapter_slots.orders_in_seconds = 2.0
-    impatient = engine_loads.ask("impatient", "a1", patience=1.5)
+    impatient = engine_loads.make_request("impatient", "a1", patience=1.5)
     refusal = bench.schedule.submit(impatient, now_seconds=0.0)
     assert refusal is not None and refusal.reason == "orders_wait"
     assert refusal.retry_after_seconds >= 2.0
-    patient = engine_loads.ask("patient", "a1", patience=4.0)
+    patient = engine_loads.make_request("patient", "a1", patience=4.0)
     assert bench.schedule.submit(patient, now_seconds=0.0) is None
 
 
@@ -213,12 +232,12 @@
     # engine is idle. Unless it isn't eager, it is refused at once.
     bench = engine_loads.Bench()
     for number in range(9):
-        queued = engine_loads.ask(f"r{number}", "a1")
+        queued = engine_loads.make_request(f"r{number}", "a1")
         assert bench.schedule.submit(queued, now_seconds=0.0) is None
-    eager = engine_loads.ask("eager", "a1")._replace(eager=True)
+    eager = engine_loads.make_request("eager", "a1")._replace(eager=True)
     refusal = bench.schedule.submit(eager, now_seconds=0.0)
     assert refusal is not None
-    assert refusal.reason == engine_schedule.BUSY
+    assert refusal.reason == engine_schedule.WOULD_BE_LATE
     assert refusal.wait_seconds > 0.5
     assert bench.schedule.queued == 9
     patient = eager._replace(eager=False)
@@ -230,13 +249,19 @@
     # short the queue is, while another engine has an idle one.
     bench = engine_loads.Bench()
     for number in range(5):
-        held = engine_loads.ask(f"r{number}", f"a{number}", output=400)
+        held = engine_loads.make_request(
+            f"r{number}", f"a{number}", output=400
+        )
         bench.submit(0.0, held)
     bench.run(2.0)
-    sixth = engine_loads.ask("sixth", "a9", at=2.0)._replace(eager=True)
+    sixth = engine_loads.make_request("sixth", "a9", at=2.0)._replace(
+        eager=True
+    )
     refusal = bench.schedule.submit(sixth, now_seconds=2.0)
-    assert refusal is not None and refusal.reason == engine_schedule.BUSY
-    held = engine_loads.ask("held", "a1", at=2.0)._replace(eager=True)
+    assert (
+        refusal is not None and refusal.reason == engine_schedule.WOULD_BE_LATE
+    )
+    held = engine_loads.make_request("held", "a1", at=2.0)._replace(eager=True)
     assert bench.schedule.submit(held, now_seconds=2.0) is None
 
 
@@ -246,11 +271,13 @@
     # slot, the second would start late as well.
     bench = engine_loads.Bench()
     for number in range(4):
-        long = engine_loads.ask(f"long{number}", f"a{number}", output=800)
+        long = engine_loads.make_request(
+            f"long{number}", f"a{number}", output=800
+        )
         bench.submit(0.0, long)
-    bench.submit(0.0, engine_loads.ask("ends", "a4", output=60))
-    bench.submit(0.4, engine_loads.ask("too_late", "a8", at=0.4))
-    bench.submit(0.9, engine_loads.ask("in_time", "a9", at=0.9))
+    bench.submit(0.0, engine_loads.make_request("ends", "a4", output=60))
+    bench.submit(0.4, engine_loads.make_request("too_late", "a8", at=0.4))
+    bench.submit(0.9, engine_loads.make_request("in_time", "a9", at=0.9))
     bench.run(6.0)
     assert 1.1 < bench.outcomes["ends"].started_seconds + 60 * 0.008 < 1.3
     assert bench.outcomes["in_time"].started_seconds < 1.9
@@ -265,7 +292,7 @@
     for number in range(60):
         at = 0.12 * number
         arrivals[f"r{number}"] = at
-        wanted = engine_loads.ask(
+        wanted = engine_loads.make_request(
             f"r{number}", f"a{number}", at=at, output=250, patience=8.0
         )
         bench.submit(at, wanted._replace(queue_deadline_seconds=at + 4.0))
@@ -285,13 +312,19 @@
     # would take a slot there too.
     bench = engine_loads.Bench()
     for number in range(5):
-        held = engine_loads.ask(f"r{number}", f"a{number}", output=400)
+        held = engine_loads.make_request(
+            f"r{number}", f"a{number}", output=400
+        )
         bench.submit(0.0, held)
     bench.run(1.5)
     for number in range(8):
-        waits_for_slot = engine_loads.ask(f"w{number}", f"b{number}", at=1.5)
+        waits_for_slot = engine_loads.make_request(
+            f"w{number}", f"b{number}", at=1.5
+        )
         bench.schedule.submit(waits_for_slot, now_seconds=1.5)
     assert bench.schedule.queued >= 4
-    joining = engine_loads.ask("joining", "a1", at=1.5)._replace(eager=True)
+    joining = engine_loads.make_request("joining", "a1", at=1.5)._replace(
+        eager=True
+    )
     assert bench.schedule.submit(joining, now_seconds=1.5) is None
     assert bench.schedule.backlog_seconds() < 0.5
--- a/tests/policy/test_prompt_spacing.py
+++ b/tests/policy/test_prompt_spacing.py
@@ -10,8 +10,8 @@
 SPEED = 38_000.0
 
 
-def ask(request_id, *, at=0.0, prompt=3_000, output=300, gap=0.5):
-    wanted = engine_loads.ask(
+def make_request(request_id, *, at=0.0, prompt=3_000, output=300, gap=0.5):
+    wanted = engine_loads.make_request(
         request_id, "", at=at, prompt=prompt, output=output, patience=30.0
     )
     return wanted._replace(event_gap_seconds=gap)
@@ -26,9 +26,11 @@
         tokens_per_second=SPEED, event_tokens=5
     )
     for number in range(4):
-        engine.submit(0.0, ask(f"long{number}", prompt=500, output=1_500))
+        engine.submit(
+            0.0, make_request(f"long{number}", prompt=500, output=1_500)
+        )
     for number in range(40):
-        engine.submit(1.0, ask(f"burst{number}", at=1.0, output=10))
+        engine.submit(1.0, make_request(f"burst{number}", at=1.0, output=10))
     engine.run(6.0)
     long = [engine.answers[f"long{number}"] for number in range(4)]
     assert max(answer.longest_pause for answer in long) <= 0.5
@@ -45,8 +47,8 @@
         tokens_per_second=SPEED, event_tokens=5
     )
     for number in range(20):
-        engine.submit(0.02 * number, ask(f"short{number}", output=10))
-    engine.submit(0.1, ask("document", prompt=30_000, output=10))
+        engine.submit(0.02 * number, make_request(f"short{number}", output=10))
+    engine.submit(0.1, make_request("document", prompt=30_000, output=10))
     engine.run(6.0)
     assert engine.answers["document"].read_at
 
