--- a/src/boragefold/coordination/once/pending_attempt.py
+++ b/src/boragefold/coordination/once/pending_attempt.py
@@ -24,14 +24,14 @@
         attempt: once_messages.Attempt,
         digest: str,
         handler: attempt_handler.AttemptHandler,
-        give_up_at_seconds: float,
+        deadline_seconds: float,
         sealing: bool,
     ) -> None:
         self.ticket = ticket
         self.attempt = attempt
         self.digest = digest
         self.handler = handler
-        self.give_up_at_seconds = give_up_at_seconds
+        self.deadline_seconds = deadline_seconds
         self.sealing = sealing
         self.register = ticket.first
         self.tries_left = TRIES_PER_REGISTER
--- a/src/boragefold/entry/ticket_handler.py
+++ b/src/boragefold/entry/ticket_handler.py
@@ -81,7 +81,7 @@
         handler = self._once_call(exchange, request_id, lambda done: None)
         self._runner.query(
             ticket=ticket,
-            give_up_at_seconds=self._timers.now_seconds()
+            deadline_seconds=self._timers.now_seconds()
             + QUERY_TIMEOUT_SECONDS,
             handler=handler,
         )
@@ -108,7 +108,7 @@
         self._runner.begin(
             ticket=ticket,
             digest=digest,
-            give_up_at_seconds=now_seconds + deadline_seconds,
+            deadline_seconds=now_seconds + deadline_seconds,
             handler=self._once_call(exchange, request_id, start_call),
         )
 
