--- a/src/boragefold/entry/attempt.py
+++ b/src/boragefold/entry/attempt.py
@@ -50,10 +50,10 @@
 
         :param call: the request in the form that the endpoint receives
         """
-        shared = self._forwarding.shared
-        self._sent_at_seconds = shared.timers.now_seconds()
-        shared.choice.sent(self._record.name)
-        self._pending = shared.client.send(call, self)
+        context = self._forwarding.context
+        self._sent_at_seconds = context.timers.now_seconds()
+        context.choice.sent(self._record.name)
+        self._pending = context.client.send(call, self)
 
     def cancel(self, *, failed: bool = False) -> None:
         """Cancel the attempt by closing the connection to the endpoint.
@@ -82,15 +82,15 @@
         :param status: the HTTP status
         :param headers: values by lower-case name
         """
-        shared = self._forwarding.shared
-        facts = shared.dialect.read_answer(status, headers)
+        context = self._forwarding.context
+        facts = context.dialect.read_answer(status, headers)
         self._status, self._facts = status, facts
         if facts.busy is not None and facts.slots is not None:
-            shared.choice.reported(
+            context.choice.reported(
                 self._record.name,
                 busy=facts.busy,
                 slots=facts.slots,
-                now_seconds=shared.timers.now_seconds(),
+                now_seconds=context.timers.now_seconds(),
             )
         self._record_result(
             failed=status in SERVER_ERRORS and not facts.not_held
@@ -165,10 +165,10 @@
         return facts.status in NOT_RUN_STATUSES
 
     def _record_result(self, *, failed: bool) -> None:
-        shared = self._forwarding.shared
-        now_seconds = shared.timers.now_seconds()
+        context = self._forwarding.context
+        now_seconds = context.timers.now_seconds()
         self._result_recorded = True
-        shared.choice.ended(
+        context.choice.ended(
             self._record.name,
             failed=failed,
             took_seconds=now_seconds - self._sent_at_seconds,
--- a/src/boragefold/entry/caller_answer.py
+++ b/src/boragefold/entry/caller_answer.py
@@ -17,11 +17,11 @@
         *,
         admitted: request_context.AdmittedRequest,
         exchange: http_server.Exchange,
-        shared: request_context.RequestContext,
+        context: request_context.RequestContext,
     ) -> None:
         self._admitted = admitted
         self._exchange = exchange
-        self._shared = shared
+        self._context = context
         self._events = (
             event_stream.EventSplitter() if admitted.route.resumable else None
         )
@@ -69,7 +69,7 @@
             self._accepted = status == self._status
             return self._accepted
         self._status = status
-        forwarded = self._shared.dialect.caller_headers(headers)
+        forwarded = self._context.dialect.caller_headers(headers)
         if self._events is not None:
             # The rest may come from an endpoint that states another length.
             forwarded = [
@@ -94,7 +94,7 @@
             data = self._events.feed(data)
         if data:
             self.times.record_chunk(
-                now_seconds=self._shared.timers.now_seconds()
+                now_seconds=self._context.timers.now_seconds()
             )
         keeps_up = self._exchange.send(data)
         return keeps_up or self._exchange.finished or not data
@@ -137,7 +137,7 @@
             kind,
             reason,
             retry_after_seconds=retry_after_seconds,
-            headers=self._shared.dialect.refusal_headers(
+            headers=self._context.dialect.refusal_headers(
                 self._admitted.request
             ),
         )
--- a/src/boragefold/entry/engine_forwarding.py
+++ b/src/boragefold/entry/engine_forwarding.py
@@ -41,13 +41,13 @@
         *,
         admitted: request_context.AdmittedRequest,
         exchange: http_server.Exchange,
-        shared: request_context.RequestContext,
+        context: request_context.RequestContext,
         client: owner_client.OwnerClient,
         owner: engine_owner.EngineOwner,
         adapter: deployment.AdapterKey,
         self_id: ids.InstanceId,
     ) -> None:
-        super().__init__(admitted=admitted, exchange=exchange, shared=shared)
+        super().__init__(admitted=admitted, exchange=exchange, context=context)
         self._owner_client = client
         self._owner = owner
         self._adapter = adapter
@@ -84,7 +84,7 @@
                 self._retry_after_seconds,
             )
         else:
-            self.shared.timers.once(
+            self.context.timers.once(
                 delay_seconds=RETRY_SECONDS, callback=self.begin
             )
 
@@ -108,7 +108,7 @@
         if self.finished:
             return
         self._queue_times = waits
-        record = self.shared.fleet.endpoint(engine)
+        record = self.context.fleet.endpoint(engine)
         if record is None or record.leaving:
             self.begin()
         elif not self.is_key_valid():
@@ -134,7 +134,7 @@
         """
         if self.finished:
             return
-        self.shared.log.write_ordinary(
+        self.context.log.write_ordinary(
             "engine_refused",
             request_id=self.admitted.request.request_id,
             engine=engine,
@@ -179,7 +179,7 @@
         :param endpoint: the engine
         :param facts: its response
         """
-        self.shared.log.write(
+        self.context.log.write(
             "engine_rejected",
             request_id=self.admitted.request.request_id,
             engine=endpoint,
@@ -225,7 +225,7 @@
 
     def _can_be_on_time(self) -> bool:
         return (
-            self.shared.timers.now_seconds() < self._start_deadline_seconds()
+            self.context.timers.now_seconds() < self._start_deadline_seconds()
         )
 
     def _make_request(self, eager: bool) -> engine_decisions.EngineRequest:
@@ -251,7 +251,7 @@
     def _queue_deadline_seconds(self) -> float:
         # The caller has left by then: a later start is useless.
         admitted = self.admitted
-        max_wait_seconds = self.shared.dialect.first_event_seconds(
+        max_wait_seconds = self.context.dialect.first_event_seconds(
             admitted.route
         )
         first_event_at_seconds = (
@@ -262,7 +262,7 @@
         return min(self.deadline_seconds, first_event_at_seconds)
 
     def _may_retry(self) -> bool:
-        now_seconds = self.shared.timers.now_seconds()
+        now_seconds = self.context.timers.now_seconds()
         waited_seconds = now_seconds - self.admitted.arrived_at_seconds
         total_seconds = (
             self._queue_deadline_seconds() - self.admitted.arrived_at_seconds
--- a/src/boragefold/entry/forwarding.py
+++ b/src/boragefold/entry/forwarding.py
@@ -30,24 +30,24 @@
         *,
         admitted: request_context.AdmittedRequest,
         exchange: http_server.Exchange,
-        shared: request_context.RequestContext,
+        context: request_context.RequestContext,
     ) -> None:
         self.admitted = admitted
-        self.shared = shared
+        self.context = context
         self._attempt: attempts.Attempt | None = None
         self._sent_to: list[str] = []
         self._unreachable: set[str] = set()
         self._finished = False
         self._sent_at_seconds = admitted.arrived_at_seconds
         self._answer = caller_answer.CallerAnswer(
-            admitted=admitted, exchange=exchange, shared=shared
+            admitted=admitted, exchange=exchange, context=context
         )
         self.deadline_seconds = answer_deadline.compute_deadline_seconds(
             admitted
         )
         exchange.on_closed = self._on_caller_disconnected
         exchange.on_drained = self._on_drained
-        self._timeout = shared.timers.once(
+        self._timeout = context.timers.once(
             delay_seconds=self.remaining_seconds(), callback=self._on_timeout
         )
 
@@ -64,7 +64,7 @@
 
         :return: seconds
         """
-        return self.deadline_seconds - self.shared.timers.now_seconds()
+        return self.deadline_seconds - self.context.timers.now_seconds()
 
     @abc.abstractmethod
     def begin(self) -> None:
@@ -115,7 +115,7 @@
 
         :return: whether it is valid, or no key was required
         """
-        current = self.shared.fleet.deployment
+        current = self.context.fleet.deployment
         workspace = self.admitted.workspace
         if workspace is None or current is None:
             return True
@@ -128,15 +128,17 @@
         :param record: the endpoint
         :param version: version of the adapter, 0 for any
         """
-        admitted, shared = self.admitted, self.shared
+        admitted, context = self.admitted, self.context
         if self._sent_to:
-            shared.counters.add("requests_repeated", admitted.route.kind.value)
+            context.counters.add(
+                "requests_repeated", admitted.route.kind.value
+            )
         else:
-            shared.retries.get(admitted.service.name).record_first_attempt(
-                record.name, now_seconds=shared.timers.now_seconds()
+            context.retries.get(admitted.service.name).record_first_attempt(
+                record.name, now_seconds=context.timers.now_seconds()
             )
         self._sent_to.append(record.name)
-        self._sent_at_seconds = shared.timers.now_seconds()
+        self._sent_at_seconds = context.timers.now_seconds()
         attempt = attempts.Attempt(forwarding=self, record=record)
         self._attempt = attempt
         workspace = admitted.workspace
@@ -147,7 +149,7 @@
             version=version,
             resume_after=self._answer.last_event_id,
         )
-        shared.log.write_ordinary(
+        context.log.write_ordinary(
             "request_sent",
             request_id=admitted.request.request_id,
             endpoint=record.name,
@@ -166,12 +168,12 @@
         """
         if self.remaining_seconds() <= answer_deadline.MARGIN_SECONDS:
             return False
-        budget = self.shared.retries.get(self.admitted.service.name)
+        budget = self.context.retries.get(self.admitted.service.name)
         return budget.try_retry(
             endpoint,
             idempotent=self.admitted.route.repeatable,
             bytes_sent=may_have_run,
-            now_seconds=self.shared.timers.now_seconds(),
+            now_seconds=self.context.timers.now_seconds(),
         )
 
     def forward_headers(self, status: int, headers: dict[str, str]) -> bool:
@@ -209,7 +211,7 @@
         :param reason: the cause of the failure
         :param may_have_run: whether the request may have run there
         """
-        self.shared.log.write(
+        self.context.log.write(
             "attempt_failed",
             request_id=self.admitted.request.request_id,
             endpoint=endpoint,
@@ -253,7 +255,7 @@
         if self._finished:
             return
         self._answer.refuse(kind, reason, retry_after_seconds)
-        self.shared.counters.add("requests_refused", reason)
+        self.context.counters.add("requests_refused", reason)
         self._finish(reason, kind.status, retry_after_seconds)
 
     def queue_time_fields(self) -> dict[str, Any]:
@@ -272,13 +274,13 @@
     def _record_unreachable(self, endpoint: str) -> None:
         self._sent_to.remove(endpoint)
         self._unreachable.add(endpoint)
-        self.shared.choice.unreachable(
-            endpoint, now_seconds=self.shared.timers.now_seconds()
+        self.context.choice.unreachable(
+            endpoint, now_seconds=self.context.timers.now_seconds()
         )
 
     def _call(self, target: dialects.EndpointTarget) -> http_client.Call:
         request = self.admitted.request
-        headers = self.shared.dialect.endpoint_headers(request, target)
+        headers = self.context.dialect.endpoint_headers(request, target)
         return http_client.Call(
             address=target.record.address,
             method=request.http.method,
@@ -291,7 +293,7 @@
             progress_seconds=self._attempt_timeout_seconds()
             + PROGRESS_SLACK_SECONDS,
             may_send=lambda: not self._finished,
-            accepts=lambda found: self.shared.dialect.answers(request, found),
+            accepts=lambda found: self.context.dialect.answers(request, found),
             whole_at_close=True,
         )
 
@@ -335,7 +337,7 @@
             queue_time_fields=self.queue_time_fields(),
             times=self._answer.times,
         )
-        request_end.record(end, admitted=self.admitted, shared=self.shared)
+        request_end.record(end, admitted=self.admitted, context=self.context)
 
     def _refund_unused(self) -> None:
         # A request that didn't run isn't charged to the rate limit.
@@ -343,7 +345,7 @@
         attempt = self._attempt
         unused = attempt is None or attempt.rejected
         if workspace is not None and unused:
-            self.shared.rate.give_back(workspace.name, self.admitted.charged)
+            self.context.rate.give_back(workspace.name, self.admitted.charged)
 
 
 __all__ = [
--- a/src/boragefold/entry/gateway.py
+++ b/src/boragefold/entry/gateway.py
@@ -30,7 +30,7 @@
     def __init__(
         self,
         *,
-        shared: request_context.RequestContext,
+        context: request_context.RequestContext,
         members: members_module.Members,
         client: owner_client.OwnerClient,
         owner: engine_owner.EngineOwner,
@@ -39,14 +39,14 @@
     ) -> None:
         """Create a gateway that is ready for requests.
 
-        :param shared: objects that all requests use
+        :param context: objects that all requests use
         :param members: the other instances
         :param client: asks the engines' owners for an engine
         :param owner: manages the engines that this instance owns
         :param self_id: id of this instance
         :param rng: chooses among a route's services by weight
         """
-        self._shared = shared
+        self._context = context
         self._members = members
         self._owner_client = client
         self._owner = owner
@@ -61,11 +61,11 @@
         :param request: as received
         :param exchange: takes the response
         """
-        parsed = self._shared.dialect.read_request(request)
+        parsed = self._context.dialect.read_request(request)
         if isinstance(parsed, dialects.Malformed):
             self._refuse(exchange, None, refusals.MALFORMED, parsed.reason)
             return
-        current = self._shared.fleet.deployment
+        current = self._context.fleet.deployment
         if current is None:
             self._refuse(
                 exchange,
@@ -99,10 +99,10 @@
                 exchange, request, refusals.NOT_RUN, "service_unknown"
             )
             return
-        now_seconds = self._shared.timers.now_seconds()
+        now_seconds = self._context.timers.now_seconds()
         charged = _charge(workspace, request)
         if workspace is not None:
-            wait_seconds = self._shared.rate.admit(
+            wait_seconds = self._context.rate.admit(
                 workspace,
                 charged,
                 share=self._share(),
@@ -135,13 +135,13 @@
         adapter = admitted.request.adapter
         if admitted.service.engine is None or adapter is None:
             service_forwarding.ServiceForwarding(
-                admitted=admitted, exchange=exchange, shared=self._shared
+                admitted=admitted, exchange=exchange, context=self._context
             ).begin()
             return
         engine_forwarding.EngineForwarding(
             admitted=admitted,
             exchange=exchange,
-            shared=self._shared,
+            context=self._context,
             client=self._owner_client,
             owner=self._owner,
             adapter=adapter,
@@ -167,16 +167,16 @@
         reason: str,
         retry_after_seconds: float = forwarding.RETRY_AFTER_SECONDS,
     ) -> None:
-        shared = self._shared
-        shared.counters.add("requests_refused", reason)
-        shared.log.write(
+        context = self._context
+        context.counters.add("requests_refused", reason)
+        context.log.write(
             "request_refused",
             request_id=request.request_id if request else "",
             reason=reason,
             status=kind.status,
             key_digest=_digest(request.key) if request else "",
             deployment_version=(
-                shared.fleet.deployment and shared.fleet.deployment.version
+                context.fleet.deployment and context.fleet.deployment.version
             ),
             retry_after_seconds=round(retry_after_seconds, 3),
         )
@@ -185,7 +185,7 @@
             kind,
             reason,
             retry_after_seconds=retry_after_seconds,
-            headers=shared.dialect.refusal_headers(request),
+            headers=context.dialect.refusal_headers(request),
         )
 
 
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -199,7 +199,7 @@
             log_step=lambda step: self.log.write("stopping", step=step),
             limit_seconds=settings.stop_seconds - STOP_MARGIN_SECONDS,
         )
-        self._reloading = settings_reload.SettingsReloader(
+        self._settings_reloader = settings_reload.SettingsReloader(
             timers=self.timers,
             log=self.log,
             counters=self.counters,
@@ -216,8 +216,8 @@
         settings = self.settings
         self._listeners.listen(settings)
         self.shutdown.register(self.loop)
-        self._reloading.register(self.loop)
-        self._reloading.start()
+        self._settings_reloader.register(self.loop)
+        self._settings_reloader.start()
         self._members.subscribe(
             on_beat=self._relay.on_beat,
             on_gone=self._owner.remove_peer,
@@ -362,7 +362,7 @@
         )
 
     def _make_gateway(self, dialect: dialects.Dialect) -> gateway.Gateway:
-        shared = request_context.RequestContext(
+        context = request_context.RequestContext(
             fleet=self._fleet,
             dialect=dialect,
             client=self._client,
@@ -377,7 +377,7 @@
             data_centre=self.settings.data_centre,
         )
         return gateway.Gateway(
-            shared=shared,
+            context=context,
             members=self._members,
             client=self._owner_client,
             owner=self._owner,
--- a/src/boragefold/entry/request_end.py
+++ b/src/boragefold/entry/request_end.py
@@ -31,16 +31,16 @@
     end: RequestEnd,
     *,
     admitted: request_context.AdmittedRequest,
-    shared: request_context.RequestContext,
+    context: request_context.RequestContext,
 ) -> None:
     """Count the end of a request and write its log entry.
 
     :param end: the outcome and the times
     :param admitted: the request
-    :param shared: provides the log and the counters
+    :param context: provides the log and the counters
     """
-    took_seconds = shared.timers.now_seconds() - admitted.arrived_at_seconds
-    current = shared.fleet.deployment
+    took_seconds = context.timers.now_seconds() - admitted.arrived_at_seconds
+    current = context.fleet.deployment
     fields = {
         "request_id": admitted.request.request_id,
         "route": admitted.route.name,
@@ -53,24 +53,26 @@
         "deployment_version": current and current.version,
     }
     if admitted.route.kind is deployment.RouteKind.STREAM:
-        fields |= end.queue_time_fields | _stream_fields(end, admitted, shared)
-    shared.counters.add("requests_ended", end.outcome)
-    shared.counters.observe_seconds("request_seconds", took_seconds)
+        fields |= end.queue_time_fields | _stream_fields(
+            end, admitted, context
+        )
+    context.counters.add("requests_ended", end.outcome)
+    context.counters.observe_seconds("request_seconds", took_seconds)
     if end.outcome == "answered" and len(end.sent_to) == 1:
-        shared.log.write_ordinary("request_ended", **fields)
+        context.log.write_ordinary("request_ended", **fields)
     else:
-        shared.log.write("request_ended", **fields)
+        context.log.write("request_ended", **fields)
 
 
 def _stream_fields(
     end: RequestEnd,
     admitted: request_context.AdmittedRequest,
-    shared: request_context.RequestContext,
+    context: request_context.RequestContext,
 ) -> dict[str, Any]:
     times = end.times
     if times.first_event_seconds is None:
         return {}
-    counters = shared.counters
+    counters = context.counters
     lateness = times.lateness(admitted.route)
     if lateness is not answer_times.Lateness.NONE:
         counters.add("answers_late", lateness.value)
--- a/src/boragefold/entry/router.py
+++ b/src/boragefold/entry/router.py
@@ -71,13 +71,13 @@
         if (method, path) == ("POST", "/v1/chat/completions"):
             self._chats.handle(request, exchange, caller)
         elif (method, path) == ("POST", "/v1/tickets"):
-            self._tickets.mint(exchange, caller)
+            self._tickets.issue(exchange, caller)
         elif method == "GET" and path.startswith(OUTCOMES_PREFIX):
             ticket = path.removeprefix(OUTCOMES_PREFIX)
             self._tickets.outcome(ticket, exchange, caller)
         elif path.startswith(SERVICES_PREFIX):
             name, _, rest = path.removeprefix(SERVICES_PREFIX).partition("/")
-            self._services.call(request, exchange, caller, name, f"/{rest}")
+            self._services.handle(request, exchange, caller, name, f"/{rest}")
         else:
             self._refuse(exchange, _path_unknown())
 
--- a/src/boragefold/entry/service_call.py
+++ b/src/boragefold/entry/service_call.py
@@ -59,7 +59,7 @@
         addresses: list[str],
         idempotent: bool,
         progress_seconds: float,
-        done: Callable[[Result], None],
+        on_result: Callable[[Result], None],
     ) -> None:
         self._client = client
         self._counters = counters
@@ -67,7 +67,7 @@
         self._addresses = list(addresses)
         self._idempotent = idempotent
         self._progress_seconds = progress_seconds
-        self._done = done
+        self._on_result = on_result
 
     def begin(self) -> None:
         """Send the call to the first address."""
@@ -75,7 +75,7 @@
 
     def _try_next(self, fallback: Result) -> None:
         if not self._addresses:
-            self._done(fallback)
+            self._on_result(fallback)
             return
         call = http_client.Call(
             address=self._addresses.pop(0),
@@ -93,7 +93,7 @@
         self, answer: whole_answer.WholeAnswer | http_client.Failure
     ) -> None:
         if isinstance(answer, whole_answer.WholeAnswer):
-            self._done(answer)
+            self._on_result(answer)
             return
         self._counters.add("service_attempts_broken", answer.reason)
         if not answer.may_have_arrived:
@@ -101,10 +101,10 @@
         elif self._idempotent:
             self._try_next(AnswerLost(reason=answer.reason))
         else:
-            self._done(AnswerLost(reason=answer.reason))
+            self._on_result(AnswerLost(reason=answer.reason))
 
 
-def prepare(
+def create_request(
     request: http_server.Request, path: str, serial: str = ""
 ) -> ServiceRequest:
     """Create the request that is sent to the service.
@@ -131,5 +131,5 @@
     "Result",
     "ServiceCall",
     "ServiceRequest",
-    "prepare",
+    "create_request",
 ]
--- a/src/boragefold/entry/service_forwarding.py
+++ b/src/boragefold/entry/service_forwarding.py
@@ -49,23 +49,25 @@
             self.refuse(refusals.NOT_RUN, reason)
 
     def _choose(self) -> deployment.EndpointRecord | None:
-        shared = self.shared
+        context = self.context
         candidates = {
             record.name: record
-            for record in shared.fleet.endpoints_of(self.admitted.service.name)
+            for record in context.fleet.endpoints_of(
+                self.admitted.service.name
+            )
             if record.name not in self._sent_to
             and self.may_send_to(record.name)
         }
-        name = shared.choice.choose(
+        name = context.choice.choose(
             (
                 (
                     record.name,
                     record.slots,
-                    record.data_centre == shared.data_centre,
+                    record.data_centre == context.data_centre,
                 )
                 for record in candidates.values()
             ),
-            now_seconds=shared.timers.now_seconds(),
+            now_seconds=context.timers.now_seconds(),
         )
         return None if name is None else candidates[name]
 
--- a/src/boragefold/entry/service_handler.py
+++ b/src/boragefold/entry/service_handler.py
@@ -45,7 +45,7 @@
         self._tickets = tickets
         self._new_request_id = new_request_id
 
-    def call(
+    def handle(
         self,
         request: http_server.Request,
         exchange: http_server.Exchange,
@@ -95,7 +95,7 @@
             else:
                 self._refuse(exchange, _idempotent_refusal(result), request_id)
 
-        prepared = service_call.prepare(request, path)
+        prepared = service_call.create_request(request, path)
         self._start(prepared, service, True, done)
 
     def _call_non_idempotent(
@@ -120,7 +120,7 @@
         deadline = chat_handler.read_deadline_seconds(
             request, caller.settings.deadline_seconds
         )
-        prepared = service_call.prepare(request, path, ticket.serial)
+        prepared = service_call.create_request(request, path, ticket.serial)
         self._tickets.begin(
             exchange,
             request_id,
@@ -144,7 +144,7 @@
             addresses=self._addresses(service),
             idempotent=idempotent,
             progress_seconds=PROGRESS_SECONDS,
-            done=done,
+            on_result=done,
         ).begin()
 
     def _addresses(self, service: documents.Service) -> list[str]:
--- a/src/boragefold/entry/ticket_handler.py
+++ b/src/boragefold/entry/ticket_handler.py
@@ -42,7 +42,7 @@
         self._runner = runner
         self._new_request_id = new_request_id
 
-    def mint(
+    def issue(
         self, exchange: http_server.Exchange, caller: identity.Caller
     ) -> None:
         """Handle ``POST /v1/tickets``.
@@ -157,7 +157,7 @@
             exchange=exchange,
             request_id=request_id,
             start_call=start_call,
-            refused=lambda reason: self._counters.add(
+            on_refused=lambda reason: self._counters.add(
                 "requests_refused", reason
             ),
         )
--- a/src/boragefold/entry/ticketed_call.py
+++ b/src/boragefold/entry/ticketed_call.py
@@ -56,13 +56,13 @@
         exchange: http_server.Exchange,
         request_id: str,
         start_call: StartCall,
-        refused: Callable[[str], None],
+        on_refused: Callable[[str], None],
     ) -> None:
         self._runner = runner
         self._exchange = exchange
         self._request_id = request_id
         self._start_call = start_call
-        self._refused = refused
+        self._on_refused = on_refused
 
     def on_granted(self, attempt: once_messages.Attempt) -> None:
         """Send the call to the service.
@@ -90,7 +90,7 @@
         """
         status, remedy = REFUSALS[reason]
         waits = status == STATUS_UNAVAILABLE
-        self._refused(reason)
+        self._on_refused(reason)
         refusal = outcomes.NotRun(
             status=status,
             reason=reason,
@@ -104,7 +104,7 @@
 
         :param reason: why it is unknown
         """
-        self._refused(reason)
+        self._on_refused(reason)
         refusal = outcomes.Unknown(
             status=STATUS_CONFLICT,
             reason=reason,
--- a/tests/entry/test_caller_answer.py
+++ b/tests/entry/test_caller_answer.py
@@ -35,7 +35,7 @@
             arrived_at_seconds=0.0,
         ),
         exchange=exchange,
-        shared=types.SimpleNamespace(
+        context=types.SimpleNamespace(
             dialect=types.SimpleNamespace(caller_headers=lambda headers: []),
             timers=types.SimpleNamespace(now_seconds=lambda: 1.0),
         ),
