--- a/src/boragefold/coordination/fleet/heartbeat_deadlines.py
+++ b/src/boragefold/coordination/fleet/heartbeat_deadlines.py
@@ -26,7 +26,7 @@
         self._since_seconds: dict[str, float] = {}
         self._failed_at_seconds: dict[str, float] = {}
 
-    def await_from(
+    def expect(
         self, addresses: Collection[str], *, silent_seconds: float
     ) -> None:
         """Replace the set of expected instances and record which timed out.
@@ -45,7 +45,7 @@
             if since_seconds < now_seconds - silent_seconds
         )
 
-    def heard(self, address: str) -> None:
+    def record_received(self, address: str) -> None:
         """Record that an instance sent a message.
 
         :param address: its address
@@ -54,7 +54,7 @@
         if address in self._since_seconds:
             self._since_seconds[address] = self._timers.now_seconds()
 
-    def renewed(self, address: str) -> None:
+    def record_restart(self, address: str) -> None:
         """Record that a new process listens at an address.
 
         Timeouts of the previous process say nothing about the new one.
@@ -63,7 +63,7 @@
         """
         self._failed_at_seconds.pop(address, None)
 
-    def late(self, *, beyond_seconds: float) -> frozenset[str]:
+    def overdue(self, *, beyond_seconds: float) -> frozenset[str]:
         """List the instances whose heartbeat is overdue.
 
         :param beyond_seconds: the time since the last one must exceed this
@@ -76,7 +76,7 @@
             if since_seconds < oldest_seconds
         )
 
-    def is_awaited(self, address: str) -> bool:
+    def is_expected(self, address: str) -> bool:
         """Tell whether an instance is expected to send heartbeats.
 
         :param address: its address
@@ -84,7 +84,7 @@
         """
         return address in self._since_seconds
 
-    def failed_lately(self, address: str) -> bool:
+    def timed_out_recently(self, address: str) -> bool:
         """Tell whether an instance recently timed out.
 
         :param address: its address
--- a/src/boragefold/coordination/fleet/heartbeat_targets.py
+++ b/src/boragefold/coordination/fleet/heartbeat_targets.py
@@ -59,7 +59,7 @@
         :return: the other hubs if this instance is a hub, else some hubs of
             its data centre
         """
-        late = self._members.late()
+        late = self._members.overdue()
         slot = self._timers.now_seconds() // REFRESH_SECONDS
         inputs = (
             self._members.version,
--- a/src/boragefold/coordination/fleet/heartbeats.py
+++ b/src/boragefold/coordination/fleet/heartbeats.py
@@ -109,11 +109,11 @@
         """
         for seed in seeds:
             self._seeds.add(seed)
-            self._members.know(ids.InstanceId("", seed, ""))
+            self._members.add(ids.InstanceId("", seed, ""))
 
     def refresh(self) -> None:
         """Send a heartbeat at once if there is a change to send."""
-        if member_module.news_of(self._compose()) != self._sent_state:
+        if member_module.urgent_state(self._compose()) != self._sent_state:
             self.send_heartbeat()
         else:
             self._schedule_changes()
@@ -121,17 +121,18 @@
     def send_heartbeat(self) -> None:
         """Send a heartbeat at once."""
         own = self._compose()
-        self._sent_state = member_module.news_of(own)
+        self._sent_state = member_module.urgent_state(own)
         targets = self._target_chooser.choose(own)
         self._is_hub = targets.is_hub
-        self._members.deadlines.await_from(
-            targets.addresses, silent_seconds=self._members.silent_seconds()
+        self._members.deadlines.expect(
+            targets.addresses,
+            silent_seconds=self._members.silence_timeout_seconds(),
         )
         followers = self._target_chooser.followers(targets.addresses)
         self._has_followers = bool(followers)
         # After listing the followers, which may find a newly silent instance.
-        self._forwarded_version = self._members.news_version
-        lacks = {*self._members.lacks(), *self._rates.lacks()}
+        self._forwarded_version = self._members.urgent_version
+        lacks = {*self._members.hubs_with_gaps(), *self._rates.lacks()}
         heartbeat = messages.Heartbeat(own, lacks=tuple(sorted(lacks)))
         self._send_to_hubs(heartbeat, targets, followers)
         if followers:
@@ -139,9 +140,9 @@
 
     def _send_periodically(self) -> None:
         self.send_heartbeat()
-        self._members.note_silence()
+        self._members.notify_silence()
         self._timers.once(
-            delay_seconds=self._members.beat_seconds(),
+            delay_seconds=self._members.heartbeat_interval_seconds(),
             callback=self._send_periodically,
         )
 
@@ -175,7 +176,7 @@
         heartbeat: messages.Heartbeat,
         followers: list[member_module.Member],
     ) -> None:
-        subjects = self._members.to_vouch_for()
+        subjects = self._members.reportable()
         receivers = [member.instance for member in followers]
         for report, chosen in self._follower_reports.write(
             subjects, receivers, now_seconds=self._timers.now_seconds()
@@ -188,7 +189,7 @@
         self._link.send_all(to=map(_any_incarnation, addresses), body=body)
 
     def _contact_silent(self) -> None:
-        self._members.forget_lost()
+        self._members.expire()
         self._rates.forget()
         silent = {
             member.instance.address: member
@@ -208,19 +209,19 @@
             wanted |= self._seeds & silent.keys()
         if reachable_count < MIN_PEERS or self._is_hub:
             # The hubs of both sides of a partition rejoin the others.
-            best = hubs.hubs(map(member_module.candidate_of, silent.values()))
+            best = hubs.hubs(map(member_module.hub_candidate, silent.values()))
             every = itertools.chain.from_iterable(best.values())
             wanted.update(candidate.address for candidate in every)
         return wanted
 
     def _compare_members(self) -> None:
-        direct = self._members.direct()
+        direct = self._members.direct_peers()
         if direct:
             peer = self._rng.choice(direct)
             self._send_introduction(
                 peer.instance.address,
                 known=(),
-                digest=self._members.digest(),
+                digest=self._members.reachable_hash(),
             )
 
     def _send_introduction(
@@ -240,9 +241,9 @@
         self, sender: ids.InstanceId, body: messages.Introduction
     ) -> None:
         for instance in body.members:
-            self._members.know(instance)
-        self._members.hear(sender)
-        if body.digest and body.digest != self._members.digest():
+            self._members.add(instance)
+        self._members.receive(sender)
+        if body.digest and body.digest != self._members.reachable_hash():
             heard = self._members.reachable()
             self._send_introduction(
                 sender.address, known=(member.instance for member in heard)
@@ -260,9 +261,9 @@
     def _handle_heartbeat(
         self, sender: ids.InstanceId, body: messages.Heartbeat
     ) -> None:
-        self._members.hear(sender, body.beat, follows=body.to_hub)
+        self._members.receive(sender, body.beat, follows=body.to_hub)
         if body.report is not None:
-            self._members.hear_report(sender, body.report)
+            self._members.apply_report(sender, body.report)
         if self._link.self_id.address in body.lacks:
             self._hub_reports.missed(sender)
             self._follower_reports.missed(sender)
@@ -273,7 +274,7 @@
         self._schedule_changes()
 
     def _schedule_changes(self) -> None:
-        has_changes = self._members.news_version != self._forwarded_version
+        has_changes = self._members.urgent_version != self._forwarded_version
         if has_changes and self._has_followers and self._pending_send is None:
             self._pending_send = self._timers.once(
                 delay_seconds=BATCH_SECONDS, callback=self._send_changes
@@ -281,7 +282,7 @@
 
     def _send_changes(self) -> None:
         self._pending_send = None
-        if self._members.news_version != self._forwarded_version:
+        if self._members.urgent_version != self._forwarded_version:
             self.send_heartbeat()
 
 
--- a/src/boragefold/coordination/fleet/hub_reports.py
+++ b/src/boragefold/coordination/fleet/hub_reports.py
@@ -9,7 +9,7 @@
 from boragefold.protocol import ids
 from boragefold.protocol import peer_messages as messages
 
-Told = list[tuple[ids.InstanceId, messages.Told]]
+ReportEntries = list[tuple[ids.InstanceId, messages.Told]]
 
 
 class HubReports:
@@ -22,13 +22,13 @@
     def __init__(self) -> None:
         self._readers: dict[ids.InstanceId, reports.ReportReader] = {}
 
-    def take(
+    def apply(
         self,
         hub: ids.InstanceId,
         report: messages.Report,
         *,
         now_seconds: float,
-    ) -> tuple[Told, bool]:
+    ) -> tuple[ReportEntries, bool]:
         """Apply a report.
 
         :param hub: the hub that sent it
@@ -38,11 +38,11 @@
             that the hub reports as alive has changed
         """
         reader = self._readers.setdefault(hub, reports.ReportReader())
-        before = reader.vouched
-        told = reader.take(report, now_seconds=now_seconds)
-        return told, reader.vouched is not before
+        before = reader.instances
+        told = reader.apply(report, now_seconds=now_seconds)
+        return told, reader.instances is not before
 
-    def lacking(self, *, since_seconds: float) -> tuple[str, ...]:
+    def hubs_with_gaps(self, *, since_seconds: float) -> tuple[str, ...]:
         """List the hubs of which a report was missed.
 
         :param since_seconds: only hubs that sent a report since this time
@@ -54,7 +54,7 @@
             if not reader.complete and reader.heard_at_seconds >= since_seconds
         )
 
-    def forget(self, *, before_seconds: float) -> None:
+    def expire(self, *, before_seconds: float) -> None:
         """Drop the hubs whose reports have expired.
 
         :param before_seconds: those whose last report is older than this
@@ -65,25 +65,27 @@
             if reader.heard_at_seconds >= before_seconds
         }
 
-    def date(self, members: Mapping[str, member_module.Member]) -> None:
+    def update_times(
+        self, members: Mapping[str, member_module.Member]
+    ) -> None:
         """Update when each instance was last known to be alive.
 
         :param members: the instances by address
         """
         for member in members.values():
-            member.vouched_at_seconds = member.direct_at_seconds
-            member.first_hand_at_seconds = member.direct_at_seconds
+            member.reported_at_seconds = member.received_at_seconds
+            member.direct_report_at_seconds = member.received_at_seconds
         for reader in self._readers.values():
-            for address, instance in reader.vouched.items():
+            for address, instance in reader.instances.items():
                 # A hub's report also lists its receiver, which isn't a member.
-                vouched = members.get(address)
-                if vouched is not None and vouched.instance == instance:
-                    vouched.vouch(
+                reported = members.get(address)
+                if reported is not None and reported.instance == instance:
+                    reported.record_report(
                         reader.heard_at_seconds, first_hand=reader.first_hand
                     )
         for member in members.values():
-            member.heard_at_seconds = max(
-                member.heard_at_seconds, member.vouched_at_seconds
+            member.alive_at_seconds = max(
+                member.alive_at_seconds, member.reported_at_seconds
             )
 
 
--- a/src/boragefold/coordination/fleet/member.py
+++ b/src/boragefold/coordination/fleet/member.py
@@ -14,67 +14,67 @@
 class Member:
     """The state of another instance as last received.
 
-    ``heard_at_seconds`` is when it was last known to be alive, from its own
-    messages or a hub's report; ``direct_at_seconds`` is when it last sent a
-    message to this instance; ``follows_at_seconds`` when it last did so with
-    this instance as its hub. ``vouched_at_seconds`` is the time of the newest
+    ``alive_at_seconds`` is when it was last known to be alive, from its own
+    messages or a hub's report; ``received_at_seconds`` is when it last sent a
+    message to this instance; ``followed_at_seconds`` when it last did so with
+    this instance as its hub. ``reported_at_seconds`` is the time of the newest
     message from it or report that lists it as alive;
-    ``first_hand_at_seconds`` is the same without the reports of hubs that
-    repeat other hubs. ``standing_said_milliseconds`` and
-    ``engines_said_milliseconds`` are its uptimes when it sent the two parts
+    ``direct_report_at_seconds`` is the same without the reports of hubs that
+    repeat other hubs. ``state_uptime_milliseconds`` and
+    ``engines_uptime_milliseconds`` are its uptimes when it sent the two parts
     of ``beat``. ``started_at_seconds`` is its start time by the local clock.
-    ``former`` holds the incarnations that were replaced by later ones.
+    ``former_incarnations`` were replaced by later ones.
     """
 
     instance: ids.InstanceId
-    found_at_seconds: float = 0.0
-    heard_at_seconds: float = -math.inf
-    direct_at_seconds: float = -math.inf
-    follows_at_seconds: float = -math.inf
-    vouched_at_seconds: float = -math.inf
-    first_hand_at_seconds: float = -math.inf
+    discovered_at_seconds: float = 0.0
+    alive_at_seconds: float = -math.inf
+    received_at_seconds: float = -math.inf
+    followed_at_seconds: float = -math.inf
+    reported_at_seconds: float = -math.inf
+    direct_report_at_seconds: float = -math.inf
     started_at_seconds: float = math.inf
-    standing_said_milliseconds: int = -1
-    engines_said_milliseconds: int = -1
+    state_uptime_milliseconds: int = -1
+    engines_uptime_milliseconds: int = -1
     beat: messages.Beat | None = None
-    former: set[str] = dataclasses.field(default_factory=set)
+    former_incarnations: set[str] = dataclasses.field(default_factory=set)
 
     @property
-    def said_milliseconds(self) -> int:
+    def newest_uptime_milliseconds(self) -> int:
         """Tell at which uptime the instance sent its newest known state.
 
         :return: milliseconds
         """
         return max(
-            self.standing_said_milliseconds, self.engines_said_milliseconds
+            self.state_uptime_milliseconds, self.engines_uptime_milliseconds
         )
 
-    def vouch(self, at_seconds: float, *, first_hand: bool) -> None:
+    def record_report(self, at_seconds: float, *, first_hand: bool) -> None:
         """Record that a hub reported this instance as alive.
 
         :param at_seconds: when the report arrived
         :param first_hand: whether the hub receives its heartbeats directly
         """
-        if self.vouched_at_seconds < at_seconds:
-            self.vouched_at_seconds = at_seconds
-        if first_hand and self.first_hand_at_seconds < at_seconds:
-            self.first_hand_at_seconds = at_seconds
+        if self.reported_at_seconds < at_seconds:
+            self.reported_at_seconds = at_seconds
+        if first_hand and self.direct_report_at_seconds < at_seconds:
+            self.direct_report_at_seconds = at_seconds
 
-    def renew(self, instance: ids.InstanceId) -> None:
+    def replace_incarnation(self, instance: ids.InstanceId) -> None:
         """Discard the state of the previous incarnation.
 
         :param instance: the incarnation that replaced it
         """
         if self.beat is not None:
-            self.former.add(self.instance.incarnation)
+            self.former_incarnations.add(self.instance.incarnation)
         self.instance = instance
         self.started_at_seconds = math.inf
-        self.standing_said_milliseconds = -1
-        self.engines_said_milliseconds = -1
+        self.state_uptime_milliseconds = -1
+        self.engines_uptime_milliseconds = -1
         self.beat = None
 
 
-def news_of(beat: messages.Beat) -> tuple[object, ...]:
+def urgent_state(beat: messages.Beat) -> tuple[object, ...]:
     """Pick out the state whose changes are sent on at once.
 
     :param beat: the state that an instance reports of itself
@@ -88,7 +88,7 @@
     return engines, beat.leaving, beat.avoids, beat.told
 
 
-def claims_of(beat: messages.Beat) -> tuple[object, ...]:
+def ownership_state(beat: messages.Beat) -> tuple[object, ...]:
     """Pick out the state that decides who owns engines and who is a hub.
 
     :param beat: the state that an instance reports of itself
@@ -99,7 +99,7 @@
     return names, beat.leaving, beat.avoids
 
 
-def candidate_of(member: Member) -> hubs.Candidate:
+def hub_candidate(member: Member) -> hubs.Candidate:
     """Describe an instance as a possible hub.
 
     :param member: the instance
@@ -115,7 +115,7 @@
 
 __all__ = [
     "Member",
-    "candidate_of",
-    "claims_of",
-    "news_of",
+    "hub_candidate",
+    "ownership_state",
+    "urgent_state",
 ]
--- a/src/boragefold/coordination/fleet/members.py
+++ b/src/boragefold/coordination/fleet/members.py
@@ -24,18 +24,18 @@
 from boragefold.timing import timers as timing
 
 # The heartbeat interval grows with the fleet, to bound what hubs send.
-BEAT_SECONDS = 0.25
-BEATS_PER_SECOND = 48.0
-MAX_BEAT_SECONDS = 0.5
+MIN_HEARTBEAT_SECONDS = 0.25
+HEARTHEARTBEATS_PER_SECOND = 48.0
+MAX_HEARTBEAT_SECONDS = 0.5
 # A single lost datagram or a short pause must not count as a failure.
-SILENT_BEATS = 4
+SILENT_HEARTBEATS = 4
 # An overdue hub is replaced before the instances behind it count as silent.
-LATE_BEATS = 1.5
+OVERDUE_HEARTBEATS = 1.5
 # An instance that lost all its hubs keeps treating the others as alive this
 # long, while it looks for another hub.
 ORPHAN_SECONDS = 2.0
 # An address without any message for this long is forgotten.
-FORGET_SECONDS = 120.0
+EXPIRY_SECONDS = 120.0
 
 
 class Members:
@@ -58,7 +58,7 @@
         self._on_beat: list[
             Callable[[ids.InstanceId, messages.Beat], None]
         ] = []
-        self._on_gone: list[Callable[[ids.InstanceId], None]] = []
+        self._on_replaced: list[Callable[[ids.InstanceId], None]] = []
         self._on_silent: list[Callable[[ids.InstanceId, bool], None]] = []
         self._silent: set[str] = set()
         self._direct_at_seconds = self._started_at_seconds
@@ -66,7 +66,7 @@
         # No reachable instance can become silent before this time.
         self._reachable_until_seconds = -math.inf
         # Counts the changes that are sent on at once.
-        self.news_version = 0
+        self.urgent_version = 0
         # Counts the changes to who is reachable, owns an engine or is leaving.
         self.version = 0
 
@@ -74,7 +74,7 @@
         self,
         *,
         on_beat: Callable[[ids.InstanceId, messages.Beat], None],
-        on_gone: Callable[[ids.InstanceId], None] = lambda gone: None,
+        on_replaced: Callable[[ids.InstanceId], None] = lambda gone: None,
         on_silent: Callable[[ids.InstanceId, bool], None] = (
             lambda peer, silent: None
         ),
@@ -83,11 +83,11 @@
 
         :param on_beat: called with each heartbeat that the instance sent to
             this one itself
-        :param on_gone: called when an incarnation was replaced by another
+        :param on_replaced: called when an incarnation was replaced by another
         :param on_silent: called when a peer becomes silent, or reachable again
         """
         self._on_beat.append(on_beat)
-        self._on_gone.append(on_gone)
+        self._on_replaced.append(on_replaced)
         self._on_silent.append(on_silent)
 
     @property
@@ -98,20 +98,20 @@
         """
         return self._timers.now_seconds() - self._started_at_seconds
 
-    def beat_seconds(self) -> float:
+    def heartbeat_interval_seconds(self) -> float:
         """Calculate the heartbeat interval.
 
         :return: seconds
         """
-        wanted = len(self._members) / BEATS_PER_SECOND
-        return min(MAX_BEAT_SECONDS, max(BEAT_SECONDS, wanted))
+        wanted = len(self._members) / HEARTHEARTBEATS_PER_SECOND
+        return min(MAX_HEARTBEAT_SECONDS, max(MIN_HEARTBEAT_SECONDS, wanted))
 
-    def silent_seconds(self) -> float:
+    def silence_timeout_seconds(self) -> float:
         """Tell after how long without a heartbeat a peer counts as silent.
 
         :return: seconds
         """
-        return SILENT_BEATS * self.beat_seconds()
+        return SILENT_HEARTBEATS * self.heartbeat_interval_seconds()
 
     def reachable(self) -> list[member_module.Member]:
         """List the instances that are alive.
@@ -130,24 +130,26 @@
         """
         return self._timers.now_seconds() - member.started_at_seconds
 
-    def heard_seconds_ago(self, member: member_module.Member) -> float:
+    def alive_seconds_ago(self, member: member_module.Member) -> float:
         """Tell how long ago an instance was last known to be alive.
 
         :param member: the instance
         :return: seconds; infinite if it was never known to be alive
         """
-        return self._timers.now_seconds() - member.heard_at_seconds
+        return self._timers.now_seconds() - member.alive_at_seconds
 
-    def unheard_seconds(self, member: member_module.Member) -> float:
+    def lost_seconds(self, member: member_module.Member) -> float:
         """Tell how long ago an instance was last alive or first discovered.
 
         :param member: the instance
         :return: seconds
         """
-        last_seconds = max(member.heard_at_seconds, member.found_at_seconds)
+        last_seconds = max(
+            member.alive_at_seconds, member.discovered_at_seconds
+        )
         return self._timers.now_seconds() - last_seconds
 
-    def to_vouch_for(self) -> list[member_module.Member]:
+    def reportable(self) -> list[member_module.Member]:
         """List the instances that this one may report as alive.
 
         Two hubs that repeated each other's reports would keep a lost instance
@@ -156,15 +158,15 @@
         :return: those that send messages to this instance, or to a hub that
             reports them
         """
-        self._hub_reports.date(self._members)
-        oldest = self._timers.now_seconds() - self.silent_seconds()
+        self._hub_reports.update_times(self._members)
+        oldest = self._timers.now_seconds() - self.silence_timeout_seconds()
         return [
             member
             for member in self.reachable()
-            if member.first_hand_at_seconds >= oldest
+            if member.direct_report_at_seconds >= oldest
         ]
 
-    def beats(self) -> list[messages.Beat]:
+    def heartbeats(self) -> list[messages.Beat]:
         """List the states that the reachable instances report of themselves.
 
         :return: their last heartbeats
@@ -187,16 +189,16 @@
             if address not in self._reachable
         ]
 
-    def direct(self) -> list[member_module.Member]:
+    def direct_peers(self) -> list[member_module.Member]:
         """List the instances that send messages to this one directly.
 
         :return: those that did so within the silence timeout
         """
-        oldest = self._timers.now_seconds() - self.silent_seconds()
+        oldest = self._timers.now_seconds() - self.silence_timeout_seconds()
         return [
             member
             for member in self._members.values()
-            if member.direct_at_seconds >= oldest and member.beat is not None
+            if member.received_at_seconds >= oldest and member.beat is not None
         ]
 
     def followers(self) -> list[member_module.Member]:
@@ -204,11 +206,11 @@
 
         :return: those that did so within the silence timeout
         """
-        oldest = self._timers.now_seconds() - self.silent_seconds()
+        oldest = self._timers.now_seconds() - self.silence_timeout_seconds()
         return [
             member
             for member in self._members.values()
-            if member.follows_at_seconds >= oldest and member.beat is not None
+            if member.followed_at_seconds >= oldest and member.beat is not None
         ]
 
     def hub_candidates(
@@ -220,31 +222,33 @@
         :return: those that are reachable or were discovered a moment ago
         """
         now_seconds = self._timers.now_seconds()
-        new_since = now_seconds - self.silent_seconds()
+        new_since = now_seconds - self.silence_timeout_seconds()
         new = (
             member
             for member in self._members.values()
-            if member.beat is None and member.found_at_seconds >= new_since
+            if member.beat is None
+            and member.discovered_at_seconds >= new_since
         )
         return [
-            member_module.candidate_of(member)
+            member_module.hub_candidate(member)
             for member in (*self.reachable(), *new)
             if member.instance.data_centre
             and data_centre in (None, member.instance.data_centre)
-            and not self.deadlines.failed_lately(member.instance.address)
+            and not self.deadlines.timed_out_recently(member.instance.address)
             and not (member.beat is not None and member.beat.leaving)
         ]
 
-    def late(self) -> frozenset[str]:
+    def overdue(self) -> frozenset[str]:
         """List the instances whose heartbeat is overdue.
 
         :return: their addresses
         """
-        return self.deadlines.late(
-            beyond_seconds=LATE_BEATS * self.beat_seconds()
+        return self.deadlines.overdue(
+            beyond_seconds=OVERDUE_HEARTBEATS
+            * self.heartbeat_interval_seconds()
         )
 
-    def ages_seconds(self) -> list[float]:
+    def silences_seconds(self) -> list[float]:
         """Tell how long each peer has been silent.
 
         :return: seconds for every peer that was ever alive; 0 for reachable
@@ -252,11 +256,13 @@
         """
         self.reachable()
         now_seconds = self._timers.now_seconds()
-        silent_seconds = math.nextafter(self.silent_seconds(), math.inf)
+        silent_seconds = math.nextafter(
+            self.silence_timeout_seconds(), math.inf
+        )
         return [
             0.0
             if address in self._reachable
-            else max(silent_seconds, now_seconds - member.heard_at_seconds)
+            else max(silent_seconds, now_seconds - member.alive_at_seconds)
             for address, member in self._members.items()
             if member.beat is not None
         ]
@@ -278,7 +284,7 @@
         unknown = ids.InstanceId("", address, "")
         return unknown if member is None else member.instance
 
-    def digest(self) -> int:
+    def reachable_hash(self) -> int:
         """Hash the set of reachable instances, to compare it between peers.
 
         :return: a hash of their addresses and that of this instance
@@ -287,7 +293,7 @@
         text = "\0".join(sorted({*self._reachable, self._self_id.address}))
         return xxhash.xxh3_64_intdigest(text.encode())
 
-    def unheard(self) -> tuple[str, ...]:
+    def silent_targets(self) -> tuple[str, ...]:
         """List the silent peers that this instance sends heartbeats to.
 
         :return: their addresses
@@ -296,20 +302,21 @@
             sorted(
                 address
                 for address in self._silent
-                if self.deadlines.is_awaited(address)
+                if self.deadlines.is_expected(address)
             )
         )
 
-    def lacks(self) -> tuple[str, ...]:
+    def hubs_with_gaps(self) -> tuple[str, ...]:
         """List the hubs of which a report was missed.
 
         :return: their addresses
         """
-        return self._hub_reports.lacking(
-            since_seconds=self._timers.now_seconds() - self.silent_seconds()
+        return self._hub_reports.hubs_with_gaps(
+            since_seconds=self._timers.now_seconds()
+            - self.silence_timeout_seconds()
         )
 
-    def note_silence(self) -> None:
+    def notify_silence(self) -> None:
         """Tell subscribers who became silent and who is reachable again."""
         self.reachable()
         for address, member in list(self._members.items()):
@@ -319,21 +326,21 @@
                 for callback in self._on_silent:
                     callback(member.instance, silent)
 
-    def forget_lost(self) -> None:
-        """Forget addresses without any message for ``FORGET_SECONDS``."""
+    def expire(self) -> None:
+        """Forget addresses without any message for ``EXPIRY_SECONDS``."""
         now_seconds = self._timers.now_seconds()
         lost = [
             address
             for address, member in self._members.items()
-            if self.unheard_seconds(member) > FORGET_SECONDS
+            if self.lost_seconds(member) > EXPIRY_SECONDS
         ]
         for address in lost:
             del self._members[address]
             self._silent.discard(address)
-        stale_seconds = self.silent_seconds() + ORPHAN_SECONDS
-        self._hub_reports.forget(before_seconds=now_seconds - stale_seconds)
+        stale_seconds = self.silence_timeout_seconds() + ORPHAN_SECONDS
+        self._hub_reports.expire(before_seconds=now_seconds - stale_seconds)
 
-    def hear(
+    def receive(
         self,
         sender: ids.InstanceId,
         beat: messages.Beat | None = None,
@@ -346,32 +353,35 @@
         :param beat: its heartbeat, if it sent one
         :param follows: whether the sender uses this instance as its hub
         """
-        member = self.know(sender)
+        member = self.add(sender)
         now_seconds = self._timers.now_seconds()
-        if member is None or state_merge.is_late_word(
+        if member is None or state_merge.is_from_replaced(
             member, sender, beat, now_seconds=now_seconds
         ):
             return
         self._replace_incarnation(member, sender)
         self._direct_at_seconds = now_seconds
-        if member.direct_at_seconds < now_seconds - self.silent_seconds():
-            self.news_version += 1
-        member.direct_at_seconds = now_seconds
-        member.heard_at_seconds = now_seconds
+        if (
+            member.received_at_seconds
+            < now_seconds - self.silence_timeout_seconds()
+        ):
+            self.urgent_version += 1
+        member.received_at_seconds = now_seconds
+        member.alive_at_seconds = now_seconds
         if follows:
-            member.follows_at_seconds = now_seconds
-        self.deadlines.heard(sender.address)
+            member.followed_at_seconds = now_seconds
+        self.deadlines.record_received(sender.address)
         if beat is None:
             return
         before = member.beat
-        if state_merge.take_beat(member, beat, now_seconds=now_seconds):
+        if state_merge.apply_heartbeat(member, beat, now_seconds=now_seconds):
             self._count_change(before, member)
         if sender.address not in self._reachable:
             self._reachable_until_seconds = -math.inf
         for callback in self._on_beat:
             callback(member.instance, beat)
 
-    def hear_report(
+    def apply_report(
         self, sender: ids.InstanceId, report: messages.Report
     ) -> None:
         """Apply a hub's report of the live instances.
@@ -380,7 +390,7 @@
         :param report: its report
         """
         now_seconds = self._timers.now_seconds()
-        entries, hears_others = self._hub_reports.take(
+        entries, hears_others = self._hub_reports.apply(
             sender, report, now_seconds=now_seconds
         )
         for instance, told in entries:
@@ -388,7 +398,7 @@
         if hears_others:
             self._reachable_until_seconds = -math.inf
 
-    def know(self, instance: ids.InstanceId) -> member_module.Member | None:
+    def add(self, instance: ids.InstanceId) -> member_module.Member | None:
         """Add an address where an instance may listen.
 
         :param instance: its identity, as far as it is known
@@ -399,7 +409,8 @@
         member = self._members.get(instance.address)
         if member is None:
             member = member_module.Member(
-                instance=instance, found_at_seconds=self._timers.now_seconds()
+                instance=instance,
+                discovered_at_seconds=self._timers.now_seconds(),
             )
             self._members[instance.address] = member
             self.version += 1
@@ -414,27 +425,29 @@
         told: messages.Told,
         now_seconds: float,
     ) -> None:
-        member = self.know(instance)
+        member = self.add(instance)
         if member is None or not state_merge.is_current(
             member, instance, told, now_seconds=now_seconds
         ):
             return
         self._replace_incarnation(member, instance)
         before = member.beat
-        if state_merge.take_told(member, told, now_seconds=now_seconds):
+        if state_merge.apply_report_entry(
+            member, told, now_seconds=now_seconds
+        ):
             self._count_change(before, member)
 
     def _count_change(
         self, before: messages.Beat | None, member: member_module.Member
     ) -> None:
-        self.news_version += 1
+        self.urgent_version += 1
         # Most changes are of published revisions, which affect neither engine
         # ownership nor the choice of hubs.
         if (
             before is None
             or member.beat is None
-            or member_module.claims_of(before)
-            != member_module.claims_of(member.beat)
+            or member_module.ownership_state(before)
+            != member_module.ownership_state(member.beat)
         ):
             self.version += 1
 
@@ -444,17 +457,17 @@
         before = member.instance
         if before.incarnation == instance.incarnation:
             return
-        member.renew(instance)
-        self.deadlines.renewed(instance.address)
+        member.replace_incarnation(instance)
+        self.deadlines.record_restart(instance.address)
         self._reachable_until_seconds = -math.inf
         if before.incarnation:
-            for callback in self._on_gone:
+            for callback in self._on_replaced:
                 callback(before)
 
     def _update_reachable(self) -> None:
-        self._hub_reports.date(self._members)
+        self._hub_reports.update_times(self._members)
         now_seconds = self._timers.now_seconds()
-        silent_seconds = self.silent_seconds()
+        silent_seconds = self.silence_timeout_seconds()
         oldest = now_seconds - silent_seconds
         quiet_seconds = now_seconds - self._direct_at_seconds
         oldest_reported = oldest - min(quiet_seconds, ORPHAN_SECONDS)
@@ -462,19 +475,19 @@
             address: member
             for address, member in self._members.items()
             if member.beat is not None
-            and member.vouched_at_seconds
+            and member.reported_at_seconds
             >= (
                 oldest
-                if member.direct_at_seconds == member.vouched_at_seconds
+                if member.received_at_seconds == member.reported_at_seconds
                 else oldest_reported
             )
         }
         if heard.keys() != self._reachable.keys():
             self.version += 1
-            self.news_version += 1
+            self.urgent_version += 1
         self._reachable = heard
         first = min(
-            (member.vouched_at_seconds for member in heard.values()),
+            (member.reported_at_seconds for member in heard.values()),
             default=now_seconds,
         )
         self._reachable_until_seconds = first + silent_seconds
--- a/src/boragefold/coordination/fleet/owner_changes.py
+++ b/src/boragefold/coordination/fleet/owner_changes.py
@@ -105,7 +105,7 @@
         known: list[member_module.Member],
     ) -> float | None:
         heard_seconds = (
-            self._members.heard_seconds_ago(member)
+            self._members.alive_seconds_ago(member)
             for member in known
             if member.instance == former
         )
--- a/src/boragefold/coordination/fleet/rate_messages.py
+++ b/src/boragefold/coordination/fleet/rate_messages.py
@@ -54,7 +54,7 @@
         self._counts_since_seconds: dict[str, float] = {}
         members.subscribe(
             on_beat=lambda peer, beat: None,
-            on_gone=lambda gone: counts.forget_instance(gone.incarnation),
+            on_replaced=lambda gone: counts.forget_instance(gone.incarnation),
         )
         link.subscribe(messages.LedgerAsk, self._handle_ledger_ask)
         link.subscribe(messages.Ledger, self._handle_ledger)
@@ -111,7 +111,7 @@
         """
         if not self._counts.lacks_totals:
             return
-        for member in self._members.direct():
+        for member in self._members.direct_peers():
             incarnation = member.instance.incarnation
             if self._entry_names.get(incarnation) == self._counts.counter:
                 yield member.instance.address
@@ -226,7 +226,10 @@
         return self._counts_since_seconds[incarnation]
 
     def _is_counting(self, incarnation: str) -> bool:
-        oldest = self._timers.now_seconds() - self._members.silent_seconds()
+        oldest = (
+            self._timers.now_seconds()
+            - self._members.silence_timeout_seconds()
+        )
         heard_at_seconds = self._counts_at_seconds.get(incarnation)
         return heard_at_seconds is not None and heard_at_seconds >= oldest
 
--- a/src/boragefold/coordination/fleet/reports.py
+++ b/src/boragefold/coordination/fleet/reports.py
@@ -119,7 +119,7 @@
                 member.instance,
                 _standing_of(beat),
                 beat.engines,
-                member.said_milliseconds,
+                member.newest_uptime_milliseconds,
             )
             self._reported[member.instance.address] = known
             return _full_entry(known, member, now_seconds)
@@ -137,7 +137,7 @@
             standing=standing,
             # As the receivers have it: the next change refers to positions.
             engines=beat.engines if engines is None else engines,
-            said_milliseconds=member.said_milliseconds,
+            said_milliseconds=member.newest_uptime_milliseconds,
         )
         self._reported[member.instance.address] = reported
         return messages.Told(
@@ -169,21 +169,21 @@
 class ReportReader:
     """Assembles the reports of one incarnation of a hub.
 
-    ``heard_at_seconds`` is when its last report arrived, ``vouched`` holds the
-    instances that it reports as alive, by address, and ``complete`` tells
+    ``heard_at_seconds`` is when its last report arrived, ``instances`` are
+    those that it reports as alive, by address, and ``complete`` tells
     whether no report was missed. ``first_hand`` tells whether all of them send
     their heartbeats to this hub.
     """
 
     def __init__(self) -> None:
         self.heard_at_seconds = -math.inf
-        self.vouched: dict[str, ids.InstanceId] = {}
+        self.instances: dict[str, ids.InstanceId] = {}
         self.complete = False
         self.first_hand = False
         self._number = -1
         self._instances: dict[int, ids.InstanceId] = {}
 
-    def take(
+    def apply(
         self, report: messages.Report, *, now_seconds: float
     ) -> list[tuple[ids.InstanceId, messages.Told]]:
         """Apply a report.
@@ -209,7 +209,7 @@
         told = [*self._resolve_numbers(report.told)]
         named = any(entry.instance is not None for entry in report.told)
         if whole or report.silent or named:
-            self.vouched = {
+            self.instances = {
                 instance.address: instance
                 for instance in self._instances.values()
             }
--- a/src/boragefold/coordination/fleet/state_merge.py
+++ b/src/boragefold/coordination/fleet/state_merge.py
@@ -31,7 +31,7 @@
     """
     if instance.incarnation == member.instance.incarnation:
         return True
-    if instance.incarnation in member.former:
+    if instance.incarnation in member.former_incarnations:
         return False
     if told.standing is None or not member.instance.incarnation:
         return told.standing is not None
@@ -41,7 +41,7 @@
     )
 
 
-def is_late_word(
+def is_from_replaced(
     member: member_module.Member,
     sender: ids.InstanceId,
     beat: messages.Beat | None,
@@ -56,7 +56,7 @@
     :param now_seconds: reading of the process clock
     :return: whether a process that started later is known at that address
     """
-    if sender.incarnation not in member.former:
+    if sender.incarnation not in member.former_incarnations:
         return False
     if beat is None:
         return True
@@ -64,7 +64,7 @@
     return started_at_seconds <= member.started_at_seconds
 
 
-def take_beat(
+def apply_heartbeat(
     member: member_module.Member, beat: messages.Beat, *, now_seconds: float
 ) -> bool:
     """Apply an instance's own heartbeat.
@@ -75,17 +75,17 @@
     :return: whether the change must be sent on at once
     """
     said_milliseconds = round(beat.uptime_seconds * engine_diffs.MILLISECONDS)
-    if said_milliseconds < member.standing_said_milliseconds:
+    if said_milliseconds < member.state_uptime_milliseconds:
         # A newer state has already arrived by a shorter path.
         return False
     before, member.beat = member.beat, beat
-    member.standing_said_milliseconds = said_milliseconds
-    member.engines_said_milliseconds = said_milliseconds
+    member.state_uptime_milliseconds = said_milliseconds
+    member.engines_uptime_milliseconds = said_milliseconds
     _note_start(member, now_seconds - beat.uptime_seconds)
     return before is None or _has_urgent_change(before, beat)
 
 
-def take_told(
+def apply_report_entry(
     member: member_module.Member, told: messages.Told, *, now_seconds: float
 ) -> bool:
     """Apply what a hub reports of an instance.
@@ -101,15 +101,15 @@
     standing = told.standing
     if (
         standing is not None
-        and said_milliseconds >= member.standing_said_milliseconds
+        and said_milliseconds >= member.state_uptime_milliseconds
     ):
-        member.standing_said_milliseconds = said_milliseconds
+        member.state_uptime_milliseconds = said_milliseconds
         _note_start(member, now_seconds - standing.uptime_seconds)
         beat = beat._replace(**standing._asdict())
-    if said_milliseconds >= member.engines_said_milliseconds:
+    if said_milliseconds >= member.engines_uptime_milliseconds:
         engines = _engines_of(beat, told)
         if engines is not None:
-            member.engines_said_milliseconds = said_milliseconds
+            member.engines_uptime_milliseconds = said_milliseconds
             beat = beat._replace(engines=engines)
     member.beat = beat
     return before is None or (
@@ -136,12 +136,14 @@
 
 
 def _has_urgent_change(before: messages.Beat, beat: messages.Beat) -> bool:
-    return member_module.news_of(before) != member_module.news_of(beat)
+    return member_module.urgent_state(before) != member_module.urgent_state(
+        beat
+    )
 
 
 __all__ = [
+    "apply_heartbeat",
+    "apply_report_entry",
     "is_current",
-    "is_late_word",
-    "take_beat",
-    "take_told",
+    "is_from_replaced",
 ]
--- a/src/boragefold/coordination/fleet/voter_sets.py
+++ b/src/boragefold/coordination/fleet/voter_sets.py
@@ -113,7 +113,7 @@
         :return: seconds; 0 while a majority is reachable
         """
         unheard_seconds = {
-            member.instance: self._members.unheard_seconds(member)
+            member.instance: self._members.lost_seconds(member)
             for member in self._members.unreachable()
         }
         voters = voter_set.voters
@@ -152,7 +152,7 @@
                 yield member.instance
         for member in self._members.unreachable():
             has_left = member.beat is not None and member.beat.leaving
-            silent_seconds = self._members.unheard_seconds(member)
+            silent_seconds = self._members.lost_seconds(member)
             if not has_left and silent_seconds < UNREACHABLE_VOTER_SECONDS:
                 yield member.instance
 
@@ -161,7 +161,7 @@
         # outnumber the others, and new instances promise nothing at first.
         age_seconds = self._members.age_seconds(member)
         is_new = age_seconds < lease_voter.PROMISE_SECONDS
-        return bool(member.former) or not is_new
+        return bool(member.former_incarnations) or not is_new
 
 
 def _ranked(instances: Iterable[ids.InstanceId]) -> list[ids.InstanceId]:
--- a/src/boragefold/entry/gateway.py
+++ b/src/boragefold/entry/gateway.py
@@ -150,7 +150,8 @@
 
     def _share(self) -> float:
         return shared_rate.share_of(
-            self._members.ages_seconds(), self._members.silent_seconds()
+            self._members.silences_seconds(),
+            self._members.silence_timeout_seconds(),
         )
 
     def _pick_service(self, route: deployment.Route) -> str:
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -220,7 +220,7 @@
         self._settings_reloader.start()
         self._members.subscribe(
             on_beat=self._relay.on_beat,
-            on_gone=self._owner.remove_peer,
+            on_replaced=self._owner.remove_peer,
             on_silent=self._fleet_log.record_silence,
         )
         self._fleet.subscribe(self._fleet_log.log_changes)
@@ -266,11 +266,11 @@
             link_megabits=self.settings.link_megabits,
             store_sound=self._followers.is_store_healthy(),
             store_lost=self._followers.any_failing(),
-            unheard=self._members.unheard(),
+            unheard=self._members.silent_targets(),
         )
 
     def _store_was_up(self) -> bool:
-        return any(beat.store_sound for beat in self._members.beats())
+        return any(beat.store_sound for beat in self._members.heartbeats())
 
     def _refresh(self) -> None:
         engines = {record.name: record for record in self._fleet.engines()}
@@ -357,7 +357,7 @@
     def _count_other_loads(self) -> int:
         return sum(
             engine.loading
-            for beat in self._members.beats()
+            for beat in self._members.heartbeats()
             for engine in beat.engines
         )
 
--- a/tests/coordination/fleet/test_rate_cuts.py
+++ b/tests/coordination/fleet/test_rate_cuts.py
@@ -73,8 +73,8 @@
             WORKSPACE,
             REQUEST_TOKENS,
             share=shared_rate.share_of(
-                instance.members.ages_seconds(),
-                instance.members.silent_seconds(),
+                instance.members.silences_seconds(),
+                instance.members.silence_timeout_seconds(),
             ),
             now_seconds=self.now(),
         )
--- a/tests/coordination/fleet/test_readers.py
+++ b/tests/coordination/fleet/test_readers.py
@@ -13,7 +13,7 @@
 def member(instance, *, lost=False):
     beat = messages.Beat(9.0, False, {}, (), (), lost)
     return member_module.Member(
-        instance=instance, heard_at_seconds=0.0, beat=beat
+        instance=instance, alive_at_seconds=0.0, beat=beat
     )
 
 
--- a/tests/coordination/fleet/test_reports.py
+++ b/tests/coordination/fleet/test_reports.py
@@ -35,7 +35,7 @@
         instance=instance,
         beat=beat,
         started_at_seconds=0.0,
-        engines_said_milliseconds=said_milliseconds,
+        engines_uptime_milliseconds=said_milliseconds,
     )
 
 
@@ -55,7 +55,7 @@
         ):
             for receiver in receivers:
                 if receiver not in lost:
-                    told[receiver] = self.readers[receiver].take(
+                    told[receiver] = self.readers[receiver].apply(
                         report, now_seconds=1.0
                     )
         return told
@@ -122,23 +122,23 @@
     reader = hub.readers[ONE]
     hub.tell([member(0)])
     assert not reader.complete
-    assert len(reader.vouched) == 2
+    assert len(reader.instances) == 2
     hub.writer.missed(ONE)
     hub.tell([member(0)])
     assert reader.complete
-    assert set(reader.vouched) == {member(0).instance.address}
+    assert set(reader.instances) == {member(0).instance.address}
 
 
 def test_a_doubled_report_changes_nothing() -> None:
     hub = Hub()
     reader = hub.readers[ONE]
     ((report, _),) = hub.writer.write([member(0)], [ONE], now_seconds=1.0)
-    reader.take(report, now_seconds=1.0)
+    reader.apply(report, now_seconds=1.0)
     ((change, _),) = hub.writer.write([], [ONE], now_seconds=1.0)
-    reader.take(change, now_seconds=1.0)
-    assert reader.take(change, now_seconds=9.0) == []
+    reader.apply(change, now_seconds=1.0)
+    assert reader.apply(change, now_seconds=9.0) == []
     assert reader.heard_at_seconds == 1.0
-    assert reader.vouched == {} and reader.complete
+    assert reader.instances == {} and reader.complete
 
 
 def test_a_new_receiver_gets_a_full_report() -> None:
@@ -160,7 +160,7 @@
     followers.tell([member(1)])
     hubs.writer.missed(ONE)
     hubs.tell([member(2)])
-    assert [*hubs.readers[ONE].vouched] == [member(2).instance.address]
+    assert [*hubs.readers[ONE].instances] == [member(2).instance.address]
 
 
 def test_a_restarted_instance_is_reported_as_new() -> None:
@@ -172,7 +172,7 @@
     ((instance, told),) = hub.tell([again])[ONE]
     assert instance.incarnation == "again"
     assert told.standing is not None
-    assert hub.readers[ONE].vouched == {instance.address: instance}
+    assert hub.readers[ONE].instances == {instance.address: instance}
 
 
 def test_a_change_has_the_time_of_its_newest_part() -> None:
@@ -181,6 +181,6 @@
     hub = Hub()
     hub.tell([member(0)])
     leaving = member(0, leaving=True)
-    leaving.standing_said_milliseconds = 60_000
+    leaving.state_uptime_milliseconds = 60_000
     ((_, told),) = hub.tell([leaving])[ONE]
     assert told.said_milliseconds == 60_000
--- a/tests/fakes/fleet_walk.py
+++ b/tests/fakes/fleet_walk.py
@@ -138,7 +138,7 @@
             owner_change=self.ownership.change,
         )
         self.members.subscribe(
-            on_beat=self.relay.on_beat, on_gone=self.owner.remove_peer
+            on_beat=self.relay.on_beat, on_replaced=self.owner.remove_peer
         )
 
     def _leases(self, log: engine_world.Log) -> order_leases.OrderLeases:
--- a/tests/fakes/gateways.py
+++ b/tests/fakes/gateways.py
@@ -114,7 +114,7 @@
             leaving=self.leaving,
             told=dict(self.items.told),
             engines=() if self.leaving else self._statuses(),
-            unheard=self.members.unheard(),
+            unheard=self.members.silent_targets(),
             avoids=tuple(self.avoided),
         )
 
