--- a/tests/coordination/test_views_faults.py
+++ b/tests/coordination/test_views_faults.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("count", [2, 3, 7])
-def test_a_killed_steward_is_replaced(count: int) -> None:
+def test_a_killed_leader_is_replaced(count: int) -> None:
     # The leader is killed with SIGKILL. Workspaces whose rights it held get no
     # new tokens until the others have agreed on a view without it. It sent
     # nothing before it died, so only the expiry of its promises reveals it.
@@ -135,7 +135,7 @@
     fleet.seconds_until_agreed("a", 5.0)
 
 
-def test_a_minority_with_the_steward_stops() -> None:
+def test_a_minority_with_the_leader_stops() -> None:
     # A partition separates the leader and one member from three members. The
     # member hears its leader all the time; a lease that outlasts the leader's
     # promises would duplicate the rights that the three take over.
@@ -327,7 +327,7 @@
     assert len(fleet.valid("a")) == 4
 
 
-def test_a_candidate_is_refused_while_the_steward_is_promised() -> None:
+def test_a_candidate_is_refused_while_the_leader_is_promised() -> None:
     # A member that is partitioned from the leader alone asks the others to
     # elect it. They still hear the leader and have promised to follow nobody
     # else; two leaders would change the view twice.
@@ -348,7 +348,7 @@
     assert fleet.agreed("a") == view
 
 
-def test_a_change_without_its_steward_is_finished() -> None:
+def test_a_change_without_its_leader_is_finished() -> None:
     # A member leaves; all accept the next view, and the leader is killed
     # before it reports the decision. It may have told an unreachable instance,
     # so the next leader has to complete this change and no other.
