--- a/src/boragefold/bench/configuration_fleet.py
+++ b/src/boragefold/bench/configuration_fleet.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from boragefold.bench import virtual_reader
-from boragefold.coordination.configuration import listing as listings
+from boragefold.coordination.configuration import list_poller as list_pollers
 from boragefold.coordination.configuration import readiness
 from boragefold.coordination.configuration import service
 import boragefold.coordination.rights as rights
@@ -128,10 +128,10 @@
             random=random.Random(seed),
             seeds=seeds,
         )
-        self.poller = listings.ListPoller(
+        self.poller = list_pollers.ListPoller(
             reader=self.reader, timers=node.timers, counters=self.counters
         )
-        self.poller.subscribe(self.configuration.note_listing)
+        self.poller.subscribe(self.configuration.receive_listing)
 
     @property
     def ready(self) -> bool:
@@ -204,7 +204,7 @@
         self.instances[address] = instance
         instance.configuration.start()
         if self._with_list:
-            delay_seconds = self._seeds.uniform(0, listings.PERIOD_SECONDS)
+            delay_seconds = self._seeds.uniform(0, list_pollers.PERIOD_SECONDS)
             instance.poller.start(delay_seconds=delay_seconds)
         self.publish_list()
         instance.node.timers.once(
--- a/src/boragefold/coordination/configuration/leaving_marks.py
+++ b/src/boragefold/coordination/configuration/leaving_marks.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from boragefold.coordination.configuration import listing as listings
+from boragefold.coordination.configuration import list_poller as list_pollers
 from boragefold.coordination.configuration import peers as peering
 import boragefold.coordination.link as links
 from boragefold.protocol import config_messages as messages
@@ -48,12 +48,12 @@
         )
         return xxhash.xxh3_64_intdigest("\0".join(leaving).encode())
 
-    def note_listing(self, listing: platform_api.Listing) -> None:
+    def receive_listing(self, listing: platform_api.Listing) -> None:
         """Record the marks of the platform's list and send new ones on.
 
         :param listing: the platform's list
         """
-        marks = listings.find_leaving_marks(listing, self._index)
+        marks = list_pollers.find_leaving_marks(listing, self._index)
         news = self._index.mark(marks)
         if news:
             self._counters.add("leaving_marks", "list", len(news))
--- a/src/boragefold/coordination/configuration/peers.py
+++ b/src/boragefold/coordination/configuration/peers.py
@@ -84,7 +84,7 @@
         """
         self._rights.subscribe(lambda _: callback())
 
-    def note_listing(self, listing: platform_api.Listing) -> None:
+    def receive_listing(self, listing: platform_api.Listing) -> None:
         """Record the addresses of the platform's list.
 
         :param listing: the platform's list
--- a/src/boragefold/coordination/configuration/service.py
+++ b/src/boragefold/coordination/configuration/service.py
@@ -134,7 +134,7 @@
         self._apply_role()
         self._tick()
 
-    def note_listing(self, listing: platform_api.Listing) -> None:
+    def receive_listing(self, listing: platform_api.Listing) -> None:
         """Process the platform's list; to be subscribed to its poller.
 
         :param listing: the platform's list
@@ -147,8 +147,8 @@
         ):
             return
         self._listing_seen = (listing.revision, now_seconds)
-        self._peers.note_listing(listing)
-        self._leaving_marks.note_listing(listing)
+        self._peers.receive_listing(listing)
+        self._leaving_marks.receive_listing(listing)
 
     def readiness(self) -> tracking.Readiness:
         """Return whether callers can be answered from this configuration.
@@ -228,7 +228,7 @@
     def _on_summary(
         self, sender: ids.InstanceId, body: messages.ConfigurationSummary
     ) -> None:
-        self._note_heard(body.heard_seconds_ago)
+        self._record_heard(body.heard_seconds_ago)
         if body.marks_root != self._leaving_marks.hash_marks():
             self._leaving_marks.send_all(sender)
         same = body.root == self._fingerprint.root()
@@ -238,7 +238,7 @@
             )
             self._reconciliation.send_hashes(sender)
 
-    def _note_heard(self, seconds_ago: float | None) -> None:
+    def _record_heard(self, seconds_ago: float | None) -> None:
         if seconds_ago is None:
             return
         heard_seconds = self._timers.now_seconds() - seconds_ago
@@ -246,7 +246,7 @@
 
     def _heard_seconds_ago(self) -> float | None:
         if self._watcher.last_answer_seconds is not None:
-            self._note_heard(
+            self._record_heard(
                 self._timers.now_seconds() - self._watcher.last_answer_seconds
             )
         if self._heard_seconds is None:
--- a/src/boragefold/entry/cluster_services.py
+++ b/src/boragefold/entry/cluster_services.py
@@ -6,7 +6,7 @@
 import random
 import time
 
-from boragefold.coordination.configuration import listing as list_polling
+from boragefold.coordination.configuration import list_poller as list_pollers
 from boragefold.coordination.configuration import reader as readers
 from boragefold.coordination.configuration import service as configuration
 import boragefold.coordination.instance_list as instance_lists
@@ -112,11 +112,11 @@
             counters=counters,
             reachability=reachability,
         )
-        self.lister = list_polling.ListPoller(
+        self.lister = list_pollers.ListPoller(
             reader=reader, timers=timers, counters=counters
         )
         self.lister.subscribe(self._on_listing)
-        self.lister.subscribe(self.configuration.note_listing)
+        self.lister.subscribe(self.configuration.receive_listing)
         self.tree.subscribe(self._on_change)
 
     def start(self) -> None:
