--- a/src/boragefold/protocol/__init__.py
+++ b/src/boragefold/protocol/__init__.py
@@ -1,3 +1,3 @@
-"""What travels between processes: typed messages, codecs and outcomes."""
+"""Data exchanged between processes: typed messages, codecs and outcomes."""
 
 from __future__ import annotations
--- a/src/boragefold/protocol/chat.py
+++ b/src/boragefold/protocol/chat.py
@@ -1,4 +1,4 @@
-"""The chat interface: what callers send and what engines stream."""
+"""The chat completion interface of callers and engines."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ChatRequest(TypedDict):
-    """What a caller asks for; ``model`` names adapter and version."""
+    """A chat completion request; ``model`` names adapter and version."""
 
     model: str
     messages: list[Message]
@@ -31,7 +31,7 @@
 
 
 class EngineEvent(msgspec.Struct):
-    """One server-sent event of an engine's answer."""
+    """One server-sent event of a streamed engine answer."""
 
     choices: list[dict[str, Any]]
     index: int = -1
@@ -42,24 +42,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BadChatRequest:
-    """A body that is no chat request."""
+    """Reports a body that is not a valid chat completion request."""
 
     reason: str
     remedy: str
 
 
 class Target(NamedTuple):
-    """What ``model`` names; no version means the newest."""
+    """The parts of ``model``; an empty version selects the newest."""
 
     name: str
     version: str
 
 
 def parse(body: bytes) -> ChatRequest | BadChatRequest:
-    """Read a caller's request.
+    """Decode and validate a chat completion request.
 
     :param body: JSON
-    :return: the request, or what is wrong with it
+    :return: the request, or the reason why it is invalid
     """
     try:
         request = _DECODER.decode(body)
@@ -81,10 +81,10 @@
 
 
 def target(model: str) -> Target:
-    """Read the adapter and the version out of ``model``.
+    """Split ``model`` into adapter name and version.
 
     :param model: ``NAME`` or ``NAME@VERSION``
-    :return: both parts
+    :return: name and version
     """
     name, _, version = model.partition("@")
     return Target(name, version)
@@ -93,11 +93,11 @@
 def estimate_tokens(request: ChatRequest) -> int:
     """Estimate the prompt's tokens before an engine has counted them.
 
-    Four bytes a token is the usual figure for English; short words cost one
-    token each however short they are.
+    Four bytes per token is the usual figure for English; each word costs at
+    least one token, however short it is.
 
     :param request: the request
-    :return: tokens
+    :return: number of tokens
     """
     return sum(
         max(len(message["content"].split()), len(message["content"]) // 4)
@@ -106,11 +106,11 @@
 
 
 def chunk(request_id: str, model: str, text: str) -> bytes:
-    """Write one piece of a streamed answer.
+    """Encode one chunk of a streamed answer.
 
-    :param request_id: names the answer
-    :param model: as the caller named it
-    :param text: the piece
+    :param request_id: the ID of the answer
+    :param model: the name that the caller requested
+    :param text: the text of the chunk
     :return: a server-sent event
     """
     event = {
@@ -125,12 +125,12 @@
 def whole(
     request_id: str, model: str, text: str, usage: dict[str, int]
 ) -> bytes:
-    """Write an answer that wasn't streamed.
+    """Encode an answer that isn't streamed.
 
-    :param request_id: names the answer
-    :param model: as the caller named it
-    :param text: all of it
-    :param usage: tokens of prompt and completion
+    :param request_id: the ID of the answer
+    :param model: the name that the caller requested
+    :param text: the whole text
+    :param usage: token counts of prompt and completion
     :return: JSON
     """
     message = {"role": "assistant", "content": text}
--- a/src/boragefold/protocol/config_messages.py
+++ b/src/boragefold/protocol/config_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other about the published configuration."""
+"""Messages that replicate the published configuration between instances."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class LeavingMark(NamedTuple):
-    """What the newest list that spoke of an address said.
+    """Whether the newest list with an entry for an address marks it leaving.
 
-    ``list_revision`` orders the lists: a mark is undone only by a newer one.
+    ``list_revision`` orders the lists: only a newer one undoes a mark.
     """
 
     address: str
@@ -17,7 +17,7 @@
 
 
 class PathVersion(NamedTuple):
-    """Which value of a path is in force.
+    """The version of a path's value that is in force.
 
     ``prefix`` is the beginning of the value's digest as a number. Versions
     of one path are ordered by revision, then by prefix.
@@ -29,11 +29,12 @@
 
 
 class ConfigurationSummary(NamedTuple):
-    """A comparison of everything, which usually ends here.
+    """Starts a comparison of all versions and marks.
 
     ``root`` and ``marks_root`` are hashes over the sender's versions and
-    marks. ``heard_seconds_ago`` tells how long ago the sender, or whoever
-    told it, had the platform's answer; None for never.
+    marks; equal hashes, the usual case, end the comparison.
+    ``heard_seconds_ago`` is the age of the newest answer of the platform that
+    the sender received, directly or through other instances; None for never.
     """
 
     root: int
@@ -43,16 +44,16 @@
 
 
 class ConfigurationBuckets(NamedTuple):
-    """The answer to a summary that differs: a hash for each bucket."""
+    """Answers a summary that differs, with a hash for each bucket."""
 
     hashes: tuple[int, ...]
     ready: bool
 
 
 class ConfigurationVersions(NamedTuple):
-    """All versions in some buckets, or, without buckets, some new ones.
+    """All versions in the named buckets, or only new ones if none is named.
 
-    ``is_reply`` asks for no versions in return.
+    ``is_reply`` tells the receiver not to send its versions in return.
     """
 
     buckets: tuple[int, ...]
@@ -61,16 +62,16 @@
 
 
 class ConfigurationWant(NamedTuple):
-    """A request for the values in force at some paths."""
+    """Requests the values in force at some paths."""
 
     paths: tuple[str, ...]
 
 
 class ConfigurationValue(NamedTuple):
-    """A piece of a value, packed as the tree keeps it; None if deleted.
+    """A chunk of a value, encoded as in the tree; None if it is deleted.
 
-    ``since_seconds`` is when the value came into force first, by the
-    calendar, on any instance that passed it on.
+    ``since_seconds`` is the wall-clock time at which the value first came
+    into force on any instance that forwarded it.
     """
 
     path: str
@@ -83,7 +84,7 @@
 
 
 class ConfigurationPatch(NamedTuple):
-    """The entries of a value that differ from the value before.
+    """The difference between a value and its predecessor.
 
     ``entries`` is a JSON object of the entries that are new or changed.
     """
@@ -99,7 +100,7 @@
 
 
 class ConfigurationRejection(NamedTuple):
-    """A value that the sender read at the platform and found invalid."""
+    """Reports a value that the sender read from the platform as invalid."""
 
     path: str
     revision: int
@@ -109,7 +110,7 @@
 
 
 class ConfigurationMarks(NamedTuple):
-    """The endpoints that are leaving by the list, as the sender knows."""
+    """The sender's marks of endpoints that are leaving by the list."""
 
     marks: tuple[LeavingMark, ...]
     is_reply: bool
--- a/src/boragefold/protocol/envelope.py
+++ b/src/boragefold/protocol/envelope.py
@@ -14,16 +14,16 @@
 
 # Shorter messages gain nothing from compression.
 COMPRESSED_FROM_BYTES = 1_500
-# The fastest; higher levels save little more.
+# The fastest level; higher levels save little more.
 COMPRESSION_LEVEL = 1
-# Marks a compressed message; no other message begins with it.
+# First byte of a compressed message; no other message begins with it.
 COMPRESSED_MARK = b"\x00"
-# Longer messages come from a broken peer.
+# Longer messages come from a faulty peer; bounds the decompressed size.
 MAX_BYTES = 16_777_216
 
 
 class Envelope(NamedTuple):
-    """A message as it travels: who sent it, what it is, what it says."""
+    """A message on the wire: sender, kind and encoded body."""
 
     sender: ids.InstanceId
     kind: str
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Malformed:
-    """Bytes that are not a message of ours."""
+    """Reports bytes that are not a valid message."""
 
     reason: str
     remedy: str = "run the same release on every instance of the data centre"
@@ -40,14 +40,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Received:
-    """A message that was understood."""
+    """A decoded message."""
 
     sender: ids.InstanceId
     body: Any
 
 
 class Codec:
-    """Turns message types, which are ``NamedTuple`` classes, into bytes."""
+    """Encodes and decodes messages, which are ``NamedTuple`` classes."""
 
     def __init__(self, *, kinds: Iterable[type]) -> None:
         self._decoders: dict[str, msgspec.msgpack.Decoder[Any]] = {
@@ -57,16 +57,18 @@
         self._envelopes = msgspec.msgpack.Decoder(Envelope)
 
     def encode(self, *, sender: ids.InstanceId, body: Any) -> bytes:
-        """Pack a message.
+        """Encode a message.
 
         :param sender: the instance that sends it
-        :param body: an object of one of the kinds
-        :return: MessagePack, an array of sender, kind and body; compressed
-            when it is long
+        :param body: an object of a registered message class
+        :return: MessagePack array of sender, kind and body, compressed if it
+            is long
         """
         kind = type(body).__name__
         if kind not in self._decoders:
-            raise TypeError(f"{kind} is no registered message; add it")
+            raise TypeError(
+                f"{kind} is not a registered message class; add it"
+            )
         raw = msgspec.Raw(self._encoder.encode(body))
         data = self._encoder.encode(Envelope(sender, kind, raw))
         if len(data) < COMPRESSED_FROM_BYTES:
@@ -74,13 +76,13 @@
         return COMPRESSED_MARK + zlib.compress(data, COMPRESSION_LEVEL)
 
     def decode(self, data: bytes) -> Received | Malformed:
-        """Unpack a message.
+        """Decode a message.
 
         :param data: bytes from a peer
-        :return: the message, or why the bytes are none
+        :return: the message, or the reason why it can't be decoded
         """
         try:
-            envelope = self._envelopes.decode(_plain(data))
+            envelope = self._envelopes.decode(_decompress(data))
             decoder = self._decoders.get(envelope.kind)
             if decoder is None:
                 return Malformed(reason="unknown_kind")
@@ -90,7 +92,7 @@
         return Received(sender=envelope.sender, body=body)
 
 
-def _plain(data: bytes) -> bytes:
+def _decompress(data: bytes) -> bytes:
     if not data.startswith(COMPRESSED_MARK):
         return data
     return zlib.decompressobj().decompress(data[1:], MAX_BYTES)
--- a/src/boragefold/protocol/fleet_messages.py
+++ b/src/boragefold/protocol/fleet_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of waiting work and of endpoints' slots."""
+"""Messages about waiting work and about the adapters of endpoints."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AdapterLoaded(NamedTuple):
-    """An endpoint holds an adapter now."""
+    """Reports that an endpoint has loaded an adapter."""
 
     endpoint: str
     adapter: works.AdapterVersion
--- a/src/boragefold/protocol/ids.py
+++ b/src/boragefold/protocol/ids.py
@@ -1,11 +1,11 @@
-"""Names of the processes that take part."""
+"""Identifiers of processes."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 import uuid
 
-# Every message between instances carries them.
+# Kept short, because every message between instances carries an incarnation.
 INCARNATION_DIGITS = 16
 
 
@@ -18,13 +18,13 @@
 
 
 def new_incarnation() -> str:
-    """Make a name for a process that has just started.
+    """Generate the identifier of a process that has just started.
 
-    A restarted process remembers nothing, so it must not be taken for its
-    predecessor at the same address.
+    A restarted process has lost its state, so it must be distinguishable from
+    its predecessor at the same address.
 
-    :return: 16 hexadecimal digits; two of a billion processes share them with
-        a chance of 0.03
+    :return: 16 hexadecimal digits; the probability of a collision among a
+        billion processes is 0.03
     """
     return uuid.uuid4().hex[:INCARNATION_DIGITS]
 
--- a/src/boragefold/protocol/once_messages.py
+++ b/src/boragefold/protocol/once_messages.py
@@ -1,4 +1,4 @@
-"""Messages between an attempt and the registers of its ticket."""
+"""Messages between a run-once attempt and the registers of its ticket."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Ticket(NamedTuple):
-    """An idempotency key minted by the system.
+    """An idempotency key issued by the system.
 
     ``issued_at_seconds`` is a reading of the first register's own clock.
-    ``second`` is None when no other instance was known.
+    ``second`` is None if no other instance was known.
     """
 
     serial: str
@@ -23,7 +23,7 @@
 
     @property
     def registers(self) -> list[ids.InstanceId]:
-        """List the registers that have to grant it.
+        """List the registers that have to grant the ticket.
 
         :return: one or two
         """
@@ -33,14 +33,14 @@
 
 
 class Attempt(NamedTuple):
-    """One attempt to run a ticket, by one incarnation; never used twice."""
+    """Identifies one attempt of one incarnation; never reused."""
 
     runner: ids.InstanceId
     number: int
 
 
 class StoredAnswer(NamedTuple):
-    """What the endpoint answered; ``body`` is None when it was too large."""
+    """The endpoint's answer; ``body`` is None if it was too large."""
 
     status: int
     content_type: str
@@ -48,7 +48,7 @@
 
 
 class Claim(NamedTuple):
-    """Ask a register to record an attempt before it is sent."""
+    """Asks a register to record an attempt before it is sent."""
 
     ticket: Ticket
     attempt: Attempt
@@ -56,7 +56,7 @@
 
 
 class ClaimReply(NamedTuple):
-    """A register's decision.
+    """Answers a :class:`Claim` or :class:`Seal` with the register's decision.
 
     ``verdict`` is ``granted``, ``taken``, ``sealed``, ``foreign``,
     ``expired``, ``mismatch`` or ``full``.
@@ -69,7 +69,7 @@
 
 
 class Seal(NamedTuple):
-    """Ask a register never to grant a ticket that it hasn't granted yet."""
+    """Asks a register never to grant a ticket that it hasn't granted yet."""
 
     ticket: Ticket
     attempt: Attempt
@@ -77,21 +77,21 @@
 
 
 class Release(NamedTuple):
-    """Tell a register that an attempt sent nothing and never will."""
+    """Tells a register that an attempt sent nothing and never will."""
 
     serial: str
     attempt: Attempt
 
 
 class Released(NamedTuple):
-    """Acknowledge a release."""
+    """Acknowledges a release."""
 
     serial: str
     attempt: Attempt
 
 
 class Store(NamedTuple):
-    """Tell a register what the endpoint answered."""
+    """Sends the endpoint's answer to a register."""
 
     serial: str
     attempt: Attempt
@@ -99,7 +99,7 @@
 
 
 class Stored(NamedTuple):
-    """Acknowledge a stored answer."""
+    """Acknowledges a stored answer."""
 
     serial: str
     attempt: Attempt
--- a/src/boragefold/protocol/order_lease_messages.py
+++ b/src/boragefold/protocol/order_lease_messages.py
@@ -1,7 +1,7 @@
-"""How instances agree which of them gives an engine its orders.
+"""Messages that elect the instance which may send orders to an engine.
 
-Every message may be lost, doubled or late; a number tells the rounds of one
-asker apart.
+Every message may be lost, duplicated or delayed; ``number`` tells the rounds
+of one candidate apart.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 
 class LeaseAsk(NamedTuple):
-    """Asks for a vote that the sender gives an engine its orders.
+    """Asks a voter to promise an engine to the sender.
 
-    ``unanswered`` are the addresses of those that are heard and gave the
-    sender no vote last time: their connection to it may be dead.
+    ``unanswered`` are the addresses of the voters that the sender hears and
+    that gave it no vote last time: their connection to it may be broken.
     """
 
     number: int
@@ -24,10 +24,10 @@
 class LeaseVote(NamedTuple):
     """Answers a :class:`LeaseAsk`.
 
-    ``refused_seconds`` is for how long the voter can't promise the engine to
-    the asker; 0 is a promise. ``others_seconds`` is how long ago its promise
-    to another instance ended: negative while that lasts, infinite if it
-    remembers none.
+    ``refused_seconds`` is how long the voter can't promise the engine to the
+    candidate; 0 is a promise. ``others_seconds`` is how long ago its promise
+    to another instance ended: negative while that promise lasts, infinite if
+    the voter remembers none.
     """
 
     number: int
@@ -37,7 +37,7 @@
 
 
 class LeaseEnd(NamedTuple):
-    """Frees a voter of the promises up to ``number``."""
+    """Releases a voter from its promises up to ``number``."""
 
     number: int
     engine: str
--- a/src/boragefold/protocol/order_messages.py
+++ b/src/boragefold/protocol/order_messages.py
@@ -1,4 +1,4 @@
-"""Messages about the use of adapters and its end before an eviction."""
+"""Messages about leases to use adapters, which end before an eviction."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Weights(NamedTuple):
-    """One version of one adapter; an empty adapter is the base model."""
+    """One version of an adapter; an empty adapter means the base model."""
 
     model: str
     adapter: str
@@ -21,21 +21,21 @@
 
 
 class UseAsked(NamedTuple):
-    """Asks for leases to send requests to endpoints, many at once."""
+    """Asks for leases to send requests to several endpoints."""
 
     number: int
     targets: tuple[Target, ...]
 
 
 class UseRefusal(NamedTuple):
-    """No lease, and why: one of a small fixed set of reasons."""
+    """Refuses a lease; ``reason`` is one of a small fixed set."""
 
     target: Target
     reason: str
 
 
 class UseGiven(NamedTuple):
-    """Leases that end ``life_seconds`` after the request was sent."""
+    """Grants leases that end ``life_seconds`` after the request was sent."""
 
     number: int
     life_seconds: float
@@ -44,14 +44,14 @@
 
 
 class UseStopAsked(NamedTuple):
-    """Asks to begin no more uses, and to say when the last one has ended."""
+    """Asks to begin no more uses and to report when the last has ended."""
 
     target: Target
     eviction: int
 
 
 class UseStopped(NamedTuple):
-    """Tells that nothing of the sender's is in flight any more."""
+    """Reports that none of the sender's uses is in flight any more."""
 
     target: Target
     eviction: int
--- a/src/boragefold/protocol/outcome.py
+++ b/src/boragefold/protocol/outcome.py
@@ -1,4 +1,4 @@
-"""The three outcomes of a request, typed."""
+"""The three possible outcomes of a request."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unknown:
-    """The request may or may not have been executed, and nobody can tell."""
+    """Nobody can tell whether the request was executed."""
 
     status: int
     reason: str
--- a/src/boragefold/protocol/peer_messages.py
+++ b/src/boragefold/protocol/peer_messages.py
@@ -1,7 +1,7 @@
-"""What entry instances tell each other.
+"""Messages between entry instances.
 
-Every message may be lost, doubled or late. Durations travel instead of
-times, because the instances' clocks have nothing in common.
+Every message may be lost, duplicated or delayed. Messages carry durations
+instead of times, because the clocks of the instances are unrelated.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class EngineStatus(NamedTuple):
-    """What the instance that schedules an engine tells of it.
+    """The state of an engine, sent by the instance that schedules it.
 
-    ``adapters`` are pairs of model and adapter, ``loading`` is how many
-    adapters are on their way to it. ``orders_in_seconds`` is how long nothing
+    ``adapters`` are pairs of model and adapter, ``loading`` is the number of
+    adapters that are being loaded. ``orders_in_seconds`` is how long nothing
     can be loaded: after the scheduler's start, and while another instance
-    gives orders. ``answers`` is false while the engine gives its owner no
-    report. ``copies`` are digests of the adapters that it keeps copies of.
+    issues orders. ``answers`` is false while the engine sends its owner no
+    report. ``copies`` are digests of the adapters in its host memory.
     """
 
     name: str
@@ -34,7 +34,7 @@
 
 
 class EngineLoad(NamedTuple):
-    """The part of an :class:`EngineStatus` that changes all the time."""
+    """The part of an :class:`EngineStatus` that changes continuously."""
 
     backlog_milliseconds: int
     place_wait_milliseconds: int
@@ -43,10 +43,10 @@
 
 
 class EngineChange(NamedTuple):
-    """What changed of an engine that was told before.
+    """The difference between an engine's status and the one sent before.
 
-    ``place`` is where it stands among its owner's engines, and ``dropped``
-    ones are named by where they stood before.
+    ``place`` is the engine's index among its owner's engines. Dropped
+    adapters and copies are given by their indexes in the status before.
     """
 
     place: int
@@ -59,15 +59,15 @@
 
 
 class Beat(NamedTuple):
-    """What an instance tells of itself, with what changes all the time.
+    """The state of an instance, with the parts that change continuously.
 
     ``told`` has by prefix the revision of the newest published change that the
-    sender has and that matters to those who don't read the store;
-    ``store_lost`` tells that
-    the store doesn't answer it. ``unheard`` are the addresses of
-    the peers that it speaks to and doesn't hear, and ``avoids`` the engines
-    that it can't reach. ``link_megabits`` is the speed of its network link,
-    ``store_sound`` tells that it reads the store and lately always could.
+    sender has and that matters to those who don't read the store.
+    ``store_lost`` means that the store doesn't answer the sender.
+    ``unheard`` are the addresses of the peers that it sends to and receives
+    nothing from, ``avoids`` the engines that it can't reach.
+    ``link_megabits`` is the speed of its network link per second.
+    ``store_sound`` means that it reads the store, recently without failures.
     """
 
     uptime_seconds: float
@@ -82,9 +82,9 @@
 
 
 class Standing(NamedTuple):
-    """The part of a :class:`Beat` that hubs pass on and that seldom changes.
+    """The part of a :class:`Beat` that hubs relay and that rarely changes.
 
-    ``uptime_seconds`` is the instance's when the hub tells of it.
+    ``uptime_seconds`` is the instance's uptime when the hub sends it.
     """
 
     uptime_seconds: float
@@ -96,12 +96,12 @@
 
 
 class Told(NamedTuple):
-    """What a hub tells of another instance; None is what didn't change.
+    """A hub's report on another instance; None means unchanged.
 
-    ``number`` stands for the instance in the reports of this hub.
-    ``said_milliseconds`` is the uptime at which the instance said it: of two
-    hubs the one with the newer word is believed. ``engines`` are told whole,
-    ``changes`` are of those that were told last.
+    ``number`` identifies the instance in the reports of this hub.
+    ``said_milliseconds`` is the instance's uptime when it sent this state: of
+    the reports of two hubs the newer state is used. ``engines`` are complete,
+    ``changes`` are relative to the engines that were sent last.
     """
 
     number: int
@@ -113,11 +113,11 @@
 
 
 class Report(NamedTuple):
-    """Which instances a hub hears, and what they tell.
+    """The instances that a hub hears, and their states.
 
-    It holds what changed since the report numbered ``since``; None is a report
-    of everything. ``silent`` are the numbers of instances that the hub hears
-    no longer. ``first_hand`` tells that the hub has all of it from the
+    It holds what changed since the report numbered ``since``; None means a
+    report of everything. ``silent`` are the numbers of instances that the hub
+    no longer hears. ``first_hand`` means that the hub has all of it from the
     instances themselves.
     """
 
@@ -129,12 +129,12 @@
 
 
 class Heartbeat(NamedTuple):
-    """A heartbeat; from a hub with what it hears.
+    """A heartbeat; a hub adds a report on the instances that it hears.
 
     ``lacks`` are the addresses of the hubs whose reports the sender missed.
-    A hub tells other hubs its ``entry`` of what it counts of rates, and the
-    instances that speak to it the ``totals``. ``to_hub`` tells that the sender
-    takes the receiver for its hub, and wants to be told what that one hears.
+    A hub sends its rate ledger ``entry`` to other hubs, and the ``totals`` to
+    the instances that send to it. ``to_hub`` means that the sender uses the
+    receiver as its hub, and asks for its reports.
     """
 
     beat: Beat
@@ -147,11 +147,11 @@
 
 
 class Introduction(NamedTuple):
-    """The instances that the sender tells of.
+    """Instances that the sender knows.
 
-    ``heard`` asks for an answer, and tells how many peers the sender hears;
-    None asks for nothing. ``digest`` stands for all instances that it knows:
-    who knows others tells them; 0 compares nothing.
+    ``heard`` asks for an answer, and is the number of peers that the sender
+    hears; None asks for none. ``digest`` covers all instances that it knows:
+    a receiver that knows others sends them; 0 compares nothing.
     """
 
     members: tuple[ids.InstanceId, ...]
@@ -160,13 +160,13 @@
 
 
 class Pull(NamedTuple):
-    """Asks for what was published since; by prefix, what the asker has."""
+    """Asks for newer published changes; ``told`` is what the sender has."""
 
     told: dict[str, int]
 
 
 class PublishedItem(NamedTuple):
-    """An item as the store has it; ``value`` is None after a removal."""
+    """An item of the store; ``value`` is None after a removal."""
 
     key: str
     revision: int
@@ -174,10 +174,10 @@
 
 
 class Published(NamedTuple):
-    """Published items; complete up to ``told`` from what was asked.
+    """Published items, complete from the requested revisions to ``told``.
 
-    ``settling_seconds`` is how long removals among them still wait, because
-    the store has just returned.
+    ``settling_seconds`` is how long removals among them are still deferred,
+    because the store has just become available again.
     """
 
     told: dict[str, int]
@@ -186,10 +186,10 @@
 
 
 class EngineAsk(NamedTuple):
-    """Asks the scheduler of an engine to let a request run there.
+    """Asks the scheduler of an engine to run a request there.
 
-    ``unanswered`` counts the times that it was sent before with no answer of
-    any kind. An ``eager`` one is refused where it would be late.
+    ``unanswered`` counts how often it was sent before without any answer. An
+    ``eager`` one is refused if it would be late.
     """
 
     request_id: str
@@ -208,7 +208,7 @@
 
 
 class EngineWaits(NamedTuple):
-    """Tells whoever asks once more that the request waits."""
+    """Answers a repeated :class:`EngineAsk`: the request is still queued."""
 
     request_id: str
     engine: str
@@ -217,8 +217,8 @@
 class EngineGrant(NamedTuple):
     """Lets a request run; ``version`` is that of its adapter, 0 for any.
 
-    The rest is what it waited for at the owner: until its adapter was
-    ordered, until that was there, and until the engine had room.
+    The durations are its waits at the owner: until its adapter was ordered,
+    until the adapter was loaded, and until the engine had capacity.
     """
 
     request_id: str
@@ -230,9 +230,9 @@
 
 
 class EngineRefusal(NamedTuple):
-    """Tells that a request will not run at an engine, and why.
+    """Reports that a request will not run at an engine, and why.
 
-    ``wait_seconds`` is what an eager one would have had to wait.
+    ``wait_seconds`` is the estimated wait of an eager one.
     """
 
     request_id: str
@@ -243,16 +243,16 @@
 
 
 class RunStarted(NamedTuple):
-    """Tells the scheduler that an answer has begun."""
+    """Reports to the scheduler that an answer has begun."""
 
     request_id: str
     engine: str
 
 
 class RunEnded(NamedTuple):
-    """Tells the scheduler that a request is over.
+    """Reports to the scheduler that a request has ended.
 
-    ``not_held`` says that the engine refused it for want of its adapter.
+    ``not_held`` means that the engine refused it for lack of its adapter.
     """
 
     request_id: str
--- a/src/boragefold/protocol/platform_api.py
+++ b/src/boragefold/protocol/platform_api.py
@@ -1,8 +1,8 @@
-"""What the platform's configuration service answers.
+"""The interface of the platform's configuration service.
 
-``GET /v1/tree?after=REVISION&wait_seconds=N`` answers with a
-:class:`TreeAnswer` as soon as there are newer changes, or when the wait is
-over. ``GET /v1/list`` answers with a :class:`ListAnswer`.
+``GET /v1/tree?after=REVISION&wait_seconds=N`` is a long poll: it returns a
+:class:`TreeAnswer` as soon as there are newer changes, or at the end of the
+wait. ``GET /v1/list`` returns a :class:`ListAnswer`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class WatchResult(NamedTuple):
-    """The changes after a revision, and the revision they lead up to."""
+    """The changes after a revision, and the revision that they lead to."""
 
     revision: int
     changes: tuple[PublishedChange, ...]
@@ -43,7 +43,7 @@
 
 
 class Listing(NamedTuple):
-    """The platform's list; it lags, and two readers may see two of them."""
+    """The platform's list; it lags, and two readers may see different ones."""
 
     revision: int
     instances: tuple[ListedInstance, ...]
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PlatformFailed:
-    """The platform gave no answer that can be used.
+    """Reports that the platform gave no usable answer.
 
     ``reason`` is one of ``refused``, ``timeout``, ``status`` and
     ``malformed``.
@@ -62,9 +62,9 @@
 
 
 class ChangeDocument(msgspec.Struct):
-    """A change as it travels.
+    """A change on the wire.
 
-    A struct, because msgspec leaves raw JSON alone in no ``TypedDict``.
+    A struct, because msgspec can't keep raw JSON undecoded in a ``TypedDict``.
     """
 
     path: str
@@ -80,7 +80,7 @@
 
 
 class InstanceDocument(TypedDict):
-    """An instance as it travels."""
+    """An instance on the wire."""
 
     address: str
     data_centre: str
@@ -101,24 +101,26 @@
 
 
 def decode_tree(body: bytes) -> WatchResult | PlatformFailed:
-    """Read the body of an answer to ``GET /v1/tree``.
+    """Decode the body of an answer to ``GET /v1/tree``.
 
     :param body: JSON
-    :return: the changes, or that the body is none
+    :return: the changes, or a failure if the body is malformed
     """
     try:
         answer = _TREE_DECODER.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return PlatformFailed(reason="malformed")
     changes = (
-        PublishedChange(change.path, change.revision, _present(change.value))
+        PublishedChange(
+            change.path, change.revision, _value_or_none(change.value)
+        )
         for change in answer.changes
     )
     return WatchResult(answer.revision, tuple(changes))
 
 
 def encode_tree(result: WatchResult) -> bytes:
-    """Write the body of an answer to ``GET /v1/tree``.
+    """Encode the body of an answer to ``GET /v1/tree``.
 
     :param result: the changes
     :return: JSON
@@ -139,10 +141,10 @@
 
 
 def decode_list(body: bytes) -> Listing | PlatformFailed:
-    """Read the body of an answer to ``GET /v1/list``.
+    """Decode the body of an answer to ``GET /v1/list``.
 
     :param body: JSON
-    :return: the list, or that the body is none
+    :return: the list, or a failure if the body is malformed
     """
     try:
         answer = _LIST_DECODER.decode(body)
@@ -155,7 +157,7 @@
 
 
 def encode_list(listing: Listing) -> bytes:
-    """Write the body of an answer to ``GET /v1/list``.
+    """Encode the body of an answer to ``GET /v1/list``.
 
     :param listing: the list
     :return: JSON
@@ -166,7 +168,7 @@
     )
 
 
-def _present(value: msgspec.Raw) -> bytes | None:
+def _value_or_none(value: msgspec.Raw) -> bytes | None:
     data = bytes(value).strip()
     return None if data == _JSON_NULL else data
 
--- a/src/boragefold/protocol/rate_ledger_messages.py
+++ b/src/boragefold/protocol/rate_ledger_messages.py
@@ -1,4 +1,7 @@
-"""What instances tell each other of what was admitted of rates."""
+"""Messages about the amounts that instances admitted against rates.
+
+A giver is an instance that reports what it admitted to a hub.
+"""
 
 from __future__ import annotations
 
@@ -6,12 +9,13 @@
 
 
 class Era(NamedTuple):
-    """Tells apart totals that have nothing in common.
+    """Identifies totals that can be compared with one another.
 
-    Whoever finds no hub to learn from begins an era, ``heard_count`` being the
-    instances that it heard and ``name`` its own number. Where two meet, the
-    greater goes on. ``reunions`` counts how often hubs met again that had
-    counted apart for long. Whoever is in no era has a negative count.
+    An instance that finds no hub to learn from starts an era; ``heard_count``
+    is the number of instances that it heard and ``name`` its own number.
+    Where two eras meet, the greater one continues. ``reunions`` counts how
+    often hubs met again that had counted separately for long. An instance
+    without an era has a negative count.
     """
 
     heard_count: int = -1
@@ -20,29 +24,29 @@
 
     @property
     def known(self) -> bool:
-        """Tell whether this is an era.
+        """Return whether this is an era.
 
-        :return: false for whoever is in none
+        :return: false for an instance without an era
         """
         return self.heard_count >= 0
 
     @property
     def founding(self) -> tuple[int, int]:
-        """Tell who began it.
+        """Return the part that identifies who started the era.
 
-        :return: the same after each reunion
+        :return: unchanged by reunions
         """
         return self.heard_count, self.name
 
 
 class Entry(NamedTuple):
-    """What one hub counts; it alone writes it.
+    """What one hub counts; only this hub writes it.
 
     ``version`` rises with each change. ``sums`` are by workspace since the
-    entry began, ``counted`` has the number of the last account that they hold
-    of each giver, by the index that the entry gave it. ``indexes`` are those
-    of new givers, or all ``givers_count`` of them. ``age_seconds`` is how long
-    ago the entry began.
+    entry was created. ``counted`` has the number of the last account of each
+    giver that the sums include, by the index that the entry assigned to the
+    giver. ``indexes`` are those of new givers, or all ``givers_count`` of
+    them. ``age_seconds`` is the time since the entry was created.
     """
 
     version: int
@@ -54,10 +58,10 @@
 
 
 class ToldEntry(NamedTuple):
-    """What a hub tells other hubs of its own entry.
+    """A hub's own entry, as it sends it to other hubs.
 
-    ``serial`` tells the entries of one incarnation apart. ``entry`` is left
-    out where its version was told for a while. The digest stands for the
+    ``serial`` numbers the entries of one incarnation. ``entry`` is left out
+    once its version has been sent for a while. ``lost_digest`` covers the
     entries of hubs that the sender doesn't hear.
     """
 
@@ -69,12 +73,12 @@
 
 
 class Account(NamedTuple):
-    """What the sender admitted and one hub has to count.
+    """Amounts that the sender admitted and one hub has to count.
 
-    ``counter`` is the name of the hub's entry. ``amounts`` are what was given
-    to that entry in all, by workspace of which it isn't known that the entry
-    holds it. ``number`` rises with each change, over all entries. ``former``
-    are entries of which it isn't settled what they hold.
+    ``counter`` is the name of the hub's entry. ``amounts`` are the totals
+    reported to that entry, for each workspace whose total the entry isn't
+    known to include. ``number`` rises with each change, over all entries.
+    ``former`` are earlier entries of which it isn't settled what they include.
     """
 
     counter: str
@@ -84,13 +88,13 @@
 
 
 class Totals(NamedTuple):
-    """What a hub tells instances that all hubs count.
+    """The sums over all hubs, sent by a hub to instances.
 
-    ``whole`` tells that a workspace which isn't named has a sum of 0.
+    ``whole`` means that a workspace which isn't named has a sum of 0.
     ``counted`` and ``indexes`` are those of the hub's own entry, named by
-    ``serial``. ``settled`` are the numbers of the accounts that other entries
-    hold, for the givers that asked. ``late`` is the part of the amounts that
-    the hub learned after it hadn't heard who counted it for a while.
+    ``serial``. ``settled`` has, for the givers that asked, the numbers of the
+    accounts that other entries include. ``late`` is the part of the amounts
+    that the hub received after it hadn't heard their counting hub for a while.
     """
 
     serial: int
@@ -104,9 +108,9 @@
 
 
 class Folded(NamedTuple):
-    """The sums of entries whose hubs ended long ago, and how many these are.
+    """The summed entries of hubs that ended long ago, and their number.
 
-    Of two the one with more entries is right.
+    Of two versions, the one with more entries is right.
     """
 
     entries_count: int
@@ -118,9 +122,9 @@
 
 
 class Ledger(NamedTuple):
-    """All entries that a hub holds.
+    """All entries that a hub stores.
 
-    Each comes with the seconds since its hub told it.
+    Each comes with the seconds since its hub sent it.
     """
 
     era: Era
@@ -129,11 +133,11 @@
 
 
 def entry_name(incarnation: str, serial: int) -> str:
-    """Name a hub's entry.
+    """Return the name of a hub's entry.
 
-    :param incarnation: the hub's
-    :param serial: which of its entries
-    :return: another name for each
+    :param incarnation: of the hub
+    :param serial: number of the entry within the incarnation
+    :return: a name that is unique to the entry
     """
     return f"{incarnation}/{serial}"
 
--- a/src/boragefold/protocol/rate_messages.py
+++ b/src/boragefold/protocol/rate_messages.py
@@ -6,11 +6,11 @@
 
 
 class Usage(NamedTuple):
-    """What became of the tokens that answered an earlier request.
+    """Reports how much was charged to the tokens of an earlier answer.
 
-    It is sent when no more can be charged to them. ``charged_tokens`` only
-    falls, so a doubled or overtaken message changes nothing. ``final`` says
-    that no more will be given back.
+    Sent when nothing more can be charged to them. ``charged_tokens`` only
+    falls, so a duplicated or reordered message changes nothing. ``final``
+    says that no more tokens will be given back.
     """
 
     number: int
@@ -19,10 +19,10 @@
 
 
 class TokensAsked(NamedTuple):
-    """A request for tokens, and reports on earlier ones.
+    """Requests tokens, and reports on earlier ones.
 
-    ``needed_tokens`` are wanted whole; ``ahead_tokens`` only if there are
-    plenty. Both are zero in a mere report.
+    ``needed_tokens`` are granted all or none; ``ahead_tokens`` only if there
+    are plenty. Both are zero in a message that only reports.
     """
 
     workspace: str
@@ -40,7 +40,7 @@
 
 
 class UsagesReported(NamedTuple):
-    """Reports that no request for tokens carried, for many workspaces."""
+    """Reports of many workspaces that no request for tokens carried."""
 
     number: int
     reports: tuple[WorkspaceUsages, ...]
@@ -53,7 +53,7 @@
 
 
 class TokensGiven(NamedTuple):
-    """The answer to :class:`TokensAsked`; without tokens, a refusal.
+    """Answers :class:`TokensAsked`; without tokens it is a refusal.
 
     The tokens may be charged until ``life_seconds`` after the request was
     *sent*. ``queued`` announces a second answer to the same request.
@@ -68,10 +68,10 @@
 
 
 class BucketHandedOver(NamedTuple):
-    """The level of a bucket, given up by its holder before sending.
+    """Transfers the level of a bucket, which its holder gives up first.
 
-    ``epoch`` and ``view_number`` name the last view that the sender held the
-    right in; ``occupied_tokens`` may still be charged by others.
+    ``epoch`` and ``view_number`` name the last view in which the sender held
+    the bucket; ``occupied_tokens`` may still be charged by others.
     """
 
     workspace: str
@@ -88,10 +88,10 @@
 
 
 class SharesKnown(NamedTuple):
-    """Tells the newest revision of the weights that the sender knows.
+    """Reports the newest revision of the weights that the sender knows.
 
-    ``own_part`` is the part that it uses for its own data centre; it is
-    smaller than the published one while a raise waits.
+    ``own_part`` is the share that it uses for its own data centre; it is
+    smaller than the published one while an increase is pending.
     """
 
     revision: int
--- a/src/boragefold/protocol/view_messages.py
+++ b/src/boragefold/protocol/view_messages.py
@@ -8,7 +8,7 @@
 
 
 class ViewId(NamedTuple):
-    """Which view: a later one of the same data centre is larger."""
+    """Identifies a view; a later one of the same data centre is larger."""
 
     epoch: int
     number: int
@@ -18,7 +18,7 @@
 
 
 class Ballot(NamedTuple):
-    """The right to propose, ordered; the owner is an incarnation."""
+    """The right to propose, totally ordered; the owner is an incarnation."""
 
     round: int
     owner: str
@@ -28,7 +28,7 @@
 
 
 class ViewRecord(NamedTuple):
-    """A view as it travels; ``members`` is in the order of joining."""
+    """A view on the wire; ``members`` is in the order of joining."""
 
     data_centre: str
     epoch: int
@@ -37,16 +37,16 @@
 
 
 class Greeting(NamedTuple):
-    """Asks the process at an address who it is and what it takes part in."""
+    """Asks the process at an address for its identity and its view."""
 
     sent_seconds: float
 
 
 class Standing(NamedTuple):
-    """Answers a greeting, or tells an outdated sender where things stand.
+    """Answers a greeting, or tells an outdated sender the current state.
 
     ``echo_seconds`` repeats the greeting's clock reading, zero if there was
-    none. ``view_id`` is ``NO_VIEW`` for a process that takes part in none.
+    none. ``view_id`` is ``NO_VIEW`` for a process that is in no view.
     """
 
     echo_seconds: float
@@ -57,18 +57,18 @@
 
 
 class Join(NamedTuple):
-    """Asks the leader to be taken into the next view."""
+    """Asks the leader to add the sender to the next view."""
 
 
 class Leave(NamedTuple):
-    """Asks the leader to be left out of the next view."""
+    """Asks the leader to remove the sender in the next view."""
 
 
 class Beat(NamedTuple):
     """A member's heartbeat; confirms the promise that it gave the leader.
 
-    ``quiet`` has the places in the view of those members that should beat to
-    the sender and don't.
+    ``quiet`` has the positions in the view of the members whose heartbeats
+    to the sender are missing.
     """
 
     view_id: ViewId
@@ -79,7 +79,7 @@
 
 
 class Renewal(NamedTuple):
-    """Answers a heartbeat with a lease, counted from the heartbeat."""
+    """Answers a heartbeat with a lease that starts at its sending time."""
 
     view_id: ViewId
     round: int
@@ -89,7 +89,7 @@
 
 
 class Relayed(NamedTuple):
-    """Answers a heartbeat in the leader's stead, with a shorter lease."""
+    """Answers a heartbeat on the leader's behalf, with a shorter lease."""
 
     view_id: ViewId
     ballot: Ballot
@@ -98,7 +98,7 @@
 
 
 class Prepare(NamedTuple):
-    """Asks a voter for its promise."""
+    """Asks a voter to promise a ballot."""
 
     view_id: ViewId
     round: int
@@ -106,7 +106,7 @@
 
 
 class Promise(NamedTuple):
-    """Gives a promise, with the successor that the voter has accepted."""
+    """Promises a ballot, with the successor that the voter has accepted."""
 
     view_id: ViewId
     round: int
@@ -116,14 +116,14 @@
 
 
 class Refusal(NamedTuple):
-    """Refuses a ballot, naming the one that it would have to exceed."""
+    """Refuses a ballot, with the one that it would have to exceed."""
 
     view_id: ViewId
     ballot: Ballot
 
 
 class Change(NamedTuple):
-    """Proposes the successor of a view; its rights stop on receipt."""
+    """Proposes the successor of a view, whose rights stop on receipt."""
 
     view_id: ViewId
     round: int
@@ -133,8 +133,8 @@
 class ChangeAck(NamedTuple):
     """Accepts a successor and confirms that the old rights have stopped.
 
-    ``relayed`` has the places of members to which the sender has passed on
-    leases, and how long these will last yet.
+    ``relayed`` has the positions of the members to which the sender has
+    relayed leases, and the remaining time of each lease.
     """
 
     view_id: ViewId
@@ -172,7 +172,7 @@
 
 
 class Known(NamedTuple):
-    """The latest view of one data centre that somebody knows."""
+    """The latest view of one data centre that the sender knows."""
 
     data_centre: str
     epoch: int
@@ -180,9 +180,9 @@
 
 
 class Digest(NamedTuple):
-    """Which views the sender knows; ``answer`` asks for one in return.
+    """Which views the sender knows; ``answer`` asks for a digest in return.
 
-    The first one of an exchange has only the checksum, and is not answered
+    The first digest of an exchange has only the checksum, and is not answered
     if the receiver has the same.
     """
 
@@ -192,7 +192,7 @@
 
 
 class News(NamedTuple):
-    """Views that the receiver's digest lacked."""
+    """Sends views that the receiver's digest lacked."""
 
     views: tuple[ViewRecord, ...]
 
