--- a/src/boragefold/entry/engine_owner.py
+++ b/src/boragefold/entry/engine_owner.py
@@ -233,7 +233,7 @@
                 started_at_seconds=self._started_at_seconds,
             ),
         )
-        adapter_slots = engine_slots.EngineSlots(
+        slots = engine_slots.EngineSlots(
             engine=engine,
             newest_versions=self._fleet.versions,
             loads_elsewhere=lambda: self._loads_on_other_engines(record.name),
@@ -243,7 +243,7 @@
         self._owned[record.name] = owned_engine.OwnedEngine(
             record=record,
             schedule=engine_schedule.EngineSchedule(
-                engine=engine, adapter_slots=adapter_slots
+                engine=engine, slots=slots
             ),
             turns=turns,
             lease=self._leases.lease(
@@ -262,7 +262,7 @@
     def _loads_on_other_engines(self, name: str) -> int:
         now_seconds = self._timers.now_seconds()
         own = sum(
-            engine.schedule.adapter_slots.loading(now_seconds=now_seconds)
+            engine.schedule.slots.loading(now_seconds=now_seconds)
             for other, engine in self._owned.items()
             if other != name
         )
@@ -408,18 +408,16 @@
 def _status(
     name: str, schedule: engine_schedule.EngineSchedule, now_seconds: float
 ) -> messages.EngineStatus:
-    adapter_slots = schedule.adapter_slots
+    slots = schedule.slots
     return messages.EngineStatus(
         name=name,
-        models=adapter_slots.models(),
-        adapters=tuple(
-            (key.model, key.adapter) for key in adapter_slots.held()
-        ),
+        models=slots.models(),
+        adapters=tuple((key.model, key.adapter) for key in slots.held()),
         backlog_seconds=_round_up(schedule.backlog_seconds()),
         place_wait_seconds=_round_up(schedule.slot_wait_seconds()),
-        loading=adapter_slots.loading(now_seconds=now_seconds),
-        orders_in_seconds=_round_up(adapter_slots.orders_in_seconds),
-        copies=adapter_digests.digests(adapter_slots.host_memory_copies()),
+        loading=slots.loading(now_seconds=now_seconds),
+        orders_in_seconds=_round_up(slots.orders_in_seconds),
+        copies=adapter_digests.digests(slots.host_memory_copies()),
     )
 
 
--- a/src/boragefold/entry/owned_engine.py
+++ b/src/boragefold/entry/owned_engine.py
@@ -113,7 +113,7 @@
         if restarted:
             # The restarted engine may be loading its model already. A load
             # that is ordered again before a report shows it isn't counted.
-            self.schedule.adapter_slots.apply_report(
+            self.schedule.slots.apply_report(
                 {}, {}, now_seconds=self._timers.now_seconds(), busy=True
             )
             self.request_report()
@@ -138,16 +138,14 @@
             and not self.record.leaving
         )
         confirmed = self._turns.is_confirmed(now_seconds=now_seconds)
-        self.schedule.adapter_slots.may_order = may_order and confirmed
-        self.schedule.adapter_slots.orders_in_seconds = max(
+        self.schedule.slots.may_order = may_order and confirmed
+        self.schedule.slots.orders_in_seconds = max(
             self._turns.orders_in_seconds(now_seconds=now_seconds),
             self._lease.unavailable_seconds(now_seconds=now_seconds),
         )
         elapsed_seconds = now_seconds - self._asked_report_at_seconds
         if elapsed_seconds >= MIN_REPORT_INTERVAL_SECONDS and (
-            self.schedule.adapter_slots.has_overdue_load(
-                now_seconds=now_seconds
-            )
+            self.schedule.slots.has_overdue_load(now_seconds=now_seconds)
             or (may_order and not confirmed and wants_order)
             or self._needs_report(elapsed_seconds)
         ):
@@ -180,9 +178,7 @@
         :param key: the adapter or model
         """
         now_seconds = self._timers.now_seconds()
-        self.schedule.adapter_slots.record_missing(
-            key, now_seconds=now_seconds
-        )
+        self.schedule.slots.record_missing(key, now_seconds=now_seconds)
         self.request_report()
 
     def request_report(self) -> None:
@@ -231,7 +227,7 @@
             believed=believed,
             born_milliseconds=report.counted.born_milliseconds,
             age_seconds=round(age_seconds, 3),
-            adapters=len(self.schedule.adapter_slots.held()),
+            adapters=len(self.schedule.slots.held()),
             coming=len(report.coming),
             busy=report.busy,
             other_giver=other_giver_seen,
@@ -252,13 +248,11 @@
     def _apply_report(
         self, report: dialects.AdapterReport, now_seconds: float
     ) -> None:
-        adapter_slots = self.schedule.adapter_slots
+        slots = self.schedule.slots
         if report.counted.orders != self._turns.expected:
-            adapter_slots.apply_old_report(
-                report.held, count=report.counted.orders
-            )
+            slots.apply_old_report(report.held, count=report.counted.orders)
             return
-        adapter_slots.apply_report(
+        slots.apply_report(
             report.held,
             report.coming,
             now_seconds=now_seconds,
@@ -351,7 +345,7 @@
             fence=sent.fence,
             leased=sent.leased,
             took_seconds=round(now_seconds - sent.order_sent_at_seconds, 3),
-            places=self.schedule.adapter_slots.summary(),
+            places=self.schedule.slots.summary(),
             status=_status_of(answer),
             outcome=outcome,
         )
@@ -363,7 +357,7 @@
                 age_seconds=now_seconds - sent.order_sent_at_seconds,
                 now_seconds=now_seconds,
             )
-            self.schedule.adapter_slots.record_order(
+            self.schedule.slots.record_order(
                 order,
                 done=done,
                 now_seconds=now_seconds,
@@ -390,9 +384,7 @@
             self._turns.record_unsent()
         else:
             self._turns.record_refused(now_seconds=now_seconds)
-        self.schedule.adapter_slots.record_failed_order(
-            now_seconds=now_seconds
-        )
+        self.schedule.slots.record_failed_order(now_seconds=now_seconds)
         self._schedule_report(order_turns.REPORT_LAG_SECONDS)
 
     def _outcome(
--- a/src/boragefold/policy/engine_schedule.py
+++ b/src/boragefold/policy/engine_schedule.py
@@ -52,10 +52,10 @@
         self,
         *,
         engine: deployment.Engine,
-        adapter_slots: engine_slots.EngineSlots,
+        slots: engine_slots.EngineSlots,
     ) -> None:
         self.engine = engine
-        self.adapter_slots = adapter_slots
+        self.slots = slots
         # How long a request is queued before a load is ordered for it.
         self.order_delay_seconds = 0.0
         self._queue: dict[str, QueuedRequest] = {}
@@ -94,10 +94,8 @@
             "tokens_per_second": round(self._speed.tokens_per_second),
             "backlog_seconds": round(self.backlog_seconds(), 3),
             "place_wait_seconds": round(self.slot_wait_seconds(), 3),
-            "orders_in_seconds": round(
-                self.adapter_slots.orders_in_seconds, 3
-            ),
-            "places": self.adapter_slots.summary(),
+            "orders_in_seconds": round(self.slots.orders_in_seconds, 3),
+            "places": self.slots.summary(),
         }
 
     def backlog_seconds(self) -> float:
@@ -166,7 +164,7 @@
         request = self._runs.find(request_id)
         if request is None:
             return None
-        version = self.adapter_slots.version(request.adapter)
+        version = self.slots.version(request.adapter)
         return engine_decisions.Grant(request=request, version=version)
 
     def remove(self, request_id: str, *, now_seconds: float) -> None:
@@ -178,9 +176,7 @@
         self._queue.pop(request_id, None)
         request = self._runs.end(request_id, now_seconds=now_seconds)
         if request is not None:
-            self.adapter_slots.record_end(
-                request.adapter, now_seconds=now_seconds
-            )
+            self.slots.record_end(request.adapter, now_seconds=now_seconds)
 
     def remove_where(
         self, matches: Callable[[EngineRequest], bool], *, now_seconds: float
@@ -208,7 +204,7 @@
         """
         request = self._runs.record_start(request_id, now_seconds=now_seconds)
         if request is not None:
-            self.adapter_slots.confirm_loaded(request.adapter)
+            self.slots.confirm_loaded(request.adapter)
 
     def advance(self, *, now_seconds: float) -> list[Action]:
         """Make the decisions that are due; call it after each event as well.
@@ -224,9 +220,7 @@
         ready = (
             request
             for request in self._still_queued(by_urgency)
-            if self.adapter_slots.is_ready(
-                request.adapter, now_seconds=now_seconds
-            )
+            if self.slots.is_ready(request.adapter, now_seconds=now_seconds)
         )
         for request in ready:
             # Requests behind one that doesn't fit wait too: if shorter ones
@@ -244,10 +238,10 @@
             or a newer version of a loaded one was published
         """
         lacking = any(
-            not self.adapter_slots.holds(request.adapter)
+            not self.slots.holds(request.adapter)
             for request in self._queued_requests()
         )
-        return lacking or self.adapter_slots.outdated() is not None
+        return lacking or self.slots.outdated() is not None
 
     def next_due_seconds(self, *, now_seconds: float) -> float | None:
         """Compute when :meth:`advance` has to be called at the latest.
@@ -261,7 +255,7 @@
             request.queue_deadline_seconds
             for request in self._queued_requests()
         )
-        dues = self.adapter_slots.due_times(now_seconds=now_seconds)
+        dues = self.slots.due_times(now_seconds=now_seconds)
         return min(itertools.chain(expiries, dues))
 
     def _next_order(
@@ -273,9 +267,9 @@
             for waiting in by_urgency
             if waiting.request.request_id in self._queue
             and waiting.queued_at_seconds <= latest_seconds
-            and not self.adapter_slots.holds(waiting.request.adapter)
+            and not self.slots.holds(waiting.request.adapter)
         ]
-        return self.adapter_slots.next_order(
+        return self.slots.next_order(
             awaiting_slot,
             self._queued_by_adapter(),
             now_seconds=now_seconds,
@@ -289,10 +283,8 @@
         for waiting in self._queue.values():
             adapter = waiting.request.adapter
             waiting.record_progress(
-                placed=self.adapter_slots.holds(adapter),
-                ready=self.adapter_slots.is_ready(
-                    adapter, now_seconds=now_seconds
-                ),
+                placed=self.slots.holds(adapter),
+                ready=self.slots.is_ready(adapter, now_seconds=now_seconds),
                 now_seconds=now_seconds,
             )
 
@@ -331,7 +323,7 @@
         # got the next slot, one that could start on time would miss it.
         starts_at_seconds = (
             now_seconds
-            + self.adapter_slots.until_ready_seconds(
+            + self.slots.until_ready_seconds(
                 request.adapter, now_seconds=now_seconds
             )
             + self._speed.prefill_seconds(request.prompt_tokens)
@@ -363,8 +355,8 @@
         request = waiting.request
         # Other instances know the state of this engine as of half a second
         # ago; since then, the idle slot may be taken or a queue have formed.
-        held = self.adapter_slots.holds(request.adapter)
-        if not held and not self.adapter_slots.can_load_one_more(
+        held = self.slots.holds(request.adapter)
+        if not held and not self.slots.can_load_one_more(
             self._adapters_without_slot(),
             self._queued_by_adapter(),
             now_seconds=now_seconds,
@@ -390,10 +382,10 @@
             self._runs.pending_prompts(), request_states.total_prompts(ahead)
         )
         adapter = waiting.request.adapter
-        slot_seconds = self.adapter_slots.until_ready_seconds(
+        slot_seconds = self.slots.until_ready_seconds(
             adapter, now_seconds=now_seconds
         )
-        if not self.adapter_slots.holds(adapter):
+        if not self.slots.holds(adapter):
             slot_seconds += self.slot_wait_seconds()
         # The engine prefills other prompts while it loads the adapter.
         return max(wait_seconds, slot_seconds)
@@ -401,8 +393,8 @@
     def _refusal(
         self, request: EngineRequest, excess_seconds: float
     ) -> engine_decisions.Refusal:
-        orders_in_seconds = self.adapter_slots.orders_in_seconds
-        if not orders_in_seconds or self.adapter_slots.holds(request.adapter):
+        orders_in_seconds = self.slots.orders_in_seconds
+        if not orders_in_seconds or self.slots.holds(request.adapter):
             return _queue_too_long(request, excess_seconds)
         # A retry before orders are allowed would be refused again, and most
         # callers retry only once.
@@ -443,34 +435,24 @@
 
     def _estimate_slot_wait_seconds(self, ahead: int) -> float:
         # Until a slot is free for an adapter with so many others ahead of it.
-        behind = (
-            1 + ahead - self.adapter_slots.available(self._queued_by_adapter())
-        )
+        behind = 1 + ahead - self.slots.available(self._queued_by_adapter())
         if behind <= 0:
             return 0.0
         return (
-            self._speed.mean_run_seconds
-            * behind
-            / max(1, self.adapter_slots.capacity)
+            self._speed.mean_run_seconds * behind / max(1, self.slots.capacity)
         )
 
     def _adapters_with_slots(self) -> set[AdapterKey]:
         # The adapters that have a slot, and those that get an idle one now.
         wanted = self._queued_by_adapter()
-        awaiting_slot = (
-            key for key in wanted if not self.adapter_slots.holds(key)
-        )
+        awaiting_slot = (key for key in wanted if not self.slots.holds(key))
         coming = set(
-            itertools.islice(
-                awaiting_slot, self.adapter_slots.available(wanted)
-            )
+            itertools.islice(awaiting_slot, self.slots.available(wanted))
         )
-        return coming | {
-            key for key in wanted if self.adapter_slots.holds(key)
-        }
+        return coming | {key for key in wanted if self.slots.holds(key)}
 
     def _has_slot(self, request: EngineRequest) -> bool:
-        return self.adapter_slots.holds(request.adapter)
+        return self.slots.holds(request.adapter)
 
     def _grant(
         self, request: EngineRequest, now_seconds: float
@@ -479,10 +461,8 @@
             now_seconds
         )
         self._runs.add(request, now_seconds=now_seconds)
-        self.adapter_slots.record_start(
-            request.adapter, now_seconds=now_seconds
-        )
-        version = self.adapter_slots.version(request.adapter)
+        self.slots.record_start(request.adapter, now_seconds=now_seconds)
+        version = self.slots.version(request.adapter)
         return engine_decisions.Grant(
             request=request, version=version, queue_times=queue_times
         )
@@ -498,7 +478,7 @@
             {
                 request.adapter
                 for request in self._queued_requests()
-                if not self.adapter_slots.holds(request.adapter)
+                if not self.slots.holds(request.adapter)
             }
         )
 
--- a/src/boragefold/policy/engine_slots.py
+++ b/src/boragefold/policy/engine_slots.py
@@ -17,7 +17,7 @@
 
 import xxhash
 
-from boragefold.policy import adapter_slots
+from boragefold.policy import adapter_slot
 from boragefold.policy import engine_decisions
 from boragefold.policy import load_times
 from boragefold.policy import popularity
@@ -63,7 +63,7 @@
         self._engine = engine
         self._newest_versions = newest_versions
         self._models: dict[str, float] = {}
-        self._slots: dict[AdapterKey, adapter_slots.AdapterSlot] = {}
+        self._slots: dict[AdapterKey, adapter_slot.AdapterSlot] = {}
         self._popularity = popularity.Popularity()
         self._model_seconds = {
             model.name: model.load_seconds for model in engine.models
@@ -288,7 +288,7 @@
             )
             # Requests of an older version go on running beside the newer one.
             previous = self._slots.get(key)
-            self._slots[key] = adapter_slots.AdapterSlot(
+            self._slots[key] = adapter_slot.AdapterSlot(
                 version=order.version,
                 ready_at_seconds=now_seconds + load_seconds,
                 order_count=count,
@@ -379,7 +379,7 @@
             lists only when that is done
         """
         self._is_changing_model = busy
-        self._slots = adapter_slots.from_report(
+        self._slots = adapter_slot.from_report(
             self._slots, held, loading, now_seconds=now_seconds
         )
         self._models = {
@@ -396,7 +396,7 @@
         :param held: versions by adapter by model
         :param count: how many orders the engine had accepted by then
         """
-        adapter_slots.confirm_from_older_report(self._slots, held, count=count)
+        adapter_slot.confirm_from_older_report(self._slots, held, count=count)
 
     def due_times(self, *, now_seconds: float) -> Iterator[float]:
         """List the times at which a load or a delay should be over.
--- a/tests/entry/test_owned_engine.py
+++ b/tests/entry/test_owned_engine.py
@@ -119,13 +119,13 @@
 
 
 def start_owning(node, engine, giver, *, log=None, client=None):
-    adapter_slots = engine_slots.EngineSlots(
+    slots = engine_slots.EngineSlots(
         engine=engine_loads.ENGINE, newest_versions={}
     )
     return owned_engine.OwnedEngine(
         record=gateways.ENGINES[0],
         schedule=engine_schedule.EngineSchedule(
-            engine=engine_loads.ENGINE, adapter_slots=adapter_slots
+            engine=engine_loads.ENGINE, slots=slots
         ),
         turns=order_turns.OrderTurns(
             lease_seconds=model_engine.LEASE_SECONDS, issuer=giver
--- a/tests/fakes/chunked_engine.py
+++ b/tests/fakes/chunked_engine.py
@@ -36,14 +36,12 @@
     def __init__(self, *, tokens_per_second: float, event_tokens: int):
         self._speed = tokens_per_second
         self._event_tokens = event_tokens
-        adapter_slots = engine_slots.EngineSlots(
+        slots = engine_slots.EngineSlots(
             engine=engine_loads.ENGINE, newest_versions={}
         )
-        adapter_slots.apply_report(
-            {engine_loads.MODEL: {}}, {}, now_seconds=0.0
-        )
+        slots.apply_report({engine_loads.MODEL: {}}, {}, now_seconds=0.0)
         self.schedule = engine_schedule.EngineSchedule(
-            engine=engine_loads.ENGINE, adapter_slots=adapter_slots
+            engine=engine_loads.ENGINE, slots=slots
         )
         self.answers: dict[str, Answer] = {}
         self.refused: dict[str, engine_decisions.Refusal] = {}
--- a/tests/fakes/engine_loads.py
+++ b/tests/fakes/engine_loads.py
@@ -68,13 +68,13 @@
         self, *, newest: dict[deployment.AdapterKey, int] | None = None
     ):
         self.newest = newest or {}
-        self.adapter_slots = engine_slots.EngineSlots(
+        self.slots = engine_slots.EngineSlots(
             engine=ENGINE, newest_versions=self.newest
         )
-        self.adapter_slots.apply_report({MODEL: {}}, {}, now_seconds=0.0)
-        self.adapter_slots.may_order = True
+        self.slots.apply_report({MODEL: {}}, {}, now_seconds=0.0)
+        self.slots.may_order = True
         self.schedule = engine_schedule.EngineSchedule(
-            engine=ENGINE, adapter_slots=self.adapter_slots
+            engine=ENGINE, slots=self.slots
         )
         self.outcomes: dict[str, Outcome] = {}
         self.orders: list[engine_decisions.Order] = []
@@ -134,9 +134,7 @@
             actions = self.schedule.advance(now_seconds=now)
             for action in actions:
                 self._act(action, now)
-            self.most_held = max(
-                self.most_held, len(self.adapter_slots.held())
-            )
+            self.most_held = max(self.most_held, len(self.slots.held()))
             if not actions:
                 return
 
@@ -148,7 +146,7 @@
         else:
             self.orders.append(action)
             done = isinstance(action, engine_decisions.Unload)
-            self.adapter_slots.record_order(action, done=done, now_seconds=now)
+            self.slots.record_order(action, done=done, now_seconds=now)
 
     def _serve(self, one: engine_decisions.EngineRequest, now: float) -> None:
         begin = max(now, self._prefill_free)
--- a/tests/fakes/engine_wire.py
+++ b/tests/fakes/engine_wire.py
@@ -129,13 +129,13 @@
                 self._run(action.request)
 
     def _owner(self) -> owned_engine.OwnedEngine:
-        adapter_slots = engine_slots.EngineSlots(
+        slots = engine_slots.EngineSlots(
             engine=engine_loads.ENGINE, newest_versions=self.newest
         )
         return owned_engine.OwnedEngine(
             record=gateways.ENGINES[0],
             schedule=engine_schedule.EngineSchedule(
-                engine=engine_loads.ENGINE, adapter_slots=adapter_slots
+                engine=engine_loads.ENGINE, slots=slots
             ),
             turns=order_turns.OrderTurns(lease_seconds=3.0, issuer=GIVER),
             lease=leases.Held(),
--- a/tests/policy/test_engine_schedule.py
+++ b/tests/policy/test_engine_schedule.py
@@ -146,9 +146,7 @@
     for now in (0.0, 0.3):
         for action in bench.schedule.advance(now_seconds=now):
             if isinstance(action, engine_decisions.Load):
-                bench.adapter_slots.record_order(
-                    action, done=False, now_seconds=now
-                )
+                bench.slots.record_order(action, done=False, now_seconds=now)
     assert bench.schedule.running == 1
     bench.schedule.advance(now_seconds=3.5)
     assert bench.schedule.running == 0
@@ -217,7 +215,7 @@
     # delay it would be refused again, and callers retry once. One that gives
     # up later is queued, and starts when its adapter is loaded.
     bench = engine_loads.Bench()
-    bench.adapter_slots.orders_in_seconds = 2.0
+    bench.slots.orders_in_seconds = 2.0
     impatient = engine_loads.make_request("impatient", "a1", patience=1.5)
     refusal = bench.schedule.submit(impatient, now_seconds=0.0)
     assert refusal is not None and refusal.reason == "orders_wait"
