--- a/src/boragefold/coordination/load_budget.py
+++ b/src/boragefold/coordination/load_budget.py
@@ -79,7 +79,7 @@
         :param store: the published document
         """
         loads_per_second = store["loads_per_second"]
-        self._rates.update_budgets(
+        self._rates.update_other_limits(
             {
                 # With less than one load a second, the burst still has to
                 # allow one.
--- a/src/boragefold/coordination/peer_status.py
+++ b/src/boragefold/coordination/peer_status.py
@@ -213,7 +213,7 @@
             return None
         return dead
 
-    def forget(self) -> None:
+    def prune(self) -> None:
         """Discard the state of instances that are not in the view."""
         known = self._state.known_since_seconds
         self._replaced_since = {
--- a/src/boragefold/coordination/rates/service.py
+++ b/src/boragefold/coordination/rates/service.py
@@ -55,7 +55,7 @@
         self._rights = rights
         self._timers = timers
         self._workspaces: dict[str, limits.Limit] = {}
-        self._budgets: dict[str, limits.Limit] = {}
+        self._other_limits: dict[str, limits.Limit] = {}
         self._limits: dict[str, limits.Limit] = {}
         self._numbers = itertools.count()
         self._wake_timers: dict[str, timing.Subscription] = {}
@@ -107,12 +107,14 @@
         self._workspaces = dict(rates)
         self._apply_limits()
 
-    def update_budgets(self, budgets: Mapping[str, limits.Limit]) -> None:
+    def update_other_limits(
+        self, other_limits: Mapping[str, limits.Limit]
+    ) -> None:
         """Apply other fleet-wide limits, which are handled like rates.
 
-        :param budgets: limits by a name that differs from all workspaces
+        :param other_limits: limits by a name that differs from all workspaces
         """
-        self._budgets = dict(budgets)
+        self._other_limits = dict(other_limits)
         self._apply_limits()
 
     def update_data_centres(
@@ -146,7 +148,7 @@
         return held
 
     def _apply_limits(self) -> None:
-        self._limits = {**self._workspaces, **self._budgets}
+        self._limits = {**self._workspaces, **self._other_limits}
         self._held_rates.update(
             {
                 workspace: self._shares.own_limit(limit)
--- a/src/boragefold/coordination/views.py
+++ b/src/boragefold/coordination/views.py
@@ -245,7 +245,7 @@
             self._ask_to_leave()
         else:
             self._bootstrap.tick()
-        self._peer_status.forget()
+        self._peer_status.prune()
         self._notify_subscribers()
 
     def _ask_to_leave(self) -> None:
