--- a/src/boragefold/coordination/fleet/rate_messages.py
+++ b/src/boragefold/coordination/fleet/rate_messages.py
@@ -54,7 +54,7 @@
         self._counts_since_seconds: dict[str, float] = {}
         members.subscribe(
             on_beat=lambda peer, beat: None,
-            on_replaced=lambda gone: counts.forget_instance(gone.incarnation),
+            on_replaced=lambda gone: counts.remove_instance(gone.incarnation),
         )
         link.subscribe(messages.LedgerAsk, self._handle_ledger_ask)
         link.subscribe(messages.Ledger, self._handle_ledger)
@@ -77,7 +77,7 @@
         counter = self._choose_counter(targets)
         if counter is None:
             return None
-        account = self._counts.state(counter, now_seconds=now_seconds)
+        account = self._counts.create_report(counter, now_seconds=now_seconds)
         if not account.amounts and not account.former:
             return None
         return account._replace(amounts=_compact(account.amounts))
@@ -87,7 +87,9 @@
 
         :return: None if this instance counts nothing
         """
-        told = self._counts.told_entry(now_seconds=self._timers.now_seconds())
+        told = self._counts.entry_to_send(
+            now_seconds=self._timers.now_seconds()
+        )
         if told is None or told.entry is None:
             return told
         entry = told.entry._replace(sums=_compact(told.entry.sums))
@@ -99,7 +101,7 @@
         :param whole: whether the receivers need the full totals
         :return: None if this instance doesn't know the totals
         """
-        totals = self._counts.told_totals(
+        totals = self._counts.totals_to_send(
             whole=whole, now_seconds=self._timers.now_seconds()
         )
         return totals and totals._replace(amounts=_compact(totals.amounts))
@@ -109,7 +111,7 @@
 
         :return: their addresses
         """
-        if not self._counts.lacks_totals:
+        if not self._counts.needs_all_totals:
             return
         for member in self._members.direct_peers():
             incarnation = member.instance.incarnation
@@ -126,7 +128,7 @@
         """
         now_seconds = self._timers.now_seconds()
         if heartbeat.account is not None:
-            self._counts.count(
+            self._counts.count_report(
                 sender.incarnation, heartbeat.account, now_seconds=now_seconds
             )
         if heartbeat.entry is not None:
@@ -139,7 +141,7 @@
     def forget(self) -> None:
         """Drop the state of hubs that are gone."""
         now_seconds = self._timers.now_seconds()
-        self._counts.forget(now_seconds=now_seconds)
+        self._counts.expire(now_seconds=now_seconds)
         for hub in list(self._entry_names):
             if not self._is_counting(hub):
                 del self._entry_names[hub]
@@ -152,7 +154,7 @@
         entry: messages.ToldEntry,
         now_seconds: float,
     ) -> None:
-        if self._counts.hear_entry(
+        if self._counts.receive_entry(
             sender.incarnation, entry, now_seconds=now_seconds
         ):
             self._ask_for_ledger(sender, now_seconds)
@@ -163,7 +165,7 @@
         self._entry_names[hub] = messages.entry_name(hub, totals.serial)
         self._counts_at_seconds[hub] = now_seconds
         self._counts_since_seconds.setdefault(hub, now_seconds)
-        self._counts.hear_totals(hub, totals, now_seconds=now_seconds)
+        self._counts.receive_totals(hub, totals, now_seconds=now_seconds)
 
     def _count(
         self, targets: heartbeat_targets.HeartbeatTargets, now_seconds: float
--- a/src/boragefold/entry/forwarding.py
+++ b/src/boragefold/entry/forwarding.py
@@ -345,7 +345,7 @@
         attempt = self._attempt
         unused = attempt is None or attempt.rejected
         if workspace is not None and unused:
-            self.context.rate.give_back(workspace.name, self.admitted.charged)
+            self.context.rate.refund(workspace.name, self.admitted.charged)
 
 
 __all__ = [
--- a/src/boragefold/entry/gateway.py
+++ b/src/boragefold/entry/gateway.py
@@ -149,7 +149,7 @@
         ).begin()
 
     def _share(self) -> float:
-        return shared_rate.share_of(
+        return shared_rate.reachable_share(
             self._members.silences_seconds(),
             self._members.silence_timeout_seconds(),
         )
--- a/src/boragefold/policy/admission.py
+++ b/src/boragefold/policy/admission.py
@@ -106,7 +106,7 @@
         due = [
             name
             for name, queue in self._queues.items()
-            if queue.due_seconds() <= now_seconds
+            if queue.next_due_seconds() <= now_seconds
         ]
         return [
             decided
@@ -120,7 +120,7 @@
         :return: reading of the process clock, or None when no request waits
         """
         return min(
-            (queue.due_seconds() for queue in self._queues.values()),
+            (queue.next_due_seconds() for queue in self._queues.values()),
             default=None,
         )
 
@@ -175,7 +175,7 @@
         entry = queue.head()
         result = self._reserve(entry.work)
         if isinstance(result, token_balance.Reservation):
-            queue.drained(entry.tokens, now_seconds=now_seconds)
+            queue.record_admitted(entry.tokens, now_seconds=now_seconds)
             self._remove(entry.work.workspace, entry.work.request_id)
             self._counters.add("requests_waited", "rate")
             return Decision(entry.work, Admitted(reservation=result))
@@ -183,7 +183,9 @@
         if ready_in_seconds is None:
             self._remove(entry.work.workspace, entry.work.request_id)
             return Decision(entry.work, self._too_large())
-        queue.asked(now_seconds=now_seconds, ready_in_seconds=ready_in_seconds)
+        queue.set_ready(
+            now_seconds=now_seconds, ready_in_seconds=ready_in_seconds
+        )
         if now_seconds + ready_in_seconds > entry.until_seconds:
             # The tokens can't be available before its time limit.
             return self._refuse(entry, ready_in_seconds)
--- a/src/boragefold/policy/admission_counts.py
+++ b/src/boragefold/policy/admission_counts.py
@@ -38,7 +38,7 @@
         """
         self._rate = rate
         self._incarnation = incarnation
-        self._giver = own_ledger_entry.giver_of(incarnation)
+        self._giver = own_ledger_entry.giver_id(incarnation)
         self._reports = admission_reports.AdmissionReports()
         self._counter = ""
         self._ledger = rate_ledger.RateLedger()
@@ -48,7 +48,7 @@
         # The index that each entry assigned to this instance.
         self._indexes: dict[str, int] = {}
         self._received_totals = received_totals.ReceivedTotals(
-            rate=rate, held=self._reports.held
+            rate=rate, confirmed=self._reports.confirmed
         )
 
     @property
@@ -60,12 +60,12 @@
         return self._counter
 
     @property
-    def lacks_totals(self) -> bool:
+    def needs_all_totals(self) -> bool:
         """Return whether the counter's hub has to send all its totals.
 
         :return: whether the totals received last can't be used
         """
-        return self._received_totals.lacks_whole
+        return self._received_totals.needs_all
 
     @property
     def complete(self) -> bool:
@@ -103,11 +103,13 @@
         :param heard_count: the number of instances heard
         :param now_seconds: reading of the process clock
         """
-        era = rate_ledger.era_of(self._incarnation, heard_count=heard_count)
-        self._ledger.begin(era, now_seconds=now_seconds)
+        era = rate_ledger.new_era(self._incarnation, heard_count=heard_count)
+        self._ledger.begin_era(era, now_seconds=now_seconds)
         self.count_own(now_seconds=now_seconds)
 
-    def state(self, counter: str, *, now_seconds: float) -> messages.Account:
+    def create_report(
+        self, counter: str, *, now_seconds: float
+    ) -> messages.Account:
         """Create the report of what was admitted here.
 
         :param counter: name of the hub's entry
@@ -115,7 +117,7 @@
         :return: the report for the hub
         """
         self._counter = counter
-        return self._reports.state(
+        return self._reports.create_report(
             counter, self._rate.admitted, now_seconds=now_seconds
         )
 
@@ -126,16 +128,16 @@
         """
         if self._entry is None or not self._ledger.complete:
             return
-        report = self.state(self._entry.name, now_seconds=now_seconds)
+        report = self.create_report(self._entry.name, now_seconds=now_seconds)
         if report.amounts:
             self._count(self._giver, report, now_seconds)
         entry = self._entry.entry(whole=True, now_seconds=now_seconds)
         self._ledger.put_own(self._entry.name, entry, now_seconds=now_seconds)
-        numbers = self._ledger.settled(
+        numbers = self._ledger.counted_reports(
             self._giver, (*report.former, self._entry.name)
         )
-        self._reports.note_held(numbers)
-        self._received_totals.take(
+        self._reports.confirm(numbers)
+        self._received_totals.apply(
             self._ledger.totals,
             self._ledger.era,
             late=self._ledger.late(now_seconds=now_seconds),
@@ -143,7 +145,7 @@
             now_seconds=now_seconds,
         )
 
-    def count(
+    def count_report(
         self,
         sender: str,
         report: messages.Account,
@@ -158,21 +160,23 @@
         """
         if self._entry is None or report.counter != self._entry.name:
             return
-        giver = own_ledger_entry.giver_of(sender)
+        giver = own_ledger_entry.giver_id(sender)
         self._former_by_giver[giver] = report.former
         self._count(giver, report, now_seconds)
 
-    def forget_instance(self, incarnation: str) -> None:
+    def remove_instance(self, incarnation: str) -> None:
         """Remove an instance that has ended; its amounts stay counted.
 
         :param incarnation: of the instance
         """
-        giver = own_ledger_entry.giver_of(incarnation)
+        giver = own_ledger_entry.giver_id(incarnation)
         self._former_by_giver.pop(giver, None)
         if self._entry is not None:
-            self._entry.forget(giver)
+            self._entry.remove_giver(giver)
 
-    def told_entry(self, *, now_seconds: float) -> messages.ToldEntry | None:
+    def entry_to_send(
+        self, *, now_seconds: float
+    ) -> messages.ToldEntry | None:
         """Return the own entry as sent to other hubs.
 
         :param now_seconds: reading of the process clock
@@ -187,12 +191,10 @@
             version=entry.version,
             era=self._ledger.era,
             lost_digest=self._ledger.lost_digest(now_seconds=now_seconds),
-            entry=(
-                entry if own.changed_lately(now_seconds=now_seconds) else None
-            ),
+            entry=(entry if own.is_recent(now_seconds=now_seconds) else None),
         )
 
-    def hear_entry(
+    def receive_entry(
         self, hub: str, told: messages.ToldEntry, *, now_seconds: float
     ) -> bool:
         """Store another hub's entry.
@@ -213,14 +215,14 @@
             return True
         if told.era.founding < self._ledger.era.founding:
             return False
-        self._ledger.note_reunions(told.era, now_seconds=now_seconds)
+        self._ledger.update_reunions(told.era, now_seconds=now_seconds)
         name = messages.entry_name(hub, told.serial)
         if told.entry is not None:
             is_known = self._ledger.put(
                 name, told.entry, now_seconds=now_seconds
             )
         else:
-            is_known = self._ledger.note_unchanged(
+            is_known = self._ledger.confirm_version(
                 name, told.version, now_seconds=now_seconds
             )
         self.count_own(now_seconds=now_seconds)
@@ -235,7 +237,7 @@
         """
         if not self.complete:
             return None
-        return self._ledger.contents(now_seconds=now_seconds)
+        return self._ledger.to_message(now_seconds=now_seconds)
 
     def merge(self, other: messages.Ledger, *, now_seconds: float) -> None:
         """Merge another hub's ledger into the own one.
@@ -247,7 +249,7 @@
             self._ledger.merge(other, now_seconds=now_seconds)
             self.count_own(now_seconds=now_seconds)
 
-    def told_totals(
+    def totals_to_send(
         self, *, whole: bool, now_seconds: float
     ) -> messages.Totals | None:
         """Return the totals of all hubs as sent to instances.
@@ -260,25 +262,25 @@
         if own is None or not self._ledger.complete:
             return None
         entry = own.entry(whole=whole, now_seconds=now_seconds)
-        is_recent = whole or own.changed_lately(now_seconds=now_seconds)
+        is_recent = whole or own.is_recent(now_seconds=now_seconds)
         return messages.Totals(
             serial=own.serial,
             era=self._ledger.era,
-            whole=self._ledger.is_whole(whole=whole, now_seconds=now_seconds),
-            amounts=self._ledger.told_totals(
+            whole=self._ledger.sends_all(whole=whole, now_seconds=now_seconds),
+            amounts=self._ledger.totals_to_send(
                 whole=whole, now_seconds=now_seconds
             ),
             counted=entry.counted if is_recent else {},
             indexes=entry.indexes,
             settled={
-                giver: self._ledger.settled(giver, former)
+                giver: self._ledger.counted_reports(giver, former)
                 for giver, former in self._former_by_giver.items()
                 if former
             },
             late=self._ledger.late(now_seconds=now_seconds),
         )
 
-    def hear_totals(
+    def receive_totals(
         self, hub: str, totals: messages.Totals, *, now_seconds: float
     ) -> None:
         """Remove what others admitted from the buckets, by a hub's totals.
@@ -299,8 +301,8 @@
         number = totals.counted.get(self._indexes.get(counter, -1))
         if number is not None:
             numbers[counter] = number
-        self._reports.note_held(numbers)
-        self._received_totals.take(
+        self._reports.confirm(numbers)
+        self._received_totals.apply(
             totals.amounts,
             totals.era,
             late=totals.late,
@@ -308,15 +310,15 @@
             now_seconds=now_seconds,
         )
 
-    def forget(self, *, now_seconds: float) -> None:
+    def expire(self, *, now_seconds: float) -> None:
         """Drop state that is no longer requested.
 
         :param now_seconds: reading of the process clock
         """
-        self._reports.forget()
+        self._reports.drop_oldest()
         for counter in list(self._indexes)[:-MAX_INDEXES]:
             del self._indexes[counter]
-        self._ledger.fold(now_seconds=now_seconds)
+        self._ledger.compact(now_seconds=now_seconds)
 
     def _count(
         self,
--- a/src/boragefold/policy/admission_reports.py
+++ b/src/boragefold/policy/admission_reports.py
@@ -34,20 +34,20 @@
     """What was reported to one entry, and what it holds."""
 
     def __init__(self) -> None:
-        self.held: dict[str, float] = {}
+        self.confirmed: dict[str, float] = {}
         self.reports: list[Report] = []
         self.last_reported_at_seconds = 0.0
 
-    def note_held(self, number: int) -> None:
+    def confirm(self, number: int) -> None:
         """Record which report the entry holds.
 
         :param number: of the last report that is included; 0 for none
         """
         older = [report for report in self.reports if report.number <= number]
         if not number or not self.reports:
-            self.held = {}
+            self.confirmed = {}
         else:
-            self.held = (older or self.reports[:1])[-1].amounts
+            self.confirmed = (older or self.reports[:1])[-1].amounts
 
     def drop_older(self, before_seconds: float) -> None:
         """Drop reports that can't be the last included one any more.
@@ -69,18 +69,18 @@
     def __init__(self) -> None:
         self._entries: dict[str, EntryReports] = {}
         self._last_number = 0
-        self._held: dict[str, float] = {}
-        self._held_by_dropped: dict[str, float] = {}
+        self._confirmed: dict[str, float] = {}
+        self._confirmed_by_dropped: dict[str, float] = {}
 
-    def held(self, workspace: str) -> float:
+    def confirmed(self, workspace: str) -> float:
         """Return how much of what was admitted here all entries hold.
 
         :param workspace: its name
         :return: tokens or requests
         """
-        return self._held.get(workspace, 0.0)
+        return self._confirmed.get(workspace, 0.0)
 
-    def state(
+    def create_report(
         self,
         counter: str,
         admitted: Mapping[str, float],
@@ -98,8 +98,8 @@
         entry.last_reported_at_seconds = now_seconds
         amounts = {
             workspace: amount
-            - self.held(workspace)
-            + entry.held.get(workspace, 0.0)
+            - self.confirmed(workspace)
+            + entry.confirmed.get(workspace, 0.0)
             for workspace, amount in admitted.items()
         }
         if not entry.reports or entry.reports[-1].amounts != amounts:
@@ -111,16 +111,18 @@
         unconfirmed = {
             workspace: amount
             for workspace, amount in amounts.items()
-            if amount != entry.held.get(workspace, 0.0)
+            if amount != entry.confirmed.get(workspace, 0.0)
         }
         return messages.Account(
             counter,
             entry.reports[-1].number,
             unconfirmed,
-            self.former(counter, now_seconds=now_seconds),
+            self.former_entries(counter, now_seconds=now_seconds),
         )
 
-    def former(self, counter: str, *, now_seconds: float) -> tuple[str, ...]:
+    def former_entries(
+        self, counter: str, *, now_seconds: float
+    ) -> tuple[str, ...]:
         """List the entries recently reported to, without the current one.
 
         :param counter: the current entry
@@ -135,30 +137,30 @@
             and entry.last_reported_at_seconds >= oldest_seconds
         )
 
-    def note_held(self, numbers: Mapping[str, int]) -> None:
+    def confirm(self, numbers: Mapping[str, int]) -> None:
         """Record which reports the entries hold, as received from a hub.
 
         :param numbers: number of the last included report, by entry
         """
         for name, number in numbers.items():
             if name in self._entries:
-                self._entries[name].note_held(number)
-        self._update_held()
+                self._entries[name].confirm(number)
+        self._update_confirmed()
 
-    def forget(self) -> None:
+    def drop_oldest(self) -> None:
         """Drop the entries that were reported to least recently."""
         by_age = sorted(
             self._entries,
             key=lambda name: self._entries[name].last_reported_at_seconds,
         )
         for name in by_age[:-MAX_ENTRIES]:
-            _add(self._held_by_dropped, self._entries.pop(name).held)
+            _add(self._confirmed_by_dropped, self._entries.pop(name).confirmed)
 
-    def _update_held(self) -> None:
-        held = dict(self._held_by_dropped)
+    def _update_confirmed(self) -> None:
+        confirmed = dict(self._confirmed_by_dropped)
         for entry in self._entries.values():
-            _add(held, entry.held)
-        self._held = held
+            _add(confirmed, entry.confirmed)
+        self._confirmed = confirmed
 
 
 def _add(sums: dict[str, float], amounts: Mapping[str, float]) -> None:
--- a/src/boragefold/policy/attempts.py
+++ b/src/boragefold/policy/attempts.py
@@ -52,7 +52,7 @@
         for work, endpoint in self._matcher.take_matches(
             self._requests.excluded, now_seconds=now_seconds
         ):
-            request = self._requests.waiting(work)
+            request = self._requests.get_open(work)
             request.endpoint = endpoint
             request.attempts += 1
             self._endpoints.sent(endpoint, work, now_seconds=now_seconds)
--- a/src/boragefold/policy/digest.py
+++ b/src/boragefold/policy/digest.py
@@ -140,7 +140,7 @@
         if work.adapter_version.adapter:
             self._counts[work.adapter_version, work.workspace] += 1
 
-    def take(self) -> tuple[Arrived, ...]:
+    def pop_all(self) -> tuple[Arrived, ...]:
         """Return the counts and reset them.
 
         :return: one entry per adapter and workspace
--- a/src/boragefold/policy/dispatcher.py
+++ b/src/boragefold/policy/dispatcher.py
@@ -230,7 +230,7 @@
         self, decided: admissions.Decision, now_seconds: float
     ) -> None:
         work, outcome = decided
-        request = self._requests.waiting(work)
+        request = self._requests.get_open(work)
         if isinstance(outcome, refusal.Refused):
             self._requests.end(request, used_tokens=0.0)
             self._answers.append(actions.Refuse(work, outcome))
@@ -242,7 +242,7 @@
 
     def _expire(self, now_seconds: float) -> None:
         for work in self._queue.expire(now_seconds=now_seconds):
-            request = self._requests.waiting(work)
+            request = self._requests.get_open(work)
             self._requests.end(request, used_tokens=0.0)
             refused = refusal.Refused(
                 status=refusal.UNAVAILABLE,
--- a/src/boragefold/policy/fleet_placement.py
+++ b/src/boragefold/policy/fleet_placement.py
@@ -80,7 +80,7 @@
             lambda each: self._decider(each.adapter),
         )
         arrived = _by_peer(
-            self._arrivals.take(), lambda each: self._decider(each.adapter)
+            self._arrivals.pop_all(), lambda each: self._decider(each.adapter)
         )
         in_use = _by_peer(
             (
--- a/src/boragefold/policy/matcher.py
+++ b/src/boragefold/policy/matcher.py
@@ -125,7 +125,7 @@
             for adapter, each in self._demand().items()
             if self._endpoints.holders(adapter)
         )
-        self._service.limited(tokens > 0, now_seconds=now_seconds)
+        self._service.set_waiting(tokens > 0, now_seconds=now_seconds)
         rate = self._service.tokens_per_second()
         self._delay_seconds = tokens / rate if rate else 0.0
         return self._overload.observe(
@@ -158,7 +158,7 @@
                 self._queue.push(work, now_seconds=now_seconds)
                 ready.discard(work.adapter_version)
                 continue
-            self._service.taken(
+            self._service.record(
                 works.charged_tokens(work), now_seconds=now_seconds
             )
             yield Match(work, endpoint)
--- a/src/boragefold/policy/open_requests.py
+++ b/src/boragefold/policy/open_requests.py
@@ -53,7 +53,7 @@
         """
         return self._open.get(request_id)
 
-    def waiting(self, work: works.Work) -> OpenRequest:
+    def get_open(self, work: works.Work) -> OpenRequest:
         """Look up a request that must be open.
 
         :param work: work that waits for admission or is queued
--- a/src/boragefold/policy/own_ledger_entry.py
+++ b/src/boragefold/policy/own_ledger_entry.py
@@ -73,7 +73,7 @@
         self._version += 1
         self._changed_at_seconds = now_seconds
 
-    def forget(self, giver: int) -> None:
+    def remove_giver(self, giver: int) -> None:
         """Remove an instance that ended; its amounts stay counted.
 
         :param giver: the instance
@@ -81,7 +81,7 @@
         if self._amounts_by_giver.pop(giver, None) is not None:
             self._ended_givers.add(giver)
 
-    def changed_lately(self, *, now_seconds: float) -> bool:
+    def is_recent(self, *, now_seconds: float) -> bool:
         """Return whether others may not know the newest version.
 
         :param now_seconds: reading of the process clock
@@ -116,7 +116,7 @@
         )
 
 
-def giver_of(incarnation: str) -> int:
+def giver_id(incarnation: str) -> int:
     """Return the id of an instance in entries.
 
     :param incarnation: of the instance
@@ -127,5 +127,5 @@
 
 __all__ = [
     "OwnEntry",
-    "giver_of",
+    "giver_id",
 ]
--- a/src/boragefold/policy/rate_ledger.py
+++ b/src/boragefold/policy/rate_ledger.py
@@ -78,7 +78,7 @@
         """
         return self._late.changed(now_seconds=now_seconds)
 
-    def begin(self, era: messages.Era, *, now_seconds: float) -> None:
+    def begin_era(self, era: messages.Era, *, now_seconds: float) -> None:
         """Start an era, as there is no hub to get entries from.
 
         :param era: the new one
@@ -86,7 +86,7 @@
         """
         self._change_era(era, now_seconds)
 
-    def told_totals(
+    def totals_to_send(
         self, *, whole: bool, now_seconds: float
     ) -> dict[str, float]:
         """Return the totals that receivers may not know.
@@ -95,11 +95,11 @@
         :param now_seconds: reading of the process clock
         :return: sums by workspace
         """
-        if self.is_whole(whole=whole, now_seconds=now_seconds):
+        if self.sends_all(whole=whole, now_seconds=now_seconds):
             return dict(self._totals.amounts)
         return self._totals.changed(now_seconds=now_seconds)
 
-    def is_whole(self, *, whole: bool, now_seconds: float) -> bool:
+    def sends_all(self, *, whole: bool, now_seconds: float) -> bool:
         """Return whether all totals are sent, not only recent changes.
 
         :param whole: whether receivers know none
@@ -141,7 +141,7 @@
         self._replace(name, StoredEntry(entry, now_seconds, now_seconds))
         return len(entry.indexes) >= entry.givers_count
 
-    def note_unchanged(
+    def confirm_version(
         self, name: str, version: int, *, now_seconds: float
     ) -> bool:
         """Record that a hub sent only the version of its entry.
@@ -157,14 +157,15 @@
         self._stored[name] = stored._replace(sent_at_seconds=now_seconds)
         return True
 
-    def settled(self, giver: int, names: Iterable[str]) -> dict[str, int]:
+    def counted_reports(
+        self, giver: int, names: Iterable[str]
+    ) -> dict[str, int]:
         """Return which of an instance's reports the entries include.
 
         :param giver: the instance
         :param names: the entries that it reported to
         :return: number of the last report by entry, 0 for none; entries for
             which it is unknown are left out
-            those of which that isn't known
         """
         numbers = {name: self._last_counted(name, giver) for name in names}
         return {
@@ -191,7 +192,7 @@
         text = "\0".join([str(self._folded.entries_count), *lost])
         return xxhash.xxh3_64_intdigest(text.encode())
 
-    def contents(self, *, now_seconds: float) -> messages.Ledger:
+    def to_message(self, *, now_seconds: float) -> messages.Ledger:
         """Return the whole ledger.
 
         :param now_seconds: reading of the process clock
@@ -214,7 +215,7 @@
             self._change_era(other.era, now_seconds)
         if other.era.founding != self._era.founding:
             return
-        self.note_reunions(other.era, now_seconds=now_seconds)
+        self.update_reunions(other.era, now_seconds=now_seconds)
         self._merge_folded(other, now_seconds)
         for name, (age_seconds, entry) in other.entries.items():
             stored = self._stored.get(name)
@@ -229,7 +230,9 @@
                 name, StoredEntry(entry, sent_at_seconds, now_seconds)
             )
 
-    def note_reunions(self, era: messages.Era, *, now_seconds: float) -> None:
+    def update_reunions(
+        self, era: messages.Era, *, now_seconds: float
+    ) -> None:
         """Take over a greater number of reunions.
 
         :param era: the same era, as another hub knows it
@@ -238,7 +241,7 @@
         if era.reunions > self._era.reunions:
             self._change_era(era, now_seconds)
 
-    def fold(self, *, now_seconds: float) -> None:
+    def compact(self, *, now_seconds: float) -> None:
         """Replace the entries of hubs that ended long ago by their sum.
 
         :param now_seconds: reading of the process clock
@@ -276,7 +279,7 @@
         now_seconds: float,
     ) -> None:
         gap_seconds = _gap_seconds(stored, entry, now_seconds)
-        if gap_seconds > shared_rate.FORGET_SECONDS:
+        if gap_seconds > shared_rate.PEER_EXPIRY_SECONDS:
             # Each side used the whole rate meanwhile, so what the other one
             # admitted must not be removed from the buckets.
             reunions = self._era.reunions + 1
@@ -327,7 +330,7 @@
         )
 
 
-def era_of(founder: str, *, heard_count: int) -> messages.Era:
+def new_era(founder: str, *, heard_count: int) -> messages.Era:
     """Create an era founded by this instance.
 
     :param founder: the incarnation that founds it
@@ -355,5 +358,5 @@
 
 __all__ = [
     "RateLedger",
-    "era_of",
+    "new_era",
 ]
--- a/src/boragefold/policy/received_totals.py
+++ b/src/boragefold/policy/received_totals.py
@@ -15,33 +15,36 @@
     """The totals received last, and the part that others admitted."""
 
     def __init__(
-        self, *, rate: shared_rate.SharedRate, held: Callable[[str], float]
+        self,
+        *,
+        rate: shared_rate.SharedRate,
+        confirmed: Callable[[str], float],
     ) -> None:
         """Start with no totals received.
 
         :param rate: the buckets
-        :param held: returns how much of what was admitted here the totals
+        :param confirmed: returns how much of what was admitted here the totals
             include, by workspace
         """
         self._rate = rate
-        self._held = held
+        self._confirmed = confirmed
         self._totals: dict[str, float] = {}
         self._of_others: dict[str, float] = {}
         self._late: dict[str, float] = {}
         self._era = messages.Era()
         self._received_at_seconds = -math.inf
-        self._lacks_whole = False
+        self._needs_all = False
 
     @property
-    def lacks_whole(self) -> bool:
+    def needs_all(self) -> bool:
         """Return whether all totals must be sent, not only changes.
 
         :return: whether the last totals lacked unchanged ones and so couldn't
             be used
         """
-        return self._lacks_whole
+        return self._needs_all
 
-    def take(
+    def apply(
         self,
         amounts: Mapping[str, float],
         era: messages.Era,
@@ -63,10 +66,11 @@
         """
         silent_seconds = now_seconds - self._received_at_seconds
         follows = (
-            era == self._era and silent_seconds <= shared_rate.FORGET_SECONDS
+            era == self._era
+            and silent_seconds <= shared_rate.PEER_EXPIRY_SECONDS
         )
-        self._lacks_whole = not follows and not whole
-        if self._lacks_whole:
+        self._needs_all = not follows and not whole
+        if self._needs_all:
             return
         if not follows:
             self._totals.clear()
@@ -74,7 +78,7 @@
         self._era = era
         self._received_at_seconds = now_seconds
         of_others = {
-            workspace: amount - self._held(workspace)
+            workspace: amount - self._confirmed(workspace)
             for workspace, amount in self._totals.items()
         }
         if follows:
@@ -111,8 +115,8 @@
             workspace: amount - late.get(workspace, 0.0)
             for workspace, amount in added.items()
         }
-        self._rate.take_out(in_time)
-        self._rate.take_out_late(late, now_seconds=now_seconds)
+        self._rate.remove(in_time)
+        self._rate.remove_late(late, now_seconds=now_seconds)
 
 
 __all__ = [
--- a/src/boragefold/policy/service_rate.py
+++ b/src/boragefold/policy/service_rate.py
@@ -23,25 +23,25 @@
         self._tokens = 0.0
         self._busy_seconds = 0.0
         self._at_seconds: float | None = None
-        self._limited = False
+        self._waiting = False
 
-    def limited(self, limited: bool, *, now_seconds: float) -> None:
+    def set_waiting(self, waiting: bool, *, now_seconds: float) -> None:
         """Record whether requests wait for capacity from now on.
 
-        :param limited: whether any request waits
+        :param waiting: whether any request waits
         :param now_seconds: reading of the process clock
         """
         self._advance(now_seconds)
-        self._limited = limited
+        self._waiting = waiting
 
-    def taken(self, tokens: float, *, now_seconds: float) -> None:
+    def record(self, tokens: float, *, now_seconds: float) -> None:
         """Record that a request was removed from the queue.
 
         :param tokens: what the queue charged for it
         :param now_seconds: reading of the process clock
         """
         self._advance(now_seconds)
-        if self._limited:
+        if self._waiting:
             self._tokens += tokens
 
     def tokens_per_second(self) -> float:
@@ -63,7 +63,7 @@
         decay = math.exp(-elapsed / TIME_CONSTANT_SECONDS)
         self._tokens *= decay
         self._busy_seconds *= decay
-        if self._limited:
+        if self._waiting:
             self._busy_seconds += elapsed
 
 
--- a/src/boragefold/policy/shared_rate.py
+++ b/src/boragefold/policy/shared_rate.py
@@ -24,7 +24,7 @@
 from boragefold.state import deployment
 
 # After this, the callers of an ended instance use other instances.
-FORGET_SECONDS = 20.0
+PEER_EXPIRY_SECONDS = 20.0
 MIN_RETRY_AFTER_SECONDS = 0.1
 # The rest covers what others admitted since their last heartbeat, and buckets
 # that start full.
@@ -95,7 +95,7 @@
         """
         return self._buckets[workspace].level
 
-    def take_out(self, amounts: Mapping[str, float]) -> None:
+    def remove(self, amounts: Mapping[str, float]) -> None:
         """Remove what was admitted elsewhere.
 
         :param amounts: tokens or requests, by workspace
@@ -104,7 +104,7 @@
             if (bucket := self._buckets.get(workspace)) is not None:
                 bucket.level -= amount
 
-    def take_out_late(
+    def remove_late(
         self, amounts: Mapping[str, float], *, now_seconds: float
     ) -> None:
         """Remove what was admitted by instances that were unreachable.
@@ -120,7 +120,10 @@
             if bucket is None:
                 continue
             covered = 0.0
-            if now_seconds <= bucket.withheld_until_seconds + FORGET_SECONDS:
+            if (
+                now_seconds
+                <= bucket.withheld_until_seconds + PEER_EXPIRY_SECONDS
+            ):
                 covered = min(amount, bucket.withheld)
             bucket.withheld -= covered
             bucket.level -= amount - covered
@@ -156,7 +159,7 @@
         self._add_admitted(workspace.name, amount)
         return None
 
-    def give_back(self, workspace: str, amount: float) -> None:
+    def refund(self, workspace: str, amount: float) -> None:
         """Return the amount of an admitted request that never ran.
 
         :param workspace: its name
@@ -191,28 +194,28 @@
         if share < 1:
             whole = workspace.rate_per_second
             withheld = bucket.withheld + (whole - rate) * elapsed_seconds
-            bucket.withheld = min(withheld, whole * FORGET_SECONDS)
+            bucket.withheld = min(withheld, whole * PEER_EXPIRY_SECONDS)
             bucket.withheld_until_seconds = now_seconds
         return bucket
 
 
-def share_of(
-    heard_ages_seconds: Iterable[float], silent_seconds: float
+def reachable_share(
+    peer_ages_seconds: Iterable[float], silent_seconds: float
 ) -> float:
     """Compute the fraction of a rate that belongs to reachable instances.
 
-    :param heard_ages_seconds: seconds since each known peer was heard
+    :param peer_ages_seconds: seconds since each known peer was heard
     :param silent_seconds: age from which a peer counts as unreachable
     :return: 1 when all peers are reachable
     """
-    ages = [age for age in heard_ages_seconds if age <= FORGET_SECONDS]
+    ages = [age for age in peer_ages_seconds if age <= PEER_EXPIRY_SECONDS]
     reached = 1 + sum(age <= silent_seconds for age in ages)
     return reached / math.fsum((1, len(ages)))
 
 
 __all__ = [
-    "FORGET_SECONDS",
+    "PEER_EXPIRY_SECONDS",
     "SharedRate",
     "Tolerance",
-    "share_of",
+    "reachable_share",
 ]
--- a/src/boragefold/policy/token_queue.py
+++ b/src/boragefold/policy/token_queue.py
@@ -37,7 +37,9 @@
         self._drain_rate = drain_rate.DrainRate()
         self._ready_at_seconds = 0.0
         self._poll_at_seconds = 0.0
-        self.asked(now_seconds=now_seconds, ready_in_seconds=ready_in_seconds)
+        self.set_ready(
+            now_seconds=now_seconds, ready_in_seconds=ready_in_seconds
+        )
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -79,7 +81,9 @@
             if entry.until_seconds <= now_seconds
         ]
 
-    def asked(self, *, now_seconds: float, ready_in_seconds: float) -> None:
+    def set_ready(
+        self, *, now_seconds: float, ready_in_seconds: float
+    ) -> None:
         """Record the token balance's answer for the head.
 
         :param now_seconds: reading of the process clock
@@ -88,7 +92,7 @@
         self._ready_at_seconds = now_seconds + ready_in_seconds
         self._poll_at_seconds = now_seconds + POLL_SECONDS
 
-    def drained(self, tokens: float, *, now_seconds: float) -> None:
+    def record_admitted(self, tokens: float, *, now_seconds: float) -> None:
         """Record that the head got its tokens.
 
         :param tokens: the number of tokens
@@ -96,7 +100,7 @@
         """
         self._drain_rate.add(tokens, now_seconds=now_seconds)
 
-    def due_seconds(self) -> float:
+    def next_due_seconds(self) -> float:
         """Return when the queue has to be processed next.
 
         :return: reading of the process clock
--- a/tests/coordination/fleet/test_rate_cuts.py
+++ b/tests/coordination/fleet/test_rate_cuts.py
@@ -72,7 +72,7 @@
         wait_seconds = instance.rate.admit(
             WORKSPACE,
             REQUEST_TOKENS,
-            share=shared_rate.share_of(
+            share=shared_rate.reachable_share(
                 instance.members.silences_seconds(),
                 instance.members.silence_timeout_seconds(),
             ),
--- a/tests/policy/test_heard_totals.py
+++ b/tests/policy/test_heard_totals.py
@@ -19,10 +19,10 @@
         self.in_time = 0.0
         self.late = 0.0
 
-    def take_out(self, amounts):
+    def remove(self, amounts):
         self.in_time += amounts.get(NAME, 0.0)
 
-    def take_out_late(self, amounts, *, now_seconds):
+    def remove_late(self, amounts, *, now_seconds):
         self.late += amounts.get(NAME, 0.0)
 
 
@@ -34,15 +34,15 @@
 @pytest.fixture
 def heard(rate):
     heard = received_totals.ReceivedTotals(
-        rate=rate, held=lambda workspace: 0.0
+        rate=rate, confirmed=lambda workspace: 0.0
     )
-    heard.take({NAME: 100.0}, ERA, late={}, whole=True, now_seconds=0.0)
+    heard.apply({NAME: 100.0}, ERA, late={}, whole=True, now_seconds=0.0)
     return heard
 
 
 def take(heard, amount, *, late=None, now_seconds=0.5):
     late = {} if late is None else {NAME: late}
-    heard.take(
+    heard.apply(
         {NAME: amount}, ERA, late=late, whole=False, now_seconds=now_seconds
     )
 
--- a/tests/policy/test_rate_accounts.py
+++ b/tests/policy/test_rate_accounts.py
@@ -26,7 +26,7 @@
 # A hub sends its totals at once when instances start or end.
 TOTALS_SECONDS = 0.05
 # An instance silent for longer no longer counts for anyone's share.
-LONG_SECONDS = shared_rate.FORGET_SECONDS + 1.0
+LONG_SECONDS = shared_rate.PEER_EXPIRY_SECONDS + 1.0
 HUBS = ("hub-a", "hub-b")
 OTHERS = ("one", "two", "three")
 
@@ -115,13 +115,13 @@
         totals = hub and self.totals(hub.name)
         if totals is None:
             return None
-        return self.instances[name].accounts.state(
+        return self.instances[name].accounts.create_report(
             messages.entry_name(hub.name, totals.serial),
             now_seconds=self.now_seconds,
         )
 
     def deliver_report(self, name, account):
-        self.instances[self.hub_of[name]].accounts.count(
+        self.instances[self.hub_of[name]].accounts.count_report(
             name, account, now_seconds=self.now_seconds
         )
 
@@ -133,12 +133,12 @@
     def send_entry(self, hub, others=None):
         accounts = self.instances[hub].accounts
         accounts.count_own(now_seconds=self.now_seconds)
-        told = accounts.told_entry(now_seconds=self.now_seconds)
+        told = accounts.entry_to_send(now_seconds=self.now_seconds)
         for name in self.hubs if others is None else others:
             if name == hub or not self.connected(hub, name):
                 continue
             other = self.instances[name].accounts
-            if other.hear_entry(hub, told, now_seconds=self.now_seconds):
+            if other.receive_entry(hub, told, now_seconds=self.now_seconds):
                 self.send_ledger(hub, name)
 
     def send_ledger(self, hub, other):
@@ -151,18 +151,18 @@
             )
 
     def totals(self, hub, *, whole=False):
-        return self.instances[hub].accounts.told_totals(
+        return self.instances[hub].accounts.totals_to_send(
             whole=whole, now_seconds=self.now_seconds
         )
 
     def deliver_totals(self, name, hub, totals):
-        self.instances[name].accounts.hear_totals(
+        self.instances[name].accounts.receive_totals(
             hub, totals, now_seconds=self.now_seconds
         )
 
     def send_totals(self, hub):
         for name in self.instances.keys() - set(self.hubs):
-            lacks = self.instances[name].accounts.lacks_totals
+            lacks = self.instances[name].accounts.needs_all_totals
             totals = self.totals(hub, whole=lacks)
             if totals is not None and self.connected(hub, name):
                 self.deliver_totals(name, hub, totals)
@@ -434,7 +434,7 @@
     fleet.synchronize()
     fleet.admit("one", 5.0)
     late = fleet.create_report("one")
-    fleet.instances[HUBS[0]].accounts.forget_instance("one")
+    fleet.instances[HUBS[0]].accounts.remove_instance("one")
     fleet.deliver_report("one", late)
     del fleet.instances["one"]
     assert fleet.all_counted(10.0)
@@ -445,7 +445,7 @@
     fleet = Fleet()
     fleet.admit("one", 10.0)
     fleet.synchronize()
-    fleet.instances["one"].rate.give_back(WORKSPACE.name, 4.0)
+    fleet.instances["one"].rate.refund(WORKSPACE.name, 4.0)
     fleet.lose_first_hub()
     fleet.choose_second_hub()
     assert fleet.all_counted(6.0)
@@ -473,7 +473,7 @@
     fleet.synchronize()
     covered = {name: [] for name in fleet.instances}
     for name, instance in fleet.instances.items():
-        instance.rate.take_out_late = lambda late, name=name, **_: covered[
+        instance.rate.remove_late = lambda late, name=name, **_: covered[
             name
         ].append(late.get(WORKSPACE.name, 0.0))
     fleet.cut_off = {HUBS[1], "two"}
@@ -547,7 +547,7 @@
     for _ in range(1_300):
         fleet.exchange()
     for instance in fleet.instances.values():
-        instance.accounts.forget(now_seconds=fleet.now_seconds)
+        instance.accounts.expire(now_seconds=fleet.now_seconds)
     ledger = fleet.instances[HUBS[1]].accounts.ledger(
         now_seconds=fleet.now_seconds
     )
@@ -569,7 +569,7 @@
     fleet.start("late")
     fleet.begin_counting("late")
     assert fleet.totals("late") is None
-    told = fleet.instances["late"].accounts.told_entry(
+    told = fleet.instances["late"].accounts.entry_to_send(
         now_seconds=fleet.now_seconds
     )
     assert told.era == messages.Era()
@@ -596,11 +596,11 @@
     # Guards against totals that are compared across a reunion, sent by a hub
     # that was connected to both sides of the partition all the time.
     fleet = Fleet()
-    told = fleet.instances[HUBS[0]].accounts.told_entry(
+    told = fleet.instances[HUBS[0]].accounts.entry_to_send(
         now_seconds=fleet.now_seconds
     )
     era = told.era._replace(reunions=told.era.reunions + 1)
-    fleet.instances[HUBS[1]].accounts.hear_entry(
+    fleet.instances[HUBS[1]].accounts.receive_entry(
         HUBS[0], told._replace(era=era), now_seconds=fleet.now_seconds
     )
     assert fleet.totals(HUBS[1]).era == era
@@ -625,10 +625,10 @@
     # Guards against an entry that stays outdated after a lost message.
     fleet = Fleet()
     accounts = fleet.instances[HUBS[0]].accounts
-    told = accounts.told_entry(now_seconds=fleet.now_seconds)
+    told = accounts.entry_to_send(now_seconds=fleet.now_seconds)
     newer = told._replace(version=told.version + 1, entry=None)
     for version in (told._replace(entry=None), newer):
-        asks = fleet.instances[HUBS[1]].accounts.hear_entry(
+        asks = fleet.instances[HUBS[1]].accounts.receive_entry(
             HUBS[0], version, now_seconds=fleet.now_seconds
         )
         assert asks == (version is newer)
@@ -653,20 +653,20 @@
     late.merge(without, now_seconds=fleet.now_seconds)
     account = fleet.create_report("one")._replace(former=(name,), number=1_000)
     own_name = messages.entry_name("late", 0)
-    late.count(
+    late.count_report(
         "one",
         account._replace(counter=own_name),
         now_seconds=fleet.now_seconds,
     )
-    totals = late.told_totals(whole=True, now_seconds=fleet.now_seconds)
+    totals = late.totals_to_send(whole=True, now_seconds=fleet.now_seconds)
     assert [*totals.settled.values()] == [{}]
-    told = accounts.told_entry(now_seconds=fleet.now_seconds)
+    told = accounts.entry_to_send(now_seconds=fleet.now_seconds)
     entry = told.entry._replace(indexes={})
-    assert late.hear_entry(
+    assert late.receive_entry(
         HUBS[0], told._replace(entry=entry), now_seconds=fleet.now_seconds
     )
     late.merge(ledger, now_seconds=fleet.now_seconds)
-    totals = late.told_totals(whole=True, now_seconds=fleet.now_seconds)
+    totals = late.totals_to_send(whole=True, now_seconds=fleet.now_seconds)
     (numbers,) = totals.settled.values()
     assert numbers[name] > 0
 
@@ -679,9 +679,9 @@
     changes = fleet.totals(HUBS[0])._replace(whole=False)
     fleet.start("later")
     fleet.deliver_totals("later", HUBS[0], changes)
-    assert fleet.instances["later"].accounts.lacks_totals
+    assert fleet.instances["later"].accounts.needs_all_totals
     fleet.deliver_totals("later", HUBS[0], fleet.totals(HUBS[0], whole=True))
-    assert not fleet.instances["later"].accounts.lacks_totals
+    assert not fleet.instances["later"].accounts.needs_all_totals
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/tests/policy/test_shared_rate.py
+++ b/tests/policy/test_shared_rate.py
@@ -65,7 +65,7 @@
                 if one != other and self.sides[one] == self.sides[other]:
                     amount = sender.admitted.get("press", 0.0)
                     before = self._heard[one, other]
-                    rate.take_out({"press": amount - before})
+                    rate.remove({"press": amount - before})
                     self._heard[one, other] = amount
 
     def max_admitted(self, window):
@@ -140,7 +140,7 @@
 def test_amounts_of_requests_that_never_ran_are_returned() -> None:
     fleet = Instances(1)
     fleet.offer(1_000.0)
-    fleet.rates[0].give_back("press", 1_000.0)
+    fleet.rates[0].refund("press", 1_000.0)
     assert fleet.offer(1_000.0) is None
     assert fleet.rates[0].admitted == {"press": 1_000.0}
 
@@ -154,9 +154,9 @@
 def test_the_withheld_part_covers_late_amounts() -> None:
     rate = shared_rate.SharedRate()
     partition_for(rate, 1.0)
-    rate.take_out_late({"press": 500.0}, now_seconds=1.5)
+    rate.remove_late({"press": 500.0}, now_seconds=1.5)
     assert rate.level("press") == 500.0
-    rate.take_out_late({"press": 30.0}, now_seconds=1.5)
+    rate.remove_late({"press": 30.0}, now_seconds=1.5)
     assert rate.level("press") == 470.0
 
 
@@ -164,15 +164,15 @@
     # The unreachable instances had ended; others were cut off later.
     rate = shared_rate.SharedRate()
     partition_for(rate, 1.0)
-    late_seconds = 1.5 + shared_rate.FORGET_SECONDS
-    rate.take_out_late({"press": 500.0}, now_seconds=late_seconds)
+    late_seconds = 1.5 + shared_rate.PEER_EXPIRY_SECONDS
+    rate.remove_late({"press": 500.0}, now_seconds=late_seconds)
     assert rate.level("press") == 0.0
 
 
 def test_silent_instances_keep_their_part_for_a_while() -> None:
-    assert shared_rate.share_of([0.1, 0.1], 1.0) == 1.0
-    assert shared_rate.share_of([0.1, 5.0, 5.0], 1.0) == 0.5
-    assert shared_rate.share_of([0.1, 60.0], 1.0) == 1.0
+    assert shared_rate.reachable_share([0.1, 0.1], 1.0) == 1.0
+    assert shared_rate.reachable_share([0.1, 5.0, 5.0], 1.0) == 0.5
+    assert shared_rate.reachable_share([0.1, 60.0], 1.0) == 1.0
 
 
 def test_no_rate_is_no_limit() -> None:
