--- a/src/boragefold/entry/active_chat.py
+++ b/src/boragefold/entry/active_chat.py
@@ -170,7 +170,7 @@
             return
         self._start_stream()
         keeps_up = self._exchange.send(
-            chat_messages.chunk(
+            chat_messages.encode_chunk(
                 self.work.request_id, self.request["model"], text
             )
         )
@@ -213,7 +213,7 @@
 
     def _reply_whole(self, usage: dict[str, int]) -> None:
         headers = answers.outcome_headers("ran", "", self.work.request_id)
-        body = chat_messages.whole(
+        body = chat_messages.encode_answer(
             self.work.request_id,
             self.request["model"],
             "".join(self._texts),
--- a/src/boragefold/entry/chat_handler.py
+++ b/src/boragefold/entry/chat_handler.py
@@ -96,11 +96,11 @@
     def _resolve(
         self, caller: identity.Caller, model: str
     ) -> works.AdapterVersion | outcomes.NotRun:
-        target = chat_messages.target(model)
-        if self._catalogue.model(target.name) is not None:
-            return works.AdapterVersion(target.name, "", "")
+        reference = chat_messages.split_model(model)
+        if self._catalogue.model(reference.name) is not None:
+            return works.AdapterVersion(reference.name, "", "")
         record = self._catalogue.adapter(
-            workspace=caller.settings.workspace, name=target.name
+            workspace=caller.settings.workspace, name=reference.name
         )
         if record is None:
             return outcomes.NotRun(
@@ -108,7 +108,7 @@
                 reason="adapter_unknown",
                 remedy="name a base model or an adapter of your workspace",
             )
-        version = target.version or record.versions[-1]
+        version = reference.version or record.versions[-1]
         if version not in record.versions:
             return outcomes.NotRun(
                 status=STATUS_NOT_FOUND,
--- a/src/boragefold/policy/admission_counts.py
+++ b/src/boragefold/policy/admission_counts.py
@@ -208,12 +208,12 @@
             return False
         if not self._ledger.complete:
             return True
-        if told.era.founding > self._ledger.era.founding:
+        if told.era.origin > self._ledger.era.origin:
             # The entries of the two eras have nothing in common.
             self.stop_counting()
             self.begin_counting(now_seconds=now_seconds)
             return True
-        if told.era.founding < self._ledger.era.founding:
+        if told.era.origin < self._ledger.era.origin:
             return False
         self._ledger.update_reunions(told.era, now_seconds=now_seconds)
         name = messages.entry_name(hub, told.serial)
--- a/src/boragefold/policy/rate_ledger.py
+++ b/src/boragefold/policy/rate_ledger.py
@@ -213,7 +213,7 @@
         is_new = not self.complete
         if is_new:
             self._change_era(other.era, now_seconds)
-        if other.era.founding != self._era.founding:
+        if other.era.origin != self._era.origin:
             return
         self.update_reunions(other.era, now_seconds=now_seconds)
         self._merge_folded(other, now_seconds)
--- a/src/boragefold/protocol/chat.py
+++ b/src/boragefold/protocol/chat.py
@@ -48,7 +48,7 @@
     remedy: str
 
 
-class Target(NamedTuple):
+class ModelReference(NamedTuple):
     """The parts of ``model``; an empty version selects the newest."""
 
     name: str
@@ -80,14 +80,14 @@
     return request
 
 
-def target(model: str) -> Target:
+def split_model(model: str) -> ModelReference:
     """Split ``model`` into adapter name and version.
 
     :param model: ``NAME`` or ``NAME@VERSION``
     :return: name and version
     """
     name, _, version = model.partition("@")
-    return Target(name, version)
+    return ModelReference(name, version)
 
 
 def estimate_tokens(request: ChatRequest) -> int:
@@ -105,7 +105,7 @@
     )
 
 
-def chunk(request_id: str, model: str, text: str) -> bytes:
+def encode_chunk(request_id: str, model: str, text: str) -> bytes:
     """Encode one chunk of a streamed answer.
 
     :param request_id: the ID of the answer
@@ -122,7 +122,7 @@
     return b"data: " + _ENCODER.encode(event) + b"\n\n"
 
 
-def whole(
+def encode_answer(
     request_id: str, model: str, text: str, usage: dict[str, int]
 ) -> bytes:
     """Encode an answer that isn't streamed.
@@ -153,10 +153,10 @@
     "DONE",
     "EngineEvent",
     "Message",
-    "Target",
-    "chunk",
+    "ModelReference",
+    "encode_answer",
+    "encode_chunk",
     "estimate_tokens",
     "parse",
-    "target",
-    "whole",
+    "split_model",
 ]
--- a/src/boragefold/protocol/rate_ledger_messages.py
+++ b/src/boragefold/protocol/rate_ledger_messages.py
@@ -31,7 +31,7 @@
         return self.heard_count >= 0
 
     @property
-    def founding(self) -> tuple[int, int]:
+    def origin(self) -> tuple[int, int]:
         """Return the part that identifies who started the era.
 
         :return: unchanged by reunions
