--- a/src/boragefold/coordination/fleet/heartbeat_targets.py
+++ b/src/boragefold/coordination/fleet/heartbeat_targets.py
@@ -106,10 +106,10 @@
         # The successor of an overdue hub acts as a hub before that one is
         # given up, or the heartbeats of its instances would be lost.
         local_on_time = [other for other in local if other.address not in late]
-        if own.leaving or own_candidate not in hubs.best(
+        if own.leaving or own_candidate not in hubs.best_hubs(
             hubs.rank([own_candidate, *local_on_time])
         ):
-            uplinks = hubs.uplinks(own_candidate.address, local, late=late)
+            uplinks = hubs.uplinks(own_candidate.address, local, overdue=late)
             # The last instance of a data centre tells other hubs as it leaves.
             return HeartbeatTargets(
                 tuple(uplinks) or self._remote_hubs(late), False, False
@@ -117,8 +117,8 @@
         # Only hubs need to know the hubs of other data centres.
         others = self._members.hub_candidates()
         on_time = [other for other in others if other.address not in late]
-        acting = hubs.hubs([own_candidate, *on_time])
-        confirmed = hubs.hubs([own_candidate, *others])
+        acting = hubs.choose_hubs([own_candidate, *on_time])
+        confirmed = hubs.choose_hubs([own_candidate, *others])
         addresses = (*_addresses(acting), *_addresses(confirmed))
         targets = dict.fromkeys(addresses)
         targets.pop(own_candidate.address, None)
@@ -128,7 +128,9 @@
     def _remote_hubs(self, late: frozenset[str]) -> tuple[str, ...]:
         others = self._members.hub_candidates()
         return _addresses(
-            hubs.hubs(other for other in others if other.address not in late)
+            hubs.choose_hubs(
+                other for other in others if other.address not in late
+            )
         )
 
 
--- a/src/boragefold/coordination/fleet/heartbeats.py
+++ b/src/boragefold/coordination/fleet/heartbeats.py
@@ -209,7 +209,9 @@
             wanted |= self._seeds & silent.keys()
         if reachable_count < MIN_PEERS or self._is_hub:
             # The hubs of both sides of a partition rejoin the others.
-            best = hubs.hubs(map(member_module.hub_candidate, silent.values()))
+            best = hubs.choose_hubs(
+                map(member_module.hub_candidate, silent.values())
+            )
             every = itertools.chain.from_iterable(best.values())
             wanted.update(candidate.address for candidate in every)
         return wanted
--- a/src/boragefold/coordination/fleet/hubs.py
+++ b/src/boragefold/coordination/fleet/hubs.py
@@ -23,10 +23,10 @@
 import xxhash
 
 # Two hubs of a data centre may fail at once.
-HUBS = 3
+MAX_HUBS = 3
 # On a narrow link, the messages of a hub would delay responses to callers.
 MIN_CAPACITY_RATIO = 0.5
-FEWEST_HUBS = 2
+MIN_HUBS = 2
 # One hub may fail without a gap in the heartbeats.
 UPLINKS = 2
 
@@ -54,7 +54,7 @@
     )
 
 
-def hubs(candidates: Iterable[Candidate]) -> dict[str, list[Candidate]]:
+def choose_hubs(candidates: Iterable[Candidate]) -> dict[str, list[Candidate]]:
     """Choose the hubs of every data centre.
 
     :param candidates: the instances that may be alive
@@ -62,14 +62,14 @@
     """
     by_centre = sorted(candidates, key=lambda each: each.data_centre)
     return {
-        centre: best(rank(members))
+        centre: best_hubs(rank(members))
         for centre, members in itertools.groupby(
             by_centre, key=lambda each: each.data_centre
         )
     }
 
 
-def best(ranked: list[Candidate]) -> list[Candidate]:
+def best_hubs(ranked: list[Candidate]) -> list[Candidate]:
     """Choose the hubs among the instances of a data centre.
 
     :param ranked: its instances, the best hub first
@@ -78,8 +78,8 @@
     widest = ranked[0].capacity if ranked else 0.0
     return [
         candidate
-        for place, candidate in enumerate(ranked[:HUBS])
-        if place < FEWEST_HUBS
+        for place, candidate in enumerate(ranked[:MAX_HUBS])
+        if place < MIN_HUBS
         or candidate.capacity >= MIN_CAPACITY_RATIO * widest
     ]
 
@@ -88,7 +88,7 @@
     own_address: str,
     ranked: list[Candidate],
     *,
-    late: Collection[str] = (),
+    overdue: Collection[str] = (),
 ) -> list[str]:
     """Choose the hubs that an instance sends its heartbeats to.
 
@@ -99,10 +99,10 @@
 
     :param own_address: the address of the instance
     :param ranked: the other instances of its data centre, best hub first
-    :param late: the addresses whose heartbeat is overdue
+    :param overdue: the addresses whose heartbeat is overdue
     :return: addresses; more of them if some are overdue
     """
-    chosen_hubs = best(ranked)
+    chosen_hubs = best_hubs(ranked)
     first = sorted(
         chosen_hubs, key=lambda hub: _hash(f"{own_address}\0{hub.address}")
     )
@@ -113,7 +113,7 @@
         if on_time == UPLINKS:
             break
         chosen.append(hub.address)
-        on_time += hub.address not in late
+        on_time += hub.address not in overdue
     return chosen
 
 
@@ -123,10 +123,10 @@
 
 __all__ = [
     "Candidate",
-    "HUBS",
+    "MAX_HUBS",
     "UPLINKS",
-    "best",
-    "hubs",
+    "best_hubs",
+    "choose_hubs",
     "rank",
     "uplinks",
 ]
--- a/src/boragefold/coordination/fleet/members.py
+++ b/src/boragefold/coordination/fleet/members.py
@@ -25,7 +25,7 @@
 
 # The heartbeat interval grows with the fleet, to bound what hubs send.
 MIN_HEARTBEAT_SECONDS = 0.25
-HEARTHEARTBEATS_PER_SECOND = 48.0
+HEARTBEATS_PER_SECOND = 48.0
 MAX_HEARTBEAT_SECONDS = 0.5
 # A single lost datagram or a short pause must not count as a failure.
 SILENT_HEARTBEATS = 4
@@ -103,7 +103,7 @@
 
         :return: seconds
         """
-        wanted = len(self._members) / HEARTHEARTBEATS_PER_SECOND
+        wanted = len(self._members) / HEARTBEATS_PER_SECOND
         return min(MAX_HEARTBEAT_SECONDS, max(MIN_HEARTBEAT_SECONDS, wanted))
 
     def silence_timeout_seconds(self) -> float:
--- a/src/boragefold/coordination/fleet/owner_changes.py
+++ b/src/boragefold/coordination/fleet/owner_changes.py
@@ -54,7 +54,7 @@
         self._owners: Mapping[str, ids.InstanceId] = {}
         self._former: dict[str, ids.InstanceId] = {}
 
-    def note(self, owners: Mapping[str, ids.InstanceId]) -> None:
+    def update(self, owners: Mapping[str, ids.InstanceId]) -> None:
         """Update the owners, and record those that were replaced.
 
         :param owners: the current owners by engine
@@ -67,7 +67,7 @@
         self._former.update(replaced)
         self._owners = owners
 
-    def forget(self, engines: Mapping[str, str]) -> None:
+    def discard_missing(self, engines: Mapping[str, str]) -> None:
         """Drop the former owners of engines that no longer exist.
 
         :param engines: the data centre of each existing engine
@@ -78,7 +78,9 @@
             if engine in engines
         }
 
-    def of(self, engine: str, data_centre: str, *, reason: str) -> OwnerChange:
+    def describe(
+        self, engine: str, data_centre: str, *, reason: str
+    ) -> OwnerChange:
         """Describe the last change of an engine's owner.
 
         :param engine: the engine's name
--- a/src/boragefold/coordination/fleet/ownership.py
+++ b/src/boragefold/coordination/fleet/ownership.py
@@ -44,7 +44,7 @@
     """An instance that may own engines, and the engines it can't reach."""
 
     instance: ids.InstanceId
-    avoids: frozenset[str]
+    unreachable: frozenset[str]
 
 
 class Ownership:
@@ -55,22 +55,22 @@
         *,
         self_id: ids.InstanceId,
         members: members_module.Members,
-        leaving: Callable[[], bool],
-        avoids: Callable[[str], bool] = lambda engine: False,
+        is_leaving: Callable[[], bool],
+        is_unreachable: Callable[[str], bool] = lambda engine: False,
     ) -> None:
         """Create it without owners.
 
         :param self_id: this instance
         :param members: the other instances
-        :param leaving: returns whether this instance is about to stop
-        :param avoids: returns whether this instance can't reach an engine, so
-            that another instance should own it
+        :param is_leaving: returns whether this instance is about to stop
+        :param is_unreachable: returns whether this instance can't reach an
+            engine, so that another instance should own it
         """
         self._self_id = self_id
         self._members = members
-        self._leaving = leaving
-        self._avoids = avoids
-        self._claimed: set[str] = set()
+        self._is_leaving = is_leaving
+        self._is_unreachable = is_unreachable
+        self._owned: set[str] = set()
         self._owners: dict[str, ids.InstanceId] = {}
         self._data_centres: Mapping[str, str] = {}
         self._changes = owner_changes.OwnerChanges(
@@ -80,12 +80,12 @@
         self._recompute_until_seconds = -math.inf
 
     @property
-    def claimed(self) -> frozenset[str]:
+    def owned(self) -> frozenset[str]:
         """List the engines that this instance owns.
 
         :return: their names
         """
-        return frozenset(self._claimed)
+        return frozenset(self._owned)
 
     def owner(self, engine: str) -> ids.InstanceId | None:
         """Return the owner of an engine.
@@ -103,20 +103,20 @@
         :param record: the engine
         :return: the owners and the membership behind the change
         """
-        return self._changes.of(
+        return self._changes.describe(
             record.name,
             record.data_centre,
             reason=self._reason(record.name),
         )
 
     def _reason(self, engine: str) -> str:
-        if engine in self._claimed:
+        if engine in self._owned:
             return ""
-        if self._leaving():
+        if self._is_leaving():
             return owner_changes.LEAVING
         if engine not in self._data_centres:
             return owner_changes.ENGINE_GONE
-        if self._avoids(engine):
+        if self._is_unreachable(engine):
             return owner_changes.UNREACHABLE
         return owner_changes.OTHER_OWNER
 
@@ -126,14 +126,14 @@
         :param engines: the existing engines
         """
         data_centres = {engine.name: engine.data_centre for engine in engines}
-        unreachable = frozenset(filter(self._avoids, data_centres))
+        unreachable = frozenset(filter(self._is_unreachable, data_centres))
         # Members.version is updated by reachable().
         self._members.reachable()
         inputs = (
             self._members.version,
             data_centres,
             unreachable,
-            self._leaving(),
+            self._is_leaving(),
         )
         uptime_seconds = self._members.uptime_seconds
         if inputs != self._inputs:
@@ -164,9 +164,9 @@
         self._owners = {
             name: owner for name, owner in owners.items() if owner is not None
         }
-        self._changes.note(self._owners)
-        self._changes.forget(data_centres)
-        self._claimed = {
+        self._changes.update(self._owners)
+        self._changes.discard_missing(data_centres)
+        self._owned = {
             name
             for name, owner in self._owners.items()
             if owner == self._self_id
@@ -176,9 +176,9 @@
         self, unreachable: frozenset[str]
     ) -> dict[str, list[ids.InstanceId]]:
         claims: dict[str, list[ids.InstanceId]] = {}
-        if not self._leaving():
+        if not self._is_leaving():
             claims = {
-                name: [self._self_id] for name in self._claimed - unreachable
+                name: [self._self_id] for name in self._owned - unreachable
             }
         for member in self._members.reachable():
             if member.beat is None or member.beat.leaving:
@@ -199,7 +199,7 @@
                 candidate = Candidate(member.instance, frozenset(beat.avoids))
                 settled[member.instance.data_centre].append(candidate)
         is_settled = self._members.uptime_seconds >= SETTLE_SECONDS
-        if is_settled and not self._leaving():
+        if is_settled and not self._is_leaving():
             own_candidate = Candidate(self._self_id, unreachable)
             settled[self._self_id.data_centre].append(own_candidate)
         return settled
@@ -241,7 +241,7 @@
     return [
         candidate.instance
         for candidate in candidates
-        if engine not in candidate.avoids
+        if engine not in candidate.unreachable
     ]
 
 
--- a/src/boragefold/coordination/fleet/readers.py
+++ b/src/boragefold/coordination/fleet/readers.py
@@ -19,12 +19,12 @@
 from boragefold.protocol import ids
 
 # In a data centre that reaches no other: one may fail without a gap.
-READERS = 2
+ISOLATED_READERS = 2
 # In a data centre that reaches others.
-READERS_BESIDE_OTHERS = 1
+CONNECTED_READERS = 1
 
 
-def reads(
+def is_reader(
     self_id: ids.InstanceId, members: Iterable[member_module.Member]
 ) -> bool:
     """Tell whether this instance reads the store.
@@ -49,7 +49,9 @@
     hears_others = any(
         instance.data_centre != self_id.data_centre for instance in eligible
     )
-    return better_ranked < (READERS_BESIDE_OTHERS if hears_others else READERS)
+    return better_ranked < (
+        CONNECTED_READERS if hears_others else ISOLATED_READERS
+    )
 
 
 def _rank(instance: ids.InstanceId) -> int:
@@ -57,7 +59,7 @@
 
 
 __all__ = [
-    "READERS",
-    "READERS_BESIDE_OTHERS",
-    "reads",
+    "CONNECTED_READERS",
+    "ISOLATED_READERS",
+    "is_reader",
 ]
--- a/src/boragefold/coordination/fleet/relay.py
+++ b/src/boragefold/coordination/fleet/relay.py
@@ -79,7 +79,7 @@
             body=messages.Published(
                 told=dict(self._items.told),
                 items=items,
-                settling_seconds=self._grace.settling_seconds(),
+                settling_seconds=self._grace.remaining_seconds(),
             ),
         )
 
@@ -87,7 +87,7 @@
         self, sender: ids.InstanceId, body: messages.Published
     ) -> None:
         if body.settling_seconds:
-            self._grace.store_returned(body.settling_seconds)
+            self._grace.store_recovered(body.settling_seconds)
         items = (published_items.Item(*item) for item in body.items)
         newest = max(body.told.values(), default=0)
         self._items.take(items, revision=newest, told=body.told)
--- a/src/boragefold/coordination/fleet/removal_grace.py
+++ b/src/boragefold/coordination/fleet/removal_grace.py
@@ -26,30 +26,30 @@
         *,
         timers: timing.TimerService,
         drop: Callable[[str], None],
-        store_was_up: Callable[[], bool] = lambda: False,
+        peer_had_store: Callable[[], bool] = lambda: False,
     ) -> None:
         """Start without a grace period.
 
         :param timers: the process clock
         :param drop: drops an endpoint for good
-        :param store_was_up: tells whether the store answered a peer all the
+        :param peer_had_store: tells whether the store answered a peer all the
             time: then it refused only this instance, no registration expired,
             and a removal is genuine
         """
-        self._store_was_up = store_was_up
+        self._peer_had_store = peer_had_store
         self._timers = timers
         self._drop = drop
         self._until_seconds = 0.0
         self._missing: set[str] = set()
 
-    def settling_seconds(self) -> float:
+    def remaining_seconds(self) -> float:
         """Tell how much longer removals are delayed.
 
         :return: seconds; 0 when they take effect at once
         """
         return max(0.0, self._until_seconds - self._timers.now_seconds())
 
-    def store_returned(self, within_seconds: float = GRACE_SECONDS) -> None:
+    def store_recovered(self, within_seconds: float = GRACE_SECONDS) -> None:
         """Record that the store answers again, here or at a peer.
 
         :param within_seconds: time that endpoints may take to register again
@@ -57,13 +57,13 @@
         until_seconds = self._timers.now_seconds() + within_seconds
         self._until_seconds = max(self._until_seconds, until_seconds)
 
-    def removed(self, endpoint: str) -> None:
+    def remove(self, endpoint: str) -> None:
         """Drop an endpoint whose registration was removed, now or later.
 
         :param endpoint: its name
         """
-        wait_seconds = self.settling_seconds()
-        if not wait_seconds or self._store_was_up():
+        wait_seconds = self.remaining_seconds()
+        if not wait_seconds or self._peer_had_store():
             self._drop(endpoint)
             return
         self._missing.add(endpoint)
@@ -72,7 +72,7 @@
             callback=lambda: self._drop_missing(endpoint),
         )
 
-    def present(self, endpoint: str) -> None:
+    def cancel(self, endpoint: str) -> None:
         """Cancel the delayed removal of an endpoint that is registered.
 
         :param endpoint: its name
--- a/src/boragefold/entry/gateway_instance.py
+++ b/src/boragefold/entry/gateway_instance.py
@@ -113,7 +113,7 @@
         self._grace = removal_grace.RemovalGrace(
             timers=self.timers,
             drop=self._fleet.drop_endpoint,
-            store_was_up=self._store_was_up,
+            peer_had_store=self._store_was_up,
         )
         self._items.subscribe(make_subscriber(self._fleet, self._grace))
         self._sockets = sockets.SocketSet(poller=self.loop.poller)
@@ -163,8 +163,8 @@
         self._ownership = ownerships.Ownership(
             self_id=self._link.self_id,
             members=self._members,
-            leaving=lambda: self.shutdown.has_begun,
-            avoids=lambda engine: self._owner.should_release(engine),
+            is_leaving=lambda: self.shutdown.has_begun,
+            is_unreachable=lambda engine: self._owner.should_release(engine),
         )
         self._owner = self._make_owner(engines)
         self._owner_client = owner_client.OwnerClient(
@@ -254,7 +254,7 @@
         self._rate.tolerance = settings.rate_tolerance
 
     def _must_read(self) -> bool:
-        return readers.reads(self._link.self_id, self._members.reachable())
+        return readers.is_reader(self._link.self_id, self._members.reachable())
 
     def _make_beat(self) -> messages.Beat:
         return messages.Beat(
@@ -276,7 +276,7 @@
         engines = {record.name: record for record in self._fleet.engines()}
         self._ownership.refresh(engines.values())
         self._fleet_log.log_silence()
-        claimed = self._ownership.claimed
+        claimed = self._ownership.owned
         self._owner.set_owned(engines[name] for name in claimed)
         self._heartbeats.refresh()
         self._owner_client.retry_pending()
--- a/src/boragefold/entry/store_followers.py
+++ b/src/boragefold/entry/store_followers.py
@@ -56,7 +56,7 @@
                 log=log,
                 rng=rng,
                 must_read=must_read,
-                on_recovery=grace.store_returned,
+                on_recovery=grace.store_recovered,
             )
             for prefix in prefixes
         ]
@@ -85,7 +85,7 @@
 
         :return: whether it has just answered and hasn't failed recently
         """
-        if self._grace.settling_seconds() > 0 or self.any_failing():
+        if self._grace.remaining_seconds() > 0 or self.any_failing():
             return False
         # A watch on a rarely changed prefix gets no answers for long, but
         # endpoints renew their entries all the time.
--- a/tests/coordination/fleet/test_hubs.py
+++ b/tests/coordination/fleet/test_hubs.py
@@ -37,34 +37,34 @@
         for address, instance in fleet.instances.items()
         if instance.node.self_id.data_centre == centre
     ]
-    return [hub.address for hub in hubs.rank(ours)[: hubs.HUBS]]
+    return [hub.address for hub in hubs.rank(ours)[: hubs.MAX_HUBS]]
 
 
 def test_the_widest_links_are_hubs() -> None:
     # A hub on a narrow link would delay the responses to its callers.
     wide = [candidate(number, capacity=200.0) for number in range(2)]
     narrow = [candidate(number) for number in range(2, 9)]
-    chosen = hubs.hubs([*narrow, *wide, candidate(20, "dc-b")])
+    chosen = hubs.choose_hubs([*narrow, *wide, candidate(20, "dc-b")])
     assert set(chosen["dc-a"]) == set(wide)
     assert [hub.data_centre for hub in chosen["dc-b"]] == ["dc-b"]
 
 
 def test_three_are_hubs_where_links_are_alike() -> None:
-    chosen = hubs.hubs([candidate(number) for number in range(9)])
-    assert len(chosen["dc-a"]) == hubs.HUBS
+    chosen = hubs.choose_hubs([candidate(number) for number in range(9)])
+    assert len(chosen["dc-a"]) == hubs.MAX_HUBS
 
 
 def test_a_narrow_link_is_used_if_only_one_is_wide() -> None:
     wide = candidate(0, capacity=200.0)
-    chosen = hubs.hubs([wide, *map(candidate, range(1, 5))])
+    chosen = hubs.choose_hubs([wide, *map(candidate, range(1, 5))])
     assert chosen["dc-a"][0] == wide
-    assert len(chosen["dc-a"]) == hubs.FEWEST_HUBS
+    assert len(chosen["dc-a"]) == hubs.MIN_HUBS
 
 
 def test_the_next_hub_is_added_while_one_is_overdue() -> None:
     ranked = hubs.rank([candidate(number) for number in range(9)])
     sound = hubs.uplinks("10.1.0.50:70", ranked)
-    late = hubs.uplinks("10.1.0.50:70", ranked, late=sound)
+    late = hubs.uplinks("10.1.0.50:70", ranked, overdue=sound)
     assert len(sound) == hubs.UPLINKS
     assert late[: hubs.UPLINKS] == sound
     assert len(late) == 2 * hubs.UPLINKS
--- a/tests/coordination/fleet/test_readers.py
+++ b/tests/coordination/fleet/test_readers.py
@@ -22,7 +22,7 @@
     return {
         instance
         for instance in INSTANCES
-        if readers.reads(
+        if readers.is_reader(
             instance,
             [
                 member(other, lost=other in lost)
@@ -34,14 +34,14 @@
 
 
 def test_few_of_a_data_centre_read() -> None:
-    assert len(reading()) == readers.READERS
+    assert len(reading()) == readers.ISOLATED_READERS
 
 
 def test_a_reader_refused_by_the_store_is_replaced() -> None:
     before = reading()
     lost = min(before)
     after = reading([lost]) - {lost}
-    assert len(after) == readers.READERS
+    assert len(after) == readers.ISOLATED_READERS
     assert len(after - before) == 1
 
 
@@ -49,7 +49,7 @@
     elsewhere = [
         member(each._replace(data_centre="dc-b")) for each in INSTANCES[1:]
     ]
-    assert readers.reads(INSTANCES[0], elsewhere)
+    assert readers.is_reader(INSTANCES[0], elsewhere)
 
 
 def test_one_of_a_data_centre_reads_where_others_are_heard() -> None:
@@ -61,7 +61,7 @@
     readers_of = [
         instance
         for instance in everyone
-        if readers.reads(
+        if readers.is_reader(
             instance, [member(one) for one in everyone if one != instance]
         )
     ]
@@ -77,9 +77,9 @@
     reading_here = {
         instance
         for instance in near
-        if readers.reads(
+        if readers.is_reader(
             instance,
             [*(member(one) for one in near if one != instance), *elsewhere],
         )
     }
-    assert len(reading_here) == readers.READERS
+    assert len(reading_here) == readers.ISOLATED_READERS
--- a/tests/fakes/fleet_walk.py
+++ b/tests/fakes/fleet_walk.py
@@ -157,7 +157,7 @@
 
     def _refresh(self) -> None:
         self.ownership.refresh(self.fleet.engines)
-        claimed = self.ownership.claimed
+        claimed = self.ownership.owned
         self.owner.set_owned(
             record for record in self.fleet.engines if record.name in claimed
         )
@@ -277,7 +277,7 @@
             owners = [
                 instance.node.self_id
                 for instance in self.instances.values()
-                if record.name in instance.ownership.claimed
+                if record.name in instance.ownership.owned
             ]
             for owner in owners:
                 self.later(
--- a/tests/fakes/gateways.py
+++ b/tests/fakes/gateways.py
@@ -85,8 +85,8 @@
         self.ownership = ownerships.Ownership(
             self_id=link.self_id,
             members=self.members,
-            leaving=lambda: self.leaving,
-            avoids=lambda engine: engine in self.avoided,
+            is_leaving=lambda: self.leaving,
+            is_unreachable=lambda engine: engine in self.avoided,
         )
         self.relay = relays.Relay(
             link=link,
@@ -120,7 +120,7 @@
 
     def _statuses(self):
         return tuple(
-            self.fleet.status(name) for name in sorted(self.ownership.claimed)
+            self.fleet.status(name) for name in sorted(self.ownership.owned)
         )
 
 
@@ -158,7 +158,7 @@
             engine.name: [
                 address
                 for address, instance in self.instances.items()
-                if engine.name in instance.ownership.claimed
+                if engine.name in instance.ownership.owned
             ]
             for engine in self.engines
         }
