--- a/src/boragefold/policy/assembly.py
+++ b/src/boragefold/policy/assembly.py
@@ -14,7 +14,7 @@
 from boragefold.policy import fleet_events
 from boragefold.policy import fleet_placement
 from boragefold.policy import homes
-from boragefold.policy import matcher
+from boragefold.policy import matcher as matchers
 from boragefold.policy import overload
 from boragefold.policy import placement
 from boragefold.policy import retry_budget
@@ -45,7 +45,7 @@
     :return: the dispatcher
     """
     queue = fair_queue.FairQueue(counters=counters)
-    sender = matcher.Matcher(
+    matcher = matchers.Matcher(
         queue=queue,
         choice=endpoint_choice.EndpointChoice(
             endpoints=endpoints,
@@ -72,11 +72,11 @@
             token_balance=token_balance, counters=counters
         ),
         queue=queue,
-        matcher=sender,
+        matcher=matcher,
         endpoints=endpoints,
         fleet=fleet_events.FleetEvents(
             queue=queue,
-            matcher=sender,
+            matcher=matcher,
             endpoints=endpoints,
             placement=shared_placement,
         ),
