--- a/src/boragefold/timing/__init__.py
+++ b/src/boragefold/timing/__init__.py
@@ -1,3 +1,3 @@
-"""Clocks, and the timer service that the other parts subscribe to."""
+"""Clocks and timers."""
 
 from __future__ import annotations
--- a/src/boragefold/timing/clock.py
+++ b/src/boragefold/timing/clock.py
@@ -7,7 +7,7 @@
 
 
 class Clock(abc.ABC):
-    """A clock that never goes back and has no relation to the calendar."""
+    """A monotonic clock that is unrelated to wall-clock time."""
 
     @abc.abstractmethod
     def now_seconds(self) -> float:
@@ -20,7 +20,7 @@
 class BootClock(Clock):
     """The clock of a real process.
 
-    A lease must not outlive a pause. CLOCK_MONOTONIC stands still while the
+    A lease must not outlive a suspension. CLOCK_MONOTONIC stops while the
     machine is suspended, so a lease measured with it would still look valid
     afterwards; CLOCK_BOOTTIME goes on counting.
     """
@@ -28,13 +28,13 @@
     def now_seconds(self) -> float:
         """Read the clock.
 
-        :return: seconds since the machine was booted, suspension included
+        :return: seconds since the machine was booted, including suspension
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class VirtualClock(Clock):
-    """A clock that moves only when it is told to, for tests and the bench."""
+    """A clock that is set explicitly, for tests and the benchmark."""
 
     def __init__(self, *, start_seconds: float = 0.0) -> None:
         self._now_seconds = start_seconds
@@ -47,9 +47,9 @@
         return self._now_seconds
 
     def move_to(self, now_seconds: float) -> None:
-        """Move the clock forward.
+        """Advance the clock.
 
-        :param now_seconds: the new reading; earlier ones are ignored
+        :param now_seconds: the new reading; an earlier one is ignored
         """
         self._now_seconds = max(self._now_seconds, now_seconds)
 
--- a/src/boragefold/timing/timers.py
+++ b/src/boragefold/timing/timers.py
@@ -1,4 +1,4 @@
-"""The timer service: one heap of callbacks for the whole process."""
+"""Timers on one heap for the whole process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Subscription:
-    """A callback that waits for its time, and can be cancelled."""
+    """A scheduled callback that can be cancelled."""
 
     def __init__(
         self, *, callback: Callback, period_seconds: float | None
@@ -22,12 +22,12 @@
         self.cancelled = False
 
     def cancel(self) -> None:
-        """Never call back again."""
+        """Prevent all further calls."""
         self.cancelled = True
 
 
 class TimerService:
-    """Calls subscribers back when their time has come."""
+    """Runs callbacks when they are due."""
 
     def __init__(self, *, clock: clocks.Clock) -> None:
         self._clock = clock
@@ -35,7 +35,7 @@
         self._order = itertools.count()
 
     def now_seconds(self) -> float:
-        """Read the clock that the service runs on.
+        """Read the clock of the service.
 
         :return: seconds since an arbitrary start
         """
@@ -44,11 +44,11 @@
     def once(
         self, *, delay_seconds: float, callback: Callback
     ) -> Subscription:
-        """Call back one time.
+        """Schedule a single call.
 
-        :param delay_seconds: how long from now
-        :param callback: what to call
-        :return: a subscription that can be cancelled
+        :param delay_seconds: time until the call
+        :param callback: the function to call
+        :return: the subscription, to cancel it
         """
         subscription = Subscription(callback=callback, period_seconds=None)
         self._push(delay_seconds, subscription)
@@ -61,15 +61,16 @@
         callback: Callback,
         first_delay_seconds: float | None = None,
     ) -> Subscription:
-        """Call back again and again.
+        """Schedule a periodic call.
 
-        A period missed while the process was paused is called back once, not
-        once for each period that went by.
+        Periods missed while the process was paused lead to one call, not to
+        one each, to avoid a burst.
 
         :param period_seconds: the time between two calls
-        :param callback: what to call
-        :param first_delay_seconds: the time to the first call, if it differs
-        :return: a subscription that can be cancelled
+        :param callback: the function to call
+        :param first_delay_seconds: the time until the first call, if it
+            differs
+        :return: the subscription, to cancel it
         """
         subscription = Subscription(
             callback=callback, period_seconds=period_seconds
@@ -83,18 +84,18 @@
         return subscription
 
     def next_due_seconds(self) -> float | None:
-        """Tell when the next callback is due.
+        """Return when the next callback is due.
 
-        :return: a reading of the clock, or None when nobody waits
+        :return: a reading of the clock, or None if none is scheduled
         """
         while self._heap and self._heap[0][2].cancelled:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
     def run_due(self) -> int:
-        """Call back everyone whose time has come.
+        """Run all callbacks that are due.
 
-        :return: how many callbacks ran
+        :return: the number of callbacks that ran
         """
         now_seconds = self.now_seconds()
         ran = 0
--- a/tests/timing/test_timers.py
+++ b/tests/timing/test_timers.py
@@ -5,8 +5,8 @@
 
 
 def test_a_paused_process_catches_up_once() -> None:
-    # A process is stopped for a minute and then continued. Its heartbeats
-    # were due sixty times; sending all of them at once would be a burst.
+    # Guards against a burst: a process paused for a minute missed sixty
+    # heartbeats, and must not send them all at once when it continues.
     clock = clocks.VirtualClock()
     service = timers.TimerService(clock=clock)
     calls: list[float] = []
