--- a/src/boragefold/settings/__init__.py
+++ b/src/boragefold/settings/__init__.py
@@ -1,3 +1,3 @@
-"""Settings from flags and environment variables, checked at start."""
+"""Settings and their validation at start."""
 
 from __future__ import annotations
--- a/src/boragefold/settings/gateway.py
+++ b/src/boragefold/settings/gateway.py
@@ -9,18 +9,18 @@
 
 
 class BadSettings(Exception):
-    """Settings that can't be used; the message names the remedy."""
+    """Reports settings that can't be used; the message names the remedy."""
 
 
 class GatewaySettings(NamedTuple):
-    """What a gateway instance is told; addresses are IP:PORT.
+    """The settings of a gateway instance; addresses are IP:PORT.
 
-    ``seeds`` are peers' addresses that may be out of date or down.
-    ``order_lease_seconds`` is how long the orders of two instances to one
-    engine must be apart. ``stop_seconds`` is how long a planned stop may take.
-    ``metrics_listen`` may be empty: then no metrics are served.
+    ``seeds`` are addresses of peers, some of which may be outdated or down.
+    ``order_lease_seconds`` is the minimum time between the orders of two
+    instances to one engine. ``stop_seconds`` is the time limit of a planned
+    stop. If ``metrics_listen`` is empty, no metrics are served.
     ``link_megabits`` is the speed of the network link per second; instances
-    with wide ones pass the heartbeats of the others on.
+    with fast links relay the heartbeats of the others.
     """
 
     instance_name: str
@@ -40,9 +40,9 @@
 
 
 def check(settings: GatewaySettings) -> None:
-    """Check all settings.
+    """Validate all settings.
 
-    :param settings: as given
+    :param settings: the settings as given
     :raises BadSettings: on the first fault
     """
     addresses = {
@@ -51,8 +51,8 @@
         "peer_listen": settings.peer_listen,
         "store": settings.store,
         **{
-            f"seeds[{place}]": each
-            for place, each in enumerate(settings.seeds)
+            f"seeds[{index}]": seed
+            for index, seed in enumerate(settings.seeds)
         },
     }
     if settings.metrics_listen:
--- a/src/boragefold/settings/serve.py
+++ b/src/boragefold/settings/serve.py
@@ -14,7 +14,7 @@
 
 
 class ServeSettings(NamedTuple):
-    """What ``boragefold serve`` is told; see the operators' page."""
+    """The settings of ``boragefold serve``; see the operators' page."""
 
     listen: str
     peer_listen: str
@@ -30,16 +30,16 @@
 
 
 class Fault(NamedTuple):
-    """A setting that can't be used, and what to do."""
+    """A setting that can't be used, and how to correct it."""
 
     setting: str
     remedy: str
 
 
 def faults(settings: ServeSettings) -> list[Fault]:
-    """Check all settings.
+    """Validate all settings.
 
-    :param settings: as given
+    :param settings: the settings as given
     :return: every fault, not just the first
     """
     return [
@@ -53,10 +53,10 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Take an address apart.
+    """Split an address into its parts.
 
-    :param address: IP number and port
-    :return: both
+    :param address: IP address and port
+    :return: IP address and port
     """
     host, _, port = address.rpartition(":")
     return host, int(port)
