--- a/src/boragefold/telemetry/__init__.py
+++ b/src/boragefold/telemetry/__init__.py
@@ -1,3 +1,3 @@
-"""Counters, latency histograms and log lines."""
+"""Metrics, logs and recorded events of requests."""
 
 from __future__ import annotations
--- a/src/boragefold/telemetry/counters.py
+++ b/src/boragefold/telemetry/counters.py
@@ -14,41 +14,41 @@
 
 
 class CounterKey(NamedTuple):
-    """What a counter counts, and the reason it was counted for."""
+    """The name of a counter and the reason for which it was incremented."""
 
     name: str
     reason: str
 
 
 class Counters:
-    """Every counter and histogram of one process."""
+    """All counters and histograms of a process."""
 
     def __init__(self) -> None:
         self._counts: dict[CounterKey, float] = collections.defaultdict(float)
         self._histograms: dict[str, histogram.HdrHistogram] = {}
 
     def add(self, name: str, reason: str = "", amount: float = 1) -> None:
-        """Count something that happened.
+        """Increment a counter.
 
-        :param name: what is counted, such as ``requests_refused``
-        :param reason: why it happened, one of a small fixed set
-        :param amount: by how much
+        :param name: of the counter, such as ``requests_refused``
+        :param reason: one of a small fixed set
+        :param amount: the increment
         """
         self._counts[CounterKey(name, reason)] += amount
 
     def value(self, name: str, reason: str = "") -> float:
-        """Read one counter.
+        """Return the value of a counter for one reason.
 
-        :param name: what is counted
-        :param reason: why it happened
-        :return: the count so far
+        :param name: of the counter
+        :param reason: as in :meth:`add`
+        :return: the current count
         """
         return self._counts.get(CounterKey(name, reason), 0.0)
 
     def total(self, name: str) -> float:
         """Sum a counter over its reasons.
 
-        :param name: what is counted
+        :param name: of the counter
         :return: the sum
         """
         return sum(
@@ -56,19 +56,19 @@
         )
 
     def observe_seconds(self, name: str, duration_seconds: float) -> None:
-        """Record one duration.
+        """Record a duration in a histogram.
 
-        :param name: what was timed, such as ``first_token_seconds``
-        :param duration_seconds: how long it took
+        :param name: of the histogram, such as ``first_token_seconds``
+        :param duration_seconds: the duration
         """
         self._histogram(name).record_value(
             max(LOWEST_MICROSECONDS, int(duration_seconds * 1e6))
         )
 
     def percentile_seconds(self, name: str, percentile: float) -> float:
-        """Read a percentile of the recorded durations.
+        """Return a percentile of the recorded durations.
 
-        :param name: what was timed
+        :param name: of the histogram
         :param percentile: from 0 to 100
         :return: seconds
         """
@@ -79,9 +79,9 @@
         return iter(sorted(self._counts.items()))
 
     def histograms(self) -> Iterator[tuple[str, histogram.HdrHistogram]]:
-        """Go through the histograms.
+        """Iterate over the histograms in the order of their names.
 
-        :return: names and histograms of microseconds
+        :return: pairs of a name and a histogram in microseconds
         """
         return iter(sorted(self._histograms.items()))
 
--- a/src/boragefold/telemetry/decision_log.py
+++ b/src/boragefold/telemetry/decision_log.py
@@ -1,4 +1,4 @@
-"""JSON lines on standard output, bounded, and never waited for."""
+"""A non-blocking log of decisions, as JSON lines with a bounded buffer."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 from boragefold.telemetry import counters as telemetry
 
-# Only lines of ordinary successes are limited.
+# Limits only the lines of ordinary successes.
 ORDINARY_PER_SECOND = 60.0
-# A stopped reader costs lines, not memory.
+# If nothing reads the log, lines are dropped instead of using more memory.
 MAX_UNWRITTEN_BYTES = 262_144
 
 
 class DecisionLog:
     """Writes one line for each decision.
 
-    The descriptor is written to without blocking. What it doesn't take waits
-    in a bounded buffer; lines that don't fit are counted, and the count is
-    written when there is room again.
+    Writes to the descriptor never block. Output that it doesn't accept is
+    kept in a bounded buffer; lines that don't fit are counted, and the count
+    is written when there is room again.
     """
 
     def __init__(
@@ -32,9 +32,9 @@
         now_seconds: Callable[[], float],
         counters: telemetry.Counters,
     ) -> None:
-        """Begin to write.
+        """Set the descriptor to non-blocking mode.
 
-        :param descriptor: where to, usually standard output
+        :param descriptor: the output, usually standard output
         :param now_seconds: the process clock
         :param counters: counts the lines that were lost
         """
@@ -42,21 +42,22 @@
         self._now_seconds = now_seconds
         self._counters = counters
         self._unwritten = bytearray()
-        self._lost = 0
+        self._lost_lines = 0
         self._allowance = ORDINARY_PER_SECOND
         self._allowed_at_seconds = now_seconds()
         self._encoder = msgspec.json.Encoder()
         os.set_blocking(descriptor, False)
 
     def write(self, event: str, **fields: Any) -> None:
-        """Write a line that is always wanted.
+        """Write a line that isn't rate-limited.
 
-        ``time_seconds`` is the time of day, to put the lines of several
-        machines in order; ``at_seconds`` is the process clock, which no
-        change of the time of day moves.
+        ``time_seconds`` is the wall-clock time, which orders the lines of
+        several machines; ``at_seconds`` is the process clock, which doesn't
+        change when the wall clock is set.
 
-        :param event: what happened, one of a small fixed set
-        :param fields: what decided it; durations in seconds
+        :param event: the kind of event, one of a small fixed set
+        :param fields: the values that led to the decision; durations in
+            seconds
         """
         line = {
             "time_seconds": round(time.time(), 4),
@@ -68,10 +69,10 @@
         self.flush()
 
     def write_ordinary(self, event: str, **fields: Any) -> None:
-        """Write a line unless there are very many of its kind.
+        """Write a line, or drop it above the rate limit of ordinary lines.
 
-        :param event: what happened
-        :param fields: what decided it
+        :param event: the kind of event, one of a small fixed set
+        :param fields: the values that led to the decision
         """
         now_seconds = self._now_seconds()
         elapsed_seconds = now_seconds - self._allowed_at_seconds
@@ -87,22 +88,22 @@
         self.write(event, **fields)
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write as much of the buffer as the descriptor accepts."""
         while self._unwritten:
             try:
                 written = os.write(self._descriptor, self._unwritten)
             except OSError:
-                # The buffer is bounded; what doesn't fit is counted.
+                # Kept for the next call; the buffer is bounded.
                 return
             del self._unwritten[:written]
 
     def _append(self, line: bytes) -> None:
         if len(self._unwritten) + len(line) > MAX_UNWRITTEN_BYTES:
-            self._lost += 1
+            self._lost_lines += 1
             self._counters.add("log_lines_lost", "not_read")
             return
-        if self._lost:
-            lost, self._lost = self._lost, 0
+        if self._lost_lines:
+            lost, self._lost_lines = self._lost_lines, 0
             note = {"event": "log_lines_lost", "lines": lost}
             self._unwritten += self._encoder.encode(note) + b"\n"
         self._unwritten += line
--- a/src/boragefold/telemetry/exposition.py
+++ b/src/boragefold/telemetry/exposition.py
@@ -15,13 +15,13 @@
 
 
 class CounterCollector(registry.Collector):
-    """Turns our counters into metric families when they are asked for."""
+    """Converts the counters to Prometheus metric families on collection."""
 
     def __init__(self, *, counters: telemetry.Counters) -> None:
         self._counters = counters
 
     def collect(self) -> Iterator[core.Metric]:
-        """Write every counter and histogram.
+        """Convert all counters and histograms.
 
         :return: metric families
         """
@@ -49,10 +49,10 @@
 
 
 def write(counters: telemetry.Counters) -> bytes:
-    """Write the counters.
+    """Encode the counters in the Prometheus text format.
 
-    :param counters: of this process
-    :return: text
+    :param counters: the counters of this process
+    :return: encoded text
     """
     return prometheus_client.generate_latest(
         CounterCollector(counters=counters)
--- a/src/boragefold/telemetry/late_table.py
+++ b/src/boragefold/telemetry/late_table.py
@@ -1,4 +1,4 @@
-"""Where callers' time went, counted from the logs of several processes."""
+"""Causes of late streamed answers, counted from the logs of processes."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 ENDED = "request_ended"
 ANSWERED = "answered"
-# The parts of a streamed answer's time before its first event, as logged.
+# Log fields with the parts of the wait before a request is sent.
 PARTS = {
     "place": "place_wait_seconds",
     "load": "load_wait_seconds",
     "turn": "turn_wait_seconds",
 }
-# What is left before the request was sent: asking, and asking elsewhere.
+# The rest of that wait: requests to the owners of engines.
 ASKING = "asking"
-# From there to the first event.
+# The time from sending the request to the first event.
 READING = "reading"
 
 
 class Row(NamedTuple):
-    """Streamed answers that ended alike, by what took them longest."""
+    """Streamed answers with the same route, outcome and cause of delay."""
 
     route: str
     outcome: str
@@ -35,27 +35,27 @@
 
 
 def rows(lines: Iterable[log_story.Line]) -> list[Row]:
-    """Count streamed answers by route, outcome and cause.
+    """Count late, refused and failed streamed answers by their cause.
 
-    :param lines: of the logs
-    :return: the most frequent first; without those that were on time
+    :param lines: log lines of all processes
+    :return: the most frequent first, without the answers that were on time
     """
-    took: dict[tuple[str, str, str], list[float]] = collections.defaultdict(
-        list
+    durations: dict[tuple[str, str, str], list[float]] = (
+        collections.defaultdict(list)
     )
     for line in lines:
         if line.event == ENDED and PARTS["place"] in line.fields:
-            for outcome, cause in _verdict(line.fields):
+            for outcome, cause in _outcome_and_cause(line.fields):
                 key = (str(line.fields["route"]), outcome, cause)
-                took[key].append(float(line.fields["took_seconds"]))
+                durations[key].append(float(line.fields["took_seconds"]))
     counted = (
         Row(*key, len(seconds), sorted(seconds)[len(seconds) // 2])
-        for key, seconds in took.items()
+        for key, seconds in durations.items()
     )
     return sorted(counted, key=lambda row: (-row.answers, row))
 
 
-def _verdict(fields: dict[str, Any]) -> Iterator[tuple[str, str]]:
+def _outcome_and_cause(fields: dict[str, Any]) -> Iterator[tuple[str, str]]:
     if fields["outcome"] != ANSWERED:
         yield str(fields["outcome"]), ""
     elif fields.get("late") == "first_event":
--- a/src/boragefold/telemetry/log_story.py
+++ b/src/boragefold/telemetry/log_story.py
@@ -1,4 +1,4 @@
-"""One request's or engine's way, put together from several logs."""
+"""Events of one request or engine, collected from several logs."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 import msgspec
 
-# Changes of belief this long before a request's end are told with it.
-BELIEF_SECONDS = 10.0
-# What a process believes, beside what it decides about requests.
-BELIEFS = frozenset(
+# State changes up to this long before a request's first line are included.
+STATE_EVENT_SECONDS = 10.0
+# Events that change the state of a process, apart from those of requests.
+STATE_EVENTS = frozenset(
     {
         "engine_given_up",
         "engine_taken_up",
@@ -34,7 +34,7 @@
 
 
 class Line(NamedTuple):
-    """One line of a log; ``source`` names the process."""
+    """A parsed log line; ``source`` names the process that wrote it."""
 
     time_seconds: float
     source: str
@@ -43,12 +43,12 @@
 
 
 def read(source: str, lines: Iterable[str]) -> Iterator[Line]:
-    """Read a log; torn and foreign lines are passed over.
+    """Parse a log, skipping truncated lines and those of other programs.
 
-    :param source: names the process, such as the file's name; where several
-        share a log, the word before a line's object names it
-    :param lines: of its log
-    :return: the lines that are ours
+    :param source: name of the process, such as the file's name; where several
+        processes share a log, the word before a line's JSON object is used
+    :param lines: lines of the log
+    :return: the parsed lines
     """
     for text in lines:
         begin = text.find("{")
@@ -67,11 +67,11 @@
 
 
 def story(request_id: str, lines: Iterable[Line]) -> list[Line]:
-    """Pick what concerns a request, with the beliefs that were in force.
+    """Select the lines of a request and the state changes around them.
 
     :param request_id: the request
-    :param lines: of all processes
-    :return: in the order of their times; empty for an unknown request
+    :param lines: log lines of all processes
+    :return: ordered by time; empty for an unknown request
     """
     everything = sorted(lines, key=lambda line: line.time_seconds)
     own = [
@@ -82,14 +82,14 @@
     if not own:
         return []
     sources = {line.source for line in own}
-    begin = own[0].time_seconds - BELIEF_SECONDS
+    begin = own[0].time_seconds - STATE_EVENT_SECONDS
     end = own[-1].time_seconds
     return [
         line
         for line in everything
         if line in own
         or (
-            line.event in BELIEFS
+            line.event in STATE_EVENTS
             and line.source in sources
             and begin <= line.time_seconds <= end
         )
@@ -97,13 +97,13 @@
 
 
 def engine_story(engine: str, lines: Iterable[Line]) -> list[Line]:
-    """Pick what instances believed of an engine and ordered from it.
+    """Select the state changes and orders of an engine.
 
-    Reports are left out that told what was believed already.
+    Reports that confirmed the state already known are left out.
 
-    :param engine: its name
-    :param lines: of all processes
-    :return: in the order of their times; empty for an unknown engine
+    :param engine: name of the engine
+    :param lines: log lines of all processes
+    :return: ordered by time; empty for an unknown engine
     """
     return sorted(
         (line for line in lines if _is_of_engine(line, engine)),
@@ -115,8 +115,8 @@
     fields = line.fields
     if fields.get("engine") != engine or "request_id" in fields:
         return False
-    told_nothing = fields.get("count") == fields.get("believed")
-    return line.event != REPORT or not told_nothing
+    is_unchanged = fields.get("count") == fields.get("believed")
+    return line.event != REPORT or not is_unchanged
 
 
 def _source(prefix: str) -> str:
@@ -125,7 +125,7 @@
 
 
 def write(line: Line) -> str:
-    """Write a line for a person.
+    """Format a line for display.
 
     :param line: the line
     :return: one line of text
@@ -139,7 +139,7 @@
 
 
 __all__ = [
-    "BELIEFS",
+    "STATE_EVENTS",
     "Line",
     "engine_story",
     "read",
--- a/src/boragefold/telemetry/logs.py
+++ b/src/boragefold/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Log lines: only changes of state, as text or as JSON."""
+"""Logs of state changes, as text or as JSON."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class JsonFormatter(standard_logging.Formatter):
-    """Writes one JSON object a line."""
+    """Formats each record as one line of JSON."""
 
     def format(self, record: standard_logging.LogRecord) -> str:
-        """Write a record.
+        """Format a record.
 
-        :param record: what was logged
+        :param record: the log record
         :return: JSON
         """
         line = {
@@ -27,7 +27,7 @@
 
 
 def begin(*, json_lines: bool) -> None:
-    """Send log lines to the standard error.
+    """Send log lines to standard error.
 
     :param json_lines: whether to write JSON instead of text
     """
--- a/src/boragefold/telemetry/stories.py
+++ b/src/boragefold/telemetry/stories.py
@@ -1,4 +1,4 @@
-"""The last requests' stories, for ``boragefold explain``."""
+"""Events of the most recent requests, for ``boragefold explain``."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from typing import Any
 from typing import NamedTuple
 
-# Bounds the memory.
+# Both limits bound the memory.
 MAX_STORIES = 2_000
 MAX_EVENTS = 20
 
 
 class Event(NamedTuple):
-    """One thing that happened to a request."""
+    """An event of a request."""
 
     at_seconds: float
     what: str
@@ -20,7 +20,7 @@
 
 
 class Stories:
-    """A bounded record of what happened to each request, and why."""
+    """A bounded record of the events of recent requests."""
 
     def __init__(self, *, max_stories: int = MAX_STORIES) -> None:
         self._max_stories = max_stories
@@ -36,9 +36,9 @@
         now_seconds: float,
         detail: str = "",
     ) -> None:
-        """Note an event.
+        """Record an event.
 
-        :param request_id: whose
+        :param request_id: the request
         :param what: such as ``queued``, ``sent``, ``refused`` or ``retried``
         :param now_seconds: reading of the process clock
         :param detail: the endpoint or the reason
@@ -50,10 +50,10 @@
             self._stories.popitem(last=False)
 
     def read(self, request_id: str) -> list[dict[str, Any]] | None:
-        """Read a request's story.
+        """Return the events of a request.
 
-        :param request_id: whose
-        :return: its events, oldest first, or None
+        :param request_id: the request
+        :return: its events, oldest first; None for an unknown request
         """
         events = self._stories.get(request_id)
         if events is None:
--- a/tests/telemetry/test_decision_log.py
+++ b/tests/telemetry/test_decision_log.py
@@ -10,11 +10,11 @@
 from boragefold.telemetry import log_story
 
 
-class Side:
+class LogPipe:
     def __init__(self):
         self.reader, self.writer = os.pipe()
         self.now = 100.0
-        self.rest = b""
+        self.partial_line = b""
         self.counters = telemetry.Counters()
         self.log = decision_log.DecisionLog(
             descriptor=self.writer,
@@ -31,51 +31,57 @@
             except BlockingIOError:
                 break
             parts.append(part)
-        *lines, self.rest = (self.rest + b"".join(parts)).split(b"\n")
+        *lines, self.partial_line = (
+            self.partial_line + b"".join(parts)
+        ).split(b"\n")
         return [json.loads(line) for line in lines]
 
 
 @pytest.fixture
-def side():
-    side = Side()
-    yield side
-    os.close(side.reader)
-    os.close(side.writer)
+def log_pipe():
+    log_pipe = LogPipe()
+    yield log_pipe
+    os.close(log_pipe.reader)
+    os.close(log_pipe.writer)
 
 
-def test_a_line_is_one_json_object(side) -> None:
-    side.log.write("request_ended", request_id="r", took_seconds=0.2)
-    (line,) = side.read()
+def test_a_line_is_one_json_object(log_pipe) -> None:
+    log_pipe.log.write("request_ended", request_id="r", took_seconds=0.2)
+    (line,) = log_pipe.read()
     assert line["event"] == "request_ended"
     assert line["at_seconds"] == 100.0
     assert line["took_seconds"] == 0.2
 
 
-def test_a_reader_that_stopped_costs_lines_and_never_a_wait(side) -> None:
-    # Nobody reads the pipe. Writing must go on at once and keep a bounded
-    # amount; when the reader is back, the log says how much is missing.
+def test_a_reader_that_stopped_costs_lines_and_never_a_wait(log_pipe) -> None:
+    # Nothing reads the pipe: writes must not block, the buffer must stay
+    # bounded, and the log must report the lost lines when reading resumes.
     for number in range(20_000):
-        side.log.write("request_refused", request_id=str(number), pad="x" * 40)
-    lost = side.counters.value("log_lines_lost", "not_read")
+        log_pipe.log.write(
+            "request_refused", request_id=str(number), pad="x" * 40
+        )
+    lost = log_pipe.counters.value("log_lines_lost", "not_read")
     assert lost > 1_000
     for _ in range(20):
-        side.read()
-        side.log.flush()
-    side.log.write("started")
-    notes = [line for line in side.read() if line["event"] == "log_lines_lost"]
+        log_pipe.read()
+        log_pipe.log.flush()
+    log_pipe.log.write("started")
+    notes = [
+        line for line in log_pipe.read() if line["event"] == "log_lines_lost"
+    ]
     assert notes == [{"event": "log_lines_lost", "lines": lost}]
 
 
-def test_ordinary_lines_are_thinned_and_others_never(side) -> None:
+def test_ordinary_lines_are_thinned_and_others_never(log_pipe) -> None:
     for _ in range(1_000):
-        side.log.write_ordinary("request_sent")
-    side.log.write("request_refused")
-    events = [line["event"] for line in side.read()]
+        log_pipe.log.write_ordinary("request_sent")
+    log_pipe.log.write("request_refused")
+    events = [line["event"] for line in log_pipe.read()]
     assert events.count("request_sent") <= decision_log.ORDINARY_PER_SECOND
     assert "request_refused" in events
-    side.now += 1.0
-    side.log.write_ordinary("request_sent")
-    assert side.read()
+    log_pipe.now += 1.0
+    log_pipe.log.write_ordinary("request_sent")
+    assert log_pipe.read()
 
 
 LINES = [
