--- a/src/boragefold/entry/chat_assembly.py
+++ b/src/boragefold/entry/chat_assembly.py
@@ -24,7 +24,7 @@
 from boragefold.state import paths
 from boragefold.state import tree as trees
 from boragefold.telemetry import counters as telemetry
-from boragefold.telemetry import stories as telemetry_stories
+from boragefold.telemetry import request_events as recorded_events
 from boragefold.timing import timers as timing
 from boragefold.transport import http_client
 
@@ -87,7 +87,7 @@
         client: http_client.HttpClient,
         timers: timing.TimerService,
         counters: telemetry.Counters,
-        stories: telemetry_stories.Stories,
+        request_events: recorded_events.RequestEvents,
     ) -> None:
         self._cluster = cluster
         link = cluster.link
@@ -109,7 +109,7 @@
             dispatcher=self._dispatcher,
             timers=timers,
             counters=counters,
-            stories=stories,
+            request_events=request_events,
             send_digest=lambda message: self.digests.send_digest(message),
             sender=chat_sender.ChatSender(
                 timers=timers,
--- a/src/boragefold/entry/chat_controller.py
+++ b/src/boragefold/entry/chat_controller.py
@@ -15,7 +15,7 @@
 from boragefold.policy import refusal as refusals
 from boragefold.protocol import outcome as outcomes
 from boragefold.telemetry import counters as telemetry
-from boragefold.telemetry import stories as telemetry_stories
+from boragefold.telemetry import request_events as recorded_events
 from boragefold.timing import timers as timing
 
 STATUS_BAD_GATEWAY = 502
@@ -32,14 +32,14 @@
         dispatcher: dispatchers.Dispatcher,
         timers: timing.TimerService,
         counters: telemetry.Counters,
-        stories: telemetry_stories.Stories,
+        request_events: recorded_events.RequestEvents,
         send_digest: Callable[[actions.SendDigest], None],
         sender: chat_sender.ChatSender,
     ) -> None:
         self._dispatcher = dispatcher
         self._timers = timers
         self._counters = counters
-        self._stories = stories
+        self._request_events = request_events
         self._send_digest = send_digest
         self._sender = sender
         self._chats: dict[str, active_chat.ActiveChat] = {}
@@ -260,7 +260,7 @@
         self._trace(chat.work.request_id, event)
 
     def _trace(self, request_id: str, event: str, detail: str = "") -> None:
-        self._stories.add(
+        self._request_events.add(
             request_id,
             event,
             now_seconds=self._timers.now_seconds(),
--- a/src/boragefold/entry/instance.py
+++ b/src/boragefold/entry/instance.py
@@ -21,7 +21,7 @@
 from boragefold.protocol import ids
 from boragefold.settings import serve as serve_settings
 from boragefold.telemetry import counters as telemetry
-from boragefold.telemetry import stories as telemetry_stories
+from boragefold.telemetry import request_events as recorded_events
 from boragefold.timing import clock as clocks
 from boragefold.timing import timers as timing
 from boragefold.transport import callers
@@ -51,7 +51,7 @@
         self._joined_at_seconds: float | None = None
         self._left_at_seconds = 0.0
         self.counters = telemetry.Counters()
-        self.stories = telemetry_stories.Stories()
+        self.request_events = recorded_events.RequestEvents()
         self.loop = loop or loops.Loop(
             timers=timing.TimerService(clock=clocks.BootClock())
         )
@@ -75,7 +75,7 @@
             client=self._client,
             timers=self.timers,
             counters=self.counters,
-            stories=self.stories,
+            request_events=self.request_events,
         )
         self._callers = callers.CallersFace(
             sockets_=self._sockets,
@@ -125,7 +125,7 @@
             cluster=self.cluster,
             chats=self.chats.controller,
             counters=self.counters,
-            stories=self.stories,
+            request_events=self.request_events,
             is_ready=self.ready,
             is_stopping=lambda: self.shutdown.has_begun,
         )
--- a/src/boragefold/entry/instance_status.py
+++ b/src/boragefold/entry/instance_status.py
@@ -10,7 +10,7 @@
 from boragefold.entry import operators
 from boragefold.telemetry import counters as telemetry
 from boragefold.telemetry import exposition
-from boragefold.telemetry import stories as telemetry_stories
+from boragefold.telemetry import request_events as recorded_events
 
 
 class InstanceStatus(operators.InstanceState):
@@ -22,14 +22,14 @@
         cluster: cluster_services.ClusterServices,
         chats: chat_controller.ChatController,
         counters: telemetry.Counters,
-        stories: telemetry_stories.Stories,
+        request_events: recorded_events.RequestEvents,
         is_ready: Callable[[], bool],
         is_stopping: Callable[[], bool],
     ) -> None:
         self._cluster = cluster
         self._chats = chats
         self._counters = counters
-        self._stories = stories
+        self._request_events = request_events
         self._is_ready = is_ready
         self._is_stopping = is_stopping
 
@@ -84,7 +84,7 @@
         :return: values that can be encoded as JSON, or None for a request
             without recorded events
         """
-        events = self._stories.read(request_id)
+        events = self._request_events.read(request_id)
         return None if events is None else {"events": events}
 
     def audit(
--- a/src/boragefold/telemetry/stories.py
+++ b/src/boragefold/telemetry/request_events.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 # Both limits bound the memory.
-MAX_STORIES = 2_000
+MAX_REQUESTS = 2_000
 MAX_EVENTS = 20
 
 
@@ -19,12 +19,12 @@
     detail: str
 
 
-class Stories:
+class RequestEvents:
     """A bounded record of the events of recent requests."""
 
-    def __init__(self, *, max_stories: int = MAX_STORIES) -> None:
-        self._max_stories = max_stories
-        self._stories: collections.OrderedDict[str, list[Event]] = (
+    def __init__(self, *, max_requests: int = MAX_REQUESTS) -> None:
+        self._max_requests = max_requests
+        self._events_by_request: collections.OrderedDict[str, list[Event]] = (
             collections.OrderedDict()
         )
 
@@ -43,11 +43,11 @@
         :param now_seconds: reading of the process clock
         :param detail: the endpoint or the reason
         """
-        events = self._stories.setdefault(request_id, [])
+        events = self._events_by_request.setdefault(request_id, [])
         if len(events) < MAX_EVENTS:
             events.append(Event(now_seconds, what, detail))
-        while len(self._stories) > self._max_stories:
-            self._stories.popitem(last=False)
+        while len(self._events_by_request) > self._max_requests:
+            self._events_by_request.popitem(last=False)
 
     def read(self, request_id: str) -> list[dict[str, Any]] | None:
         """Return the events of a request.
@@ -55,7 +55,7 @@
         :param request_id: the request
         :return: its events, oldest first; None for an unknown request
         """
-        events = self._stories.get(request_id)
+        events = self._events_by_request.get(request_id)
         if events is None:
             return None
         return [event._asdict() for event in events]
@@ -63,5 +63,5 @@
 
 __all__ = [
     "Event",
-    "Stories",
+    "RequestEvents",
 ]
