--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""Nothing outside the folder knows the platform's names."""
+"""Tests that only the platform folder holds the platform's names."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 
 
 def test_the_folder_only_translates() -> None:
-    # Decisions, state and recovery are the product's; what translates needs
-    # no clock, no timer and no random source.
+    # The src folder holds all decisions, state and recovery; a translation
+    # needs no clock, no timer and no random source.
     forbidden = ("import random", "import time", "timers", "once(")
     for path in pathlib.Path("platform").glob("*.py"):
         text = path.read_text()
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -1,4 +1,4 @@
-"""What the start of an instance may cost."""
+"""Tests that the start of an instance imports no large unused modules."""
 
 from __future__ import annotations
 
@@ -7,12 +7,13 @@
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-# Each takes a tenth of the start or more, and serves no request.
+# Each takes at least a tenth of the start time, and no request needs it.
 UNUSED = ("absl.logging", "importlib.metadata", "multiprocessing.pool")
 
 
 def test_a_start_imports_nothing_large_that_no_request_needs() -> None:
-    # Hundreds that start together after a loss of power start more slowly.
+    # Guards against slow starts when hundreds of instances start together
+    # after a power failure.
     code = "import run, sys; print(*sys.modules, sep='\\n')"
     imported = subprocess.run(
         [sys.executable, "-c", code],
