--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -18,7 +18,7 @@
     born_milliseconds=1,
     held={},
 )
-ASKED = {
+REQUEST_HEADERS = {
     "host": "Press.Example:80",
     "boragefold-attempt-id": "9c41",
     "boragefold-model": "base/a7",
@@ -30,7 +30,7 @@
 
 
 def http(headers=None, target="/notes/x?y=1"):
-    headers = ASKED if headers is None else headers
+    headers = REQUEST_HEADERS if headers is None else headers
     return http_server.Request(
         method="POST",
         path="/notes/x",
@@ -43,12 +43,12 @@
 
 
 @pytest.fixture
-def spoken():
+def translator():
     return dialect.PlatformDialect()
 
 
-def sent(spoken, headers, **changes):
-    request = spoken.read_request(http(headers))
+def sent_headers(translator, headers, **changes):
+    request = translator.read_request(http(headers))
     target = dialects.EndpointTarget(
         record=RECORD,
         deadline_seconds=2.5,
@@ -56,11 +56,11 @@
         version=0,
         resume_after="",
     )
-    return spoken.endpoint_headers(request, target._replace(**changes))
+    return translator.endpoint_headers(request, target._replace(**changes))
 
 
-def test_a_request_is_understood(spoken) -> None:
-    request = spoken.read_request(http())
+def test_a_request_is_parsed(translator) -> None:
+    request = translator.read_request(http())
     assert request.request_id == "9c41"
     assert request.host == "press.example"
     assert request.path == "/notes/x"
@@ -71,15 +71,19 @@
     assert request.usage_tokens == 1540
 
 
-def test_a_request_without_the_optional_headers_is_understood(spoken) -> None:
-    request = spoken.read_request(http({"host": "press.example"}))
+def test_a_request_without_optional_headers_is_parsed(
+    translator,
+) -> None:
+    request = translator.read_request(http({"host": "press.example"}))
     assert request.adapter is None
     assert request.deadline_seconds is None
     assert request.usage_tokens is None
 
 
-def test_what_the_endpoint_gets(spoken) -> None:
-    headers = dict(sent(spoken, ASKED, version=3, resume_after="17"))
+def test_the_headers_of_a_request_to_an_endpoint(translator) -> None:
+    headers = dict(
+        sent_headers(translator, REQUEST_HEADERS, version=3, resume_after="17")
+    )
     assert headers["boragefold-deadline-ms"] == "2500"
     assert headers["boragefold-expect-instance"] == "i-1"
     assert headers["boragefold-expect-version"] == "3"
@@ -87,7 +91,7 @@
     assert headers["last-event-id"] == "17"
     for name in ("model", "token-usage", "prompt-prefix", "attempt-id"):
         name = f"boragefold-{name}"
-        assert headers[name] == ASKED[name]
+        assert headers[name] == REQUEST_HEADERS[name]
 
 
 @pytest.mark.parametrize(
@@ -102,26 +106,28 @@
         "boragefold-request-priority",
     ],
 )
-def test_what_only_the_system_may_set_is_dropped(spoken, name) -> None:
-    headers = sent(spoken, {**ASKED, name: "the-callers"})
+def test_what_only_the_system_may_set_is_dropped(translator, name) -> None:
+    headers = sent_headers(
+        translator, {**REQUEST_HEADERS, name: "the-callers"}
+    )
     assert "the-callers" not in dict(headers).values()
 
 
 @pytest.mark.parametrize(
     "name", ["boragefold-tenant", "boragefold-expect-instance"]
 )
-def test_what_the_caller_claims_to_be_is_replaced(spoken, name) -> None:
-    headers = sent(spoken, {**ASKED, name: "another"})
+def test_what_the_caller_claims_to_be_is_replaced(translator, name) -> None:
+    headers = sent_headers(translator, {**REQUEST_HEADERS, name: "another"})
     assert [value for found, value in headers if found == name] != ["another"]
     assert len([found for found, _ in headers if found == name]) == 1
 
 
-def test_headers_of_one_connection_go_no_further(spoken) -> None:
+def test_headers_of_one_connection_go_no_further(translator) -> None:
     headers = dict(
-        sent(
-            spoken,
+        sent_headers(
+            translator,
             {
-                **ASKED,
+                **REQUEST_HEADERS,
                 "connection": "close, X-Mine",
                 "x-mine": "1",
                 "keep-alive": "5",
@@ -137,29 +143,33 @@
     assert headers["x-other"] == "2"
 
 
-def test_the_endpoints_word_that_nothing_ran(spoken) -> None:
-    facts = spoken.read_answer(503, {"boragefold-not-executed": "1"})
+def test_the_headers_of_a_request_that_was_not_run_are_parsed(
+    translator,
+) -> None:
+    facts = translator.read_answer(503, {"boragefold-not-executed": "1"})
     assert facts.not_run and not facts.not_held
-    assert not spoken.read_answer(503, {}).not_run
-    misdirected = spoken.read_answer(421, {})
+    assert not translator.read_answer(503, {}).not_run
+    misdirected = translator.read_answer(421, {})
     assert misdirected.not_run and misdirected.not_held
 
 
-def test_the_load_that_an_endpoint_tells(spoken) -> None:
-    facts = spoken.read_answer(200, {"boragefold-instance-load": "3,1,8"})
+def test_the_load_header_is_parsed(translator) -> None:
+    facts = translator.read_answer(200, {"boragefold-instance-load": "3,1,8"})
     assert (facts.busy, facts.slots) == (4, 8)
-    facts = spoken.read_answer(200, {"boragefold-instance-load": "many"})
+    facts = translator.read_answer(200, {"boragefold-instance-load": "many"})
     assert (facts.busy, facts.slots) == (None, None)
 
 
-def test_an_answer_to_another_request_is_known(spoken) -> None:
-    request = spoken.read_request(http())
-    assert spoken.answers(request, {"boragefold-attempt-id": "9c41"})
-    assert spoken.answers(request, {})
-    assert not spoken.answers(request, {"boragefold-attempt-id": "other"})
+def test_an_answer_to_another_request_is_detected(translator) -> None:
+    request = translator.read_request(http())
+    assert translator.answers(request, {"boragefold-attempt-id": "9c41"})
+    assert translator.answers(request, {})
+    assert not translator.answers(request, {"boragefold-attempt-id": "other"})
 
 
-def test_callers_wait_longest_for_the_first_event_of_a_stream(spoken) -> None:
+def test_callers_wait_longest_for_the_first_event_of_a_stream(
+    translator,
+) -> None:
     route = deployment.Route(
         name="r",
         host="h",
@@ -174,6 +184,6 @@
         public=False,
         resumable=False,
     )
-    assert spoken.first_event_seconds(route) == 4.0
+    assert translator.first_event_seconds(route) == 4.0
     plain = route._replace(kind=deployment.RouteKind.IDEMPOTENT)
-    assert spoken.first_event_seconds(plain) == 15.0
+    assert translator.first_event_seconds(plain) == 15.0
--- a/tests/platform/test_engines.py
+++ b/tests/platform/test_engines.py
@@ -12,12 +12,12 @@
 
 
 @pytest.fixture
-def spoken():
+def translator():
     return engines.PlatformEngines(instance_name="front-1")
 
 
-def test_a_report_is_understood(spoken) -> None:
-    report = spoken.read_report(
+def test_a_report_is_parsed(translator) -> None:
+    report = translator.read_report(
         200,
         b'{"models":[{"name":"base","version":1,"adapters":["a1@2","a2"]}],'
         b'"busy":true,"sequence":7,"born":99,"coming":["base/a3@4"]}',
@@ -37,13 +37,13 @@
         (200, b"\xff"),
     ],
 )
-def test_what_is_no_report(spoken, status, body) -> None:
-    assert spoken.read_report(status, body) is None
+def test_an_invalid_report_is_rejected(translator, status, body) -> None:
+    assert translator.read_report(status, body) is None
 
 
-def test_orders(spoken) -> None:
+def test_orders(translator) -> None:
     key = deployment.AdapterKey("base", "a7")
-    call = spoken.order_call(
+    call = translator.order_call(
         RECORD, engine_decisions.Load(key, 2), expected=5, fence=41
     )
     assert call.fresh
@@ -52,19 +52,19 @@
     assert b'"expected":5' in call.body
     assert b'"fence_token":41' in call.body
     assert b'"holder":"front-1"' in call.body
-    call = spoken.order_call(
+    call = translator.order_call(
         RECORD, engine_decisions.Unload(key), expected=5, fence=41
     )
     assert b'"operation":"unload"' in call.body
     assert b"version" not in call.body
 
 
-def test_answers_to_orders(spoken) -> None:
+def test_answers_to_orders(translator) -> None:
     key = deployment.AdapterKey("base", "a7")
     load, unload = engine_decisions.Load(key, 0), engine_decisions.Unload(key)
     answer = dialects.OrderOutcome
-    assert spoken.read_order_answer(load, 202) is answer.ACCEPTED
-    assert spoken.read_order_answer(load, 200) is answer.ALREADY_LOADED
-    assert spoken.read_order_answer(unload, 200) is answer.DONE
-    assert spoken.read_order_answer(load, 409) is answer.COUNT_DIFFERS
-    assert spoken.read_order_answer(load, 412) is answer.REFUSED
+    assert translator.read_order_answer(load, 202) is answer.ACCEPTED
+    assert translator.read_order_answer(load, 200) is answer.ALREADY_LOADED
+    assert translator.read_order_answer(unload, 200) is answer.DONE
+    assert translator.read_order_answer(load, 409) is answer.COUNT_DIFFERS
+    assert translator.read_order_answer(load, 412) is answer.REFUSED
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -7,7 +7,7 @@
 
 import names
 
-WORDS = (
+PLATFORM_FIELDS = (
     "fence_token",
     "route_type",
     "require_fence",
@@ -20,12 +20,14 @@
 
 
 def test_the_platforms_names_stay_in_their_folder() -> None:
-    spoken = {
+    platform_names = {
         value
         for value in vars(names).values()
         if isinstance(value, str) and ("/" in value or "boragefold-" in value)
     }
-    words = "|".join(map(re.escape, sorted(spoken | set(WORDS))))
+    words = "|".join(
+        map(re.escape, sorted(platform_names | set(PLATFORM_FIELDS)))
+    )
     pattern = re.compile(rf"(?:{words})(?!\w)", re.IGNORECASE)
     found = [
         (str(path), match.group())
--- a/tests/platform/test_published.py
+++ b/tests/platform/test_published.py
@@ -95,9 +95,9 @@
 
 
 @pytest.fixture
-def take(fleet):
+def apply(fleet):
     timers = timing.TimerService(clock=clocks.VirtualClock())
-    reader = published.Reader(
+    subscriber = published.FleetSubscriber(
         fleet=fleet,
         grace=removal_grace.RemovalGrace(
             timers=timers, drop=fleet.drop_endpoint
@@ -105,19 +105,19 @@
     )
     revisions = iter(range(1, 100))
 
-    def take(key, value):
+    def apply(key, value):
         data = (
             value
             if isinstance(value, bytes | None)
             else json.dumps(value).encode()
         )
-        reader.take([published_items.Item(key, next(revisions), data)])
+        subscriber.apply([published_items.Item(key, next(revisions), data)])
 
-    return take
+    return apply
 
 
-def test_the_configuration(fleet, take) -> None:
-    take("op/config", CONFIG)
+def test_the_configuration(fleet, apply) -> None:
+    apply("op/config", CONFIG)
     current = fleet.deployment
     route = current.route_of("press.example", "/notes/x")
     assert route.name == "r-1"
@@ -136,8 +136,8 @@
     assert current.limits.idle_timeout_seconds == 15.0
 
 
-def test_workspaces_and_their_keys(fleet, take) -> None:
-    take("op/config", CONFIG)
+def test_workspaces_and_their_keys(fleet, apply) -> None:
+    apply("op/config", CONFIG)
     workspace = fleet.deployment.workspace_of("k2")
     assert workspace.name == "press"
     assert (workspace.rate_per_second, workspace.burst) == (500.0, 700.0)
@@ -145,24 +145,24 @@
     assert fleet.deployment.workspace_of("k3") is None
 
 
-def test_an_older_configuration_changes_nothing(fleet, take) -> None:
-    take("op/config", CONFIG)
-    take("op/config", {**CONFIG, "version": 6, "routes": []})
+def test_an_older_configuration_changes_nothing(fleet, apply) -> None:
+    apply("op/config", CONFIG)
+    apply("op/config", {**CONFIG, "version": 6, "routes": []})
     assert fleet.deployment.version == 7
     assert fleet.deployment.routes
 
 
 def test_a_configuration_that_cant_be_read_leaves_the_last(
-    fleet, take
+    fleet, apply
 ) -> None:
-    take("op/config", CONFIG)
-    take("op/config", b"\xff not JSON")
-    take("op/config", {"version": 8})
+    apply("op/config", CONFIG)
+    apply("op/config", b"\xff not JSON")
+    apply("op/config", {"version": 8})
     assert fleet.deployment.version == 7
 
 
-def test_an_endpoint(fleet, take) -> None:
-    take("servers/i-1", ENTRY)
+def test_an_endpoint(fleet, apply) -> None:
+    apply("servers/i-1", ENTRY)
     record = fleet.endpoint("i-1")
     assert record.service == "llm"
     assert record.data_centre == "a"
@@ -171,17 +171,17 @@
     assert [each.name for each in fleet.endpoints_of("llm")] == ["i-1"]
 
 
-def test_a_leaving_endpoint_gets_nothing_new(fleet, take) -> None:
-    take("servers/i-1", {**ENTRY, "state": "draining", "remaining_ms": 1800})
+def test_a_leaving_endpoint_gets_nothing_new(fleet, apply) -> None:
+    apply("servers/i-1", {**ENTRY, "state": "draining", "remaining_ms": 1800})
     record = fleet.endpoint("i-1")
     assert record.leaving
     assert record.leaves_in_seconds == 1.8
     assert not list(fleet.endpoints_of("llm"))
 
 
-def test_an_endpoint_that_is_gone_is_dropped(fleet, take) -> None:
-    take("servers/i-1", ENTRY)
-    take("servers/i-1", None)
+def test_an_endpoint_that_is_gone_is_dropped(fleet, apply) -> None:
+    apply("servers/i-1", ENTRY)
+    apply("servers/i-1", None)
     assert fleet.endpoint("i-1") is None
 
 
@@ -197,16 +197,16 @@
     ],
     ids=["bytes", "fields", "state", "address", "type", "models"],
 )
-def test_an_entry_of_another_writer_names_nobody(fleet, take, value) -> None:
-    take("servers/i-1", ENTRY)
-    take("servers/ghost", value)
+def test_an_unreadable_entry_adds_no_endpoint(fleet, apply, value) -> None:
+    apply("servers/i-1", ENTRY)
+    apply("servers/ghost", value)
     assert fleet.endpoint("ghost") is None
     assert fleet.endpoint("i-1") is not None
 
 
-def test_versions_of_adapters_only_rise(fleet, take) -> None:
+def test_versions_of_adapters_only_rise(fleet, apply) -> None:
     key = deployment.AdapterKey("base", "a1")
     entry = {"model": "base", "adapter": "a1", "version": 3}
-    take("op/version/base.a1", entry)
-    take("op/version/base.a1", {**entry, "version": 2})
+    apply("op/version/base.a1", entry)
+    apply("op/version/base.a1", {**entry, "version": 2})
     assert fleet.versions == {key: 3}
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -8,7 +8,7 @@
 
 from boragefold.settings import gateway
 
-GIVEN = {
+SETTINGS = {
     "node_name": "front-a-1",
     "ip": "10.1.0.25",
     "zone": "a",
@@ -40,7 +40,7 @@
 
 
 def test_the_settings_are_read_and_new_fields_ignored(tmp_path) -> None:
-    found = read(tmp_path, GIVEN)
+    found = read(tmp_path, SETTINGS)
     gateway.check(found)
     assert found.instance_name == "front-a-1"
     assert found.data_centres == ("a", "b")
@@ -52,12 +52,12 @@
 
 @pytest.mark.parametrize("missing", ["node_name", "listen", "platform"])
 def test_a_missing_field_is_named(tmp_path, missing) -> None:
-    given = {key: value for key, value in GIVEN.items() if key != missing}
+    given = {key: value for key, value in SETTINGS.items() if key != missing}
     with pytest.raises(gateway.BadSettings, match=missing):
         read(tmp_path, given)
 
 
-def test_no_file_names_the_remedy() -> None:
+def test_a_missing_file_is_reported_with_the_remedy() -> None:
     with pytest.raises(gateway.BadSettings, match="template"):
         settings.read(pathlib.Path("/nowhere/settings.json"))
 
@@ -72,6 +72,6 @@
     ],
 )
 def test_values_that_cant_be_used_are_named(tmp_path, changes, named) -> None:
-    found = read(tmp_path, GIVEN)._replace(**changes)
+    found = read(tmp_path, SETTINGS)._replace(**changes)
     with pytest.raises(gateway.BadSettings, match=named):
         gateway.check(found)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -12,7 +12,7 @@
 
 
 @pytest.fixture
-def spoken():
+def translator():
     return store.PlatformStore(address="10.0.0.1:80")
 
 
@@ -31,35 +31,37 @@
     }
 
 
-def test_calls(spoken) -> None:
-    assert spoken.list_call("op/", "").target == "/v1/kv-range?prefix=op%2F"
-    assert "after=op%2Fx" in spoken.list_call("op/", "op/x").target
-    watch = spoken.watch_call("op/", 41, 2.0)
+def test_calls(translator) -> None:
+    assert (
+        translator.list_call("op/", "").target == "/v1/kv-range?prefix=op%2F"
+    )
+    assert "after=op%2Fx" in translator.list_call("op/", "op/x").target
+    watch = translator.watch_call("op/", 41, 2.0)
     assert watch.target == "/v1/kv-watch?prefix=op%2F&after=41&wait_ms=2000"
     assert watch.progress_seconds > 2.0
 
 
-def test_a_page(spoken) -> None:
+def test_a_page(translator) -> None:
     body = {
         "items": [item("op/a", 3), item("op/b", 4)],
         "has_more": True,
         "store_revision": 9,
     }
-    page = spoken.read_page(answer(200, body))
+    page = translator.read_page(answer(200, body))
     assert page.items[0] == published_items.Item("op/a", 3, b"v")
     assert (page.revision, page.last_key, page.more) == (9, "op/b", True)
 
 
-def test_events(spoken) -> None:
+def test_events(translator) -> None:
     gone = {"key": "op/b", "revision": 6, "removed": True}
     body = {"events": [item("op/a", 5), gone], "store_revision": 6}
-    events = spoken.read_events(answer(200, body))
+    events = translator.read_events(answer(200, body))
     assert events.items[1] == published_items.Item("op/b", 6, None)
     assert events.revision == 6
 
 
-def test_a_lost_history(spoken) -> None:
-    found = spoken.read_events(answer(410, {}))
+def test_a_lost_history(translator) -> None:
+    found = translator.read_events(answer(410, {}))
     assert found == store_follower.HistoryLost()
 
 
@@ -82,7 +84,7 @@
         ),
     ],
 )
-def test_failures(spoken, status, body, reason) -> None:
+def test_failures(translator, status, body, reason) -> None:
     failed = store_follower.StoreFailed(reason)
-    assert spoken.read_page(answer(status, body)) == failed
-    assert spoken.read_events(answer(status, body)) == failed
+    assert translator.read_page(answer(status, body)) == failed
+    assert translator.read_events(answer(status, body)) == failed
