--- a/src/boragefold/protocol/peer_messages.py
+++ b/src/boragefold/protocol/peer_messages.py
@@ -160,7 +160,7 @@
 
 
 class Pull(NamedTuple):
-    """Asks for newer published changes; ``told`` is what the sender has."""
+    """Asks for changes published after ``told``, the revisions by prefix."""
 
     told: dict[str, int]
 
--- a/src/boragefold/settings/__init__.py
+++ b/src/boragefold/settings/__init__.py
@@ -1,3 +1,3 @@
-"""Settings and their validation at start."""
+"""Settings from flags and environment variables, validated at start."""
 
 from __future__ import annotations
--- a/src/boragefold/telemetry/late_table.py
+++ b/src/boragefold/telemetry/late_table.py
@@ -18,7 +18,7 @@
     "load": "load_wait_seconds",
     "turn": "turn_wait_seconds",
 }
-# The rest of that wait: requests to the owners of engines.
+# The rest of that wait: requests to engine owners, also after a refusal.
 ASKING = "asking"
 # The time from sending the request to the first event.
 READING = "reading"
