--- a/src/boragefold/bench/decision_cost.py
+++ b/src/boragefold/bench/decision_cost.py
@@ -147,7 +147,7 @@
             prompt_tokens=500,
             max_tokens=440,
             arrived_at_seconds=self._now,
-            deadline_seconds=self._now + 10,
+            deadline_at_seconds=self._now + 10,
         )
 
     def periodic(self) -> None:
--- a/src/boragefold/bench/fleet.py
+++ b/src/boragefold/bench/fleet.py
@@ -225,7 +225,7 @@
         self.ledger.arrive(record)
         work = arrival.work
         self._later(
-            work.deadline_seconds - arrival.at_seconds,
+            work.deadline_at_seconds - arrival.at_seconds,
             lambda: self._give_up(record),
         )
         self.system.arrive(instance, arrival)
--- a/src/boragefold/bench/measures.py
+++ b/src/boragefold/bench/measures.py
@@ -132,7 +132,7 @@
     work = record.arrival.work
     if record.first_token_at_seconds is not None:
         return record.first_token_at_seconds - work.arrived_at_seconds
-    return work.deadline_seconds - work.arrived_at_seconds
+    return work.deadline_at_seconds - work.arrived_at_seconds
 
 
 def _quantile(ordered: list[float], part: float) -> float:
--- a/src/boragefold/bench/traffic.py
+++ b/src/boragefold/bench/traffic.py
@@ -170,7 +170,7 @@
             prompt_tokens=prompt,
             max_tokens=limit,
             arrived_at_seconds=now,
-            deadline_seconds=now + patience,
+            deadline_at_seconds=now + patience,
             late_sensitive=desk or deployment.late_sensitive,
             prefix=(
                 f"{adapter.adapter}/{rng.randrange(PREFIXES_PER_ADAPTER)}"
--- a/src/boragefold/coordination/once/pending_attempt.py
+++ b/src/boragefold/coordination/once/pending_attempt.py
@@ -24,14 +24,14 @@
         attempt: once_messages.Attempt,
         digest: str,
         handler: attempt_handler.AttemptHandler,
-        deadline_seconds: float,
+        deadline_at_seconds: float,
         sealing: bool,
     ) -> None:
         self.ticket = ticket
         self.attempt = attempt
         self.digest = digest
         self.handler = handler
-        self.deadline_seconds = deadline_seconds
+        self.deadline_at_seconds = deadline_at_seconds
         self.sealing = sealing
         self.register = ticket.first
         self.tries_left = TRIES_PER_REGISTER
--- a/src/boragefold/coordination/once/runner.py
+++ b/src/boragefold/coordination/once/runner.py
@@ -69,23 +69,25 @@
         *,
         ticket: once_messages.Ticket,
         digest: str,
-        deadline_seconds: float,
+        deadline_at_seconds: float,
         handler: attempt_handler.AttemptHandler,
     ) -> None:
         """Try to run a ticket.
 
         :param ticket: as the caller sent it
         :param digest: of the request, so that a ticket runs one request only
-        :param deadline_seconds: the clock time after which not to send
+        :param deadline_at_seconds: the clock time after which not to send
         :param handler: receives the decision
         """
-        self._start(ticket, digest, deadline_seconds, handler, sealing=False)
+        self._start(
+            ticket, digest, deadline_at_seconds, handler, sealing=False
+        )
 
     def query(
         self,
         *,
         ticket: once_messages.Ticket,
-        deadline_seconds: float,
+        deadline_at_seconds: float,
         handler: attempt_handler.AttemptHandler,
     ) -> None:
         """Find out the outcome of a ticket without running it.
@@ -94,10 +96,10 @@
         true even if a delayed attempt arrives later.
 
         :param ticket: as the caller sent it
-        :param deadline_seconds: the clock time after which to stop
+        :param deadline_at_seconds: the clock time after which to stop
         :param handler: receives the outcome, never with ``on_granted``
         """
-        self._start(ticket, "", deadline_seconds, handler, sealing=True)
+        self._start(ticket, "", deadline_at_seconds, handler, sealing=True)
 
     def store_answer(
         self,
@@ -137,7 +139,7 @@
         self,
         ticket: once_messages.Ticket,
         digest: str,
-        deadline_seconds: float,
+        deadline_at_seconds: float,
         handler: attempt_handler.AttemptHandler,
         *,
         sealing: bool,
@@ -150,7 +152,7 @@
             attempt=attempt,
             digest=digest,
             handler=handler,
-            deadline_seconds=deadline_seconds,
+            deadline_at_seconds=deadline_at_seconds,
             sealing=sealing,
         )
         self._pending[attempt] = pending
@@ -202,7 +204,7 @@
         self._tickets[pending.attempt] = pending.ticket
         # The process may have been suspended until after the deadline, when
         # the caller has already had another outcome.
-        if self._timers.now_seconds() > pending.deadline_seconds:
+        if self._timers.now_seconds() > pending.deadline_at_seconds:
             self.release(pending.attempt)
             self._end_not_run(pending, "deadline")
             return
--- a/src/boragefold/entry/answer_deadline.py
+++ b/src/boragefold/entry/answer_deadline.py
@@ -11,7 +11,7 @@
 MAX_MARGIN_SECONDS = 0.1
 
 
-def compute_deadline_seconds(
+def compute_deadline_at_seconds(
     admitted: request_context.AdmittedRequest,
 ) -> float:
     """Compute when the gateway stops waiting for the response to a request.
@@ -32,5 +32,5 @@
 
 __all__ = [
     "MARGIN_SECONDS",
-    "compute_deadline_seconds",
+    "compute_deadline_at_seconds",
 ]
--- a/src/boragefold/entry/chat_handler.py
+++ b/src/boragefold/entry/chat_handler.py
@@ -136,7 +136,7 @@
             prompt_tokens=chat_messages.estimate_tokens(parsed),
             max_tokens=min(wanted, settings.max_tokens),
             arrived_at_seconds=now_seconds,
-            deadline_seconds=now_seconds + deadline,
+            deadline_at_seconds=now_seconds + deadline,
             late_sensitive=settings.late_sensitive,
             prefix=parsed["messages"][0]["content"][:64],
         )
--- a/src/boragefold/entry/engine_forwarding.py
+++ b/src/boragefold/entry/engine_forwarding.py
@@ -219,13 +219,14 @@
         self._tried.append(engine)
         self._owner_client.request(self, self._make_request(eager), engine)
 
-    def _start_deadline_seconds(self) -> float:
+    def _start_deadline_at_seconds(self) -> float:
         admitted = self.admitted
         return admitted.arrived_at_seconds + admitted.route.target_seconds
 
     def _can_be_on_time(self) -> bool:
         return (
-            self.context.timers.now_seconds() < self._start_deadline_seconds()
+            self.context.timers.now_seconds()
+            < self._start_deadline_at_seconds()
         )
 
     def _make_request(self, eager: bool) -> engine_decisions.EngineRequest:
@@ -241,14 +242,15 @@
             prompt_tokens=admitted.request.prompt_tokens,
             output_tokens=admitted.request.output_tokens,
             priority=priority,
-            start_deadline_seconds=self._start_deadline_seconds(),
-            queue_deadline_seconds=self._queue_deadline_seconds(),
-            end_deadline_seconds=self.deadline_seconds + END_MARGIN_SECONDS,
+            start_deadline_at_seconds=self._start_deadline_at_seconds(),
+            queue_deadline_at_seconds=self._queue_deadline_at_seconds(),
+            end_deadline_at_seconds=self.deadline_at_seconds
+            + END_MARGIN_SECONDS,
             eager=eager,
             event_gap_seconds=admitted.route.event_gap_seconds,
         )
 
-    def _queue_deadline_seconds(self) -> float:
+    def _queue_deadline_at_seconds(self) -> float:
         # The caller has left by then: a later start is useless.
         admitted = self.admitted
         max_wait_seconds = self.context.dialect.first_event_seconds(
@@ -259,13 +261,14 @@
             + max_wait_seconds
             - answer_deadline.MARGIN_SECONDS
         )
-        return min(self.deadline_seconds, first_event_at_seconds)
+        return min(self.deadline_at_seconds, first_event_at_seconds)
 
     def _may_retry(self) -> bool:
         now_seconds = self.context.timers.now_seconds()
         waited_seconds = now_seconds - self.admitted.arrived_at_seconds
         total_seconds = (
-            self._queue_deadline_seconds() - self.admitted.arrived_at_seconds
+            self._queue_deadline_at_seconds()
+            - self.admitted.arrived_at_seconds
         )
         return waited_seconds < MAX_RETRY_SHARE * total_seconds
 
--- a/src/boragefold/entry/engine_owner.py
+++ b/src/boragefold/entry/engine_owner.py
@@ -372,9 +372,9 @@
             prompt_tokens=body.prompt_tokens,
             output_tokens=body.output_tokens,
             priority=body.priority,
-            start_deadline_seconds=now_seconds + body.on_time_in_seconds,
-            queue_deadline_seconds=now_seconds + body.give_up_in_seconds,
-            end_deadline_seconds=now_seconds + body.ends_in_seconds,
+            start_deadline_at_seconds=now_seconds + body.on_time_in_seconds,
+            queue_deadline_at_seconds=now_seconds + body.give_up_in_seconds,
+            end_deadline_at_seconds=now_seconds + body.ends_in_seconds,
             eager=body.eager,
             event_gap_seconds=body.event_gap_seconds,
         )
--- a/src/boragefold/entry/forwarding.py
+++ b/src/boragefold/entry/forwarding.py
@@ -42,7 +42,7 @@
         self._answer = caller_answer.CallerAnswer(
             admitted=admitted, exchange=exchange, context=context
         )
-        self.deadline_seconds = answer_deadline.compute_deadline_seconds(
+        self.deadline_at_seconds = answer_deadline.compute_deadline_at_seconds(
             admitted
         )
         exchange.on_closed = self._on_caller_disconnected
@@ -64,7 +64,7 @@
 
         :return: seconds
         """
-        return self.deadline_seconds - self.context.timers.now_seconds()
+        return self.deadline_at_seconds - self.context.timers.now_seconds()
 
     @abc.abstractmethod
     def begin(self) -> None:
--- a/src/boragefold/entry/instance.py
+++ b/src/boragefold/entry/instance.py
@@ -224,7 +224,7 @@
         return served and self._has_left()
 
     def _has_left(self) -> bool:
-        # Without a steward no view is published that omits this instance; its
+        # Without a leader no view is published that omits this instance; its
         # leases have expired by the time limit.
         waited_seconds = self.timers.now_seconds() - self._left_at_seconds
         left = self.cluster.views.has_left
--- a/src/boragefold/entry/ticket_handler.py
+++ b/src/boragefold/entry/ticket_handler.py
@@ -81,7 +81,7 @@
         handler = self._once_call(exchange, request_id, lambda done: None)
         self._runner.query(
             ticket=ticket,
-            deadline_seconds=self._timers.now_seconds()
+            deadline_at_seconds=self._timers.now_seconds()
             + QUERY_TIMEOUT_SECONDS,
             handler=handler,
         )
@@ -92,7 +92,7 @@
         request_id: str,
         ticket: once_messages.Ticket,
         digest: str,
-        deadline_seconds: float,
+        timeout_seconds: float,
         start_call: ticketed_call.StartCall,
     ) -> None:
         """Run a call if the registers of its ticket permit it.
@@ -101,14 +101,14 @@
         :param request_id: ID of the request
         :param ticket: the parsed ticket
         :param digest: digest of the request
-        :param deadline_seconds: the caller's timeout
+        :param timeout_seconds: the caller's timeout
         :param start_call: sends the call to the service
         """
         now_seconds = self._timers.now_seconds()
         self._runner.begin(
             ticket=ticket,
             digest=digest,
-            deadline_seconds=now_seconds + deadline_seconds,
+            deadline_at_seconds=now_seconds + timeout_seconds,
             handler=self._once_call(exchange, request_id, start_call),
         )
 
--- a/src/boragefold/entry/use_queue.py
+++ b/src/boragefold/entry/use_queue.py
@@ -24,7 +24,7 @@
     """A request that waits for its lease."""
 
     target: order_messages.Target
-    deadline_seconds: float
+    deadline_at_seconds: float
     on_granted: Callable[[lease_client.Use], None]
     on_refused: Callable[[str], None]
 
@@ -61,7 +61,7 @@
         weights = order_messages.Weights(*adapter)
         queued = QueuedUse(
             target=order_messages.Target(endpoint, weights),
-            deadline_seconds=self._timers.now_seconds() + MAX_WAIT_SECONDS,
+            deadline_at_seconds=self._timers.now_seconds() + MAX_WAIT_SECONDS,
             on_granted=on_granted,
             on_refused=on_refused,
         )
@@ -100,7 +100,7 @@
             else:
                 self._leases().finish(use)
             return
-        expired = self._timers.now_seconds() > queued.deadline_seconds
+        expired = self._timers.now_seconds() > queued.deadline_at_seconds
         if use.reason not in TEMPORARY_REASONS or expired:
             self._refuse(queued, use.reason)
 
--- a/src/boragefold/policy/admission.py
+++ b/src/boragefold/policy/admission.py
@@ -285,7 +285,7 @@
 
 
 def _max_wait_seconds(work: works.Work, now_seconds: float) -> float:
-    timeout_seconds = work.deadline_seconds - now_seconds
+    timeout_seconds = work.deadline_at_seconds - now_seconds
     return min(MAX_WAIT_SECONDS, MAX_WAIT_SHARE * timeout_seconds)
 
 
--- a/src/boragefold/policy/attempts.py
+++ b/src/boragefold/policy/attempts.py
@@ -176,9 +176,11 @@
             # Restarts the timeout: counted from the arrival, a long answer
             # could never be resumed.
             work = request.work
-            timeout_seconds = work.deadline_seconds - work.arrived_at_seconds
+            timeout_seconds = (
+                work.deadline_at_seconds - work.arrived_at_seconds
+            )
             request.work = work._replace(
-                deadline_seconds=now_seconds + timeout_seconds
+                deadline_at_seconds=now_seconds + timeout_seconds
             )
         self._requests.exclude(request, endpoint)
         self._matcher.requeue(request.work, now_seconds=now_seconds)
--- a/src/boragefold/policy/engine_decisions.py
+++ b/src/boragefold/policy/engine_decisions.py
@@ -15,9 +15,9 @@
     """A request that is to run on an engine.
 
     Times are readings of the process clock: the response is on time if it
-    starts by ``start_deadline_seconds``, the request is dropped from the queue
-    at ``queue_deadline_seconds``, and it has certainly ended by
-    ``end_deadline_seconds``.
+    starts by ``start_deadline_at_seconds``, the request is dropped from the
+    queue at ``queue_deadline_at_seconds``, and it has certainly ended by
+    ``end_deadline_at_seconds``.
     ``sender`` is the instance that forwards it to the engine; a lower
     ``priority`` is more urgent. An ``eager`` request is refused at once if it
     would start late, so that the sender can try another engine.
@@ -31,9 +31,9 @@
     prompt_tokens: int
     output_tokens: int
     priority: int
-    start_deadline_seconds: float
-    queue_deadline_seconds: float
-    end_deadline_seconds: float
+    start_deadline_at_seconds: float
+    queue_deadline_at_seconds: float
+    end_deadline_at_seconds: float
     eager: bool = False
     event_gap_seconds: float = 0.0
 
--- a/src/boragefold/policy/engine_schedule.py
+++ b/src/boragefold/policy/engine_schedule.py
@@ -252,7 +252,7 @@
         if not self._queue:
             return None
         expiries = (
-            request.queue_deadline_seconds
+            request.queue_deadline_at_seconds
             for request in self._queued_requests()
         )
         dues = self.slots.due_times(now_seconds=now_seconds)
@@ -314,7 +314,7 @@
         return (
             late,
             request.priority,
-            request.start_deadline_seconds,
+            request.start_deadline_at_seconds,
             waiting.arrival_number,
         )
 
@@ -328,18 +328,18 @@
             )
             + self._speed.prefill_seconds(request.prompt_tokens)
         )
-        return starts_at_seconds > request.start_deadline_seconds
+        return starts_at_seconds > request.start_deadline_at_seconds
 
     def _excess_seconds(
         self, waiting: QueuedRequest, now_seconds: float
     ) -> float:
         request = waiting.request
         wait_seconds = self._wait_seconds(waiting, now_seconds)
-        remaining_seconds = request.queue_deadline_seconds - now_seconds
+        remaining_seconds = request.queue_deadline_at_seconds - now_seconds
         excess_seconds = wait_seconds - MAX_WAIT_SHARE * remaining_seconds
         reading_seconds = self._speed.prefill_seconds(request.prompt_tokens)
         starts_at_seconds = now_seconds + wait_seconds + reading_seconds
-        if starts_at_seconds <= request.start_deadline_seconds:
+        if starts_at_seconds <= request.start_deadline_at_seconds:
             return excess_seconds
         backlog_seconds = self.backlog_seconds()
         if not self._has_slot(request):
@@ -365,7 +365,7 @@
         wait_seconds = self._wait_seconds(waiting, now_seconds)
         reading_seconds = self._speed.prefill_seconds(request.prompt_tokens)
         starts_at_seconds = now_seconds + wait_seconds + reading_seconds
-        return starts_at_seconds > request.start_deadline_seconds
+        return starts_at_seconds > request.start_deadline_at_seconds
 
     def _wait_seconds(
         self, waiting: QueuedRequest, now_seconds: float
@@ -414,7 +414,7 @@
         awaiting_slot: set[AdapterKey] = set()
         for waiting in by_urgency:
             request = waiting.request
-            remaining_seconds = request.queue_deadline_seconds - now_seconds
+            remaining_seconds = request.queue_deadline_at_seconds - now_seconds
             if self._has_slot(request):
                 wait_seconds = reading_seconds
                 reading_seconds += self._speed.prefill_seconds(
@@ -493,7 +493,7 @@
         expired = [
             request
             for request in self._queued_requests()
-            if request.queue_deadline_seconds <= now_seconds
+            if request.queue_deadline_at_seconds <= now_seconds
         ]
         for request in expired:
             self.remove(request.request_id, now_seconds=now_seconds)
--- a/src/boragefold/policy/fair_queue.py
+++ b/src/boragefold/policy/fair_queue.py
@@ -77,7 +77,7 @@
             throughput_tokens_per_second=throughput_tokens_per_second,
             adapter_tokens_per_second=adapter_tokens_per_second,
         )
-        timeout_seconds = work.deadline_seconds - now_seconds
+        timeout_seconds = work.deadline_at_seconds - now_seconds
         bound_seconds = START_TIMEOUT_SHARE * timeout_seconds
         if start_in_seconds > bound_seconds:
             return self._refuse(start_in_seconds - bound_seconds)
@@ -93,7 +93,7 @@
         if work.request_id in self._works:
             raise ValueError(f"{work.request_id} is already queued")
         self._works[work.request_id] = work
-        self._expiry.push(work.request_id, work.deadline_seconds)
+        self._expiry.push(work.request_id, work.deadline_at_seconds)
         self._class_of(work).push(work)
         self._demand.setdefault(work.adapter_version, Demand()).add(work)
 
@@ -150,8 +150,8 @@
         """
         expired = []
         while (first := self._expiry.first()) is not None:
-            deadline_seconds, request_id = first
-            if deadline_seconds > now_seconds:
+            deadline_at_seconds, request_id = first
+            if deadline_at_seconds > now_seconds:
                 break
             work = self._works[request_id]
             self._remove(work)
--- a/src/boragefold/policy/overload.py
+++ b/src/boragefold/policy/overload.py
@@ -150,7 +150,7 @@
         return None
 
     def _update_timeout(self, work: works.Work) -> None:
-        timeout_seconds = work.deadline_seconds - work.arrived_at_seconds
+        timeout_seconds = work.deadline_at_seconds - work.arrived_at_seconds
         if self._timeout_seconds is None:
             self._timeout_seconds = timeout_seconds
         self._timeout_seconds += TIMEOUT_SMOOTHING * (
--- a/src/boragefold/policy/queue_class.py
+++ b/src/boragefold/policy/queue_class.py
@@ -205,7 +205,7 @@
 
 
 def _rank_seconds(work: works.Work) -> float:
-    timeout_seconds = work.deadline_seconds - work.arrived_at_seconds
+    timeout_seconds = work.deadline_at_seconds - work.arrived_at_seconds
     penalty_seconds = min(
         PENALTY_SECONDS_PER_TOKEN * works.charged_tokens(work),
         MAX_PENALTY_TIMEOUT_SHARE * timeout_seconds,
--- a/src/boragefold/policy/running_requests.py
+++ b/src/boragefold/policy/running_requests.py
@@ -156,7 +156,7 @@
         return [
             request.request_id
             for request in self.requests()
-            if now_seconds > request.end_deadline_seconds
+            if now_seconds > request.end_deadline_at_seconds
         ]
 
     def _pauses_responses_too_long(
--- a/src/boragefold/policy/work.py
+++ b/src/boragefold/policy/work.py
@@ -16,7 +16,7 @@
 class Work(NamedTuple):
     """A request, as far as scheduling decisions need it.
 
-    Times are readings of the process clock. ``deadline_seconds`` is when
+    Times are readings of the process clock. ``deadline_at_seconds`` is when
     the caller stops waiting. ``prefix`` names the prompt's beginning, so that
     requests that share it can share a prompt cache; empty when unknown.
     """
@@ -27,7 +27,7 @@
     prompt_tokens: int
     max_tokens: int
     arrived_at_seconds: float
-    deadline_seconds: float
+    deadline_at_seconds: float
     late_sensitive: bool = False
     prefix: str = ""
 
--- a/tests/coordination/once/test_runner.py
+++ b/tests/coordination/once/test_runner.py
@@ -59,7 +59,7 @@
         self.runner.begin(
             ticket=ticket,
             digest=digest,
-            deadline_seconds=now_seconds + give_up_seconds,
+            deadline_at_seconds=now_seconds + give_up_seconds,
             handler=handler,
         )
         return handler
@@ -69,7 +69,7 @@
         now_seconds = self.node.timers.now_seconds()
         self.runner.query(
             ticket=ticket,
-            deadline_seconds=now_seconds + 30.0,
+            deadline_at_seconds=now_seconds + 30.0,
             handler=handler,
         )
         return handler
--- a/tests/fakes/engine_loads.py
+++ b/tests/fakes/engine_loads.py
@@ -49,9 +49,9 @@
         prompt_tokens=prompt,
         output_tokens=output,
         priority=priority,
-        start_deadline_seconds=at + target,
-        queue_deadline_seconds=at + patience,
-        end_deadline_seconds=at + patience + 1.0,
+        start_deadline_at_seconds=at + target,
+        queue_deadline_at_seconds=at + patience,
+        end_deadline_at_seconds=at + patience + 1.0,
     )
 
 
--- a/tests/fakes/workloads.py
+++ b/tests/fakes/workloads.py
@@ -45,7 +45,7 @@
         prompt_tokens=0,
         max_tokens=tokens,
         arrived_at_seconds=at,
-        deadline_seconds=at + patience,
+        deadline_at_seconds=at + patience,
         late_sensitive=late_sensitive,
         prefix=prefix,
     )
--- a/tests/policy/test_engine_schedule.py
+++ b/tests/policy/test_engine_schedule.py
@@ -293,7 +293,7 @@
         wanted = engine_loads.make_request(
             f"r{number}", f"a{number}", at=at, output=250, patience=8.0
         )
-        bench.submit(at, wanted._replace(queue_deadline_seconds=at + 4.0))
+        bench.submit(at, wanted._replace(queue_deadline_at_seconds=at + 4.0))
     bench.run(20.0)
     waited = [
         outcome.refused_seconds - arrivals[request_id]
--- a/tools/measure_decisions.py
+++ b/tools/measure_decisions.py
@@ -128,7 +128,7 @@
             prompt_tokens=500,
             max_tokens=300,
             arrived_at_seconds=self.now,
-            deadline_seconds=self.now + 30,
+            deadline_at_seconds=self.now + 30,
             late_sensitive=number % 4 == 0,
             prefix=f"prefix-{number % 500}",
         )
