--- a/src/boragefold/coordination/fleet/rate_messages.py
+++ b/src/boragefold/coordination/fleet/rate_messages.py
@@ -16,9 +16,8 @@
 
 # A hub that has just started receives the entries of the others within this.
 ERA_SECONDS = 1.0
-# Hubs that start together wait in turn to begin an epoch, so that all join the
-# first one's.
-# serves all.
+# Hubs that start together begin an era one after the other: the others join
+# the first one's.
 ERA_STEP_SECONDS = 0.25
 LEDGER_ASK_SECONDS = 1.0
 
